--- a/src/model/bundle.h
+++ b/src/model/bundle.h
@@ -13,26 +13,27 @@
 #include <string>
 #include <vector>
 
-/// The bundle: the operators' versioned declaration of where each service's traffic may go (docs/BUNDLES.md).
+/// The bundle: the versioned configuration in which operators declare where each service's traffic may go
+/// (docs/BUNDLES.md).
 namespace saltvane::model {
 
-/// What the choice among zones with room weighs most.
+/// The criterion that weighs most when choosing among zones that have headroom.
 enum class Objective { Latency, Headroom };
 
-/// At most `share` of a service's traffic moves between zones in any window of this length.
+/// Limits how fast a service's traffic moves between zones: at most `share` of it in any window of length `window`.
 struct ShiftCap {
     double share = 0.1; ///< Fraction of the service's traffic, over 0 and up to 1.
     Duration window = 10s;
 };
 
-/// How much of a zone's room for a service is open: 0 closes the zone (a drain), 1 opens all of it.
+/// The fraction of a zone's capacity for a service that may be used: 0 closes the zone (a drain), 1 opens all of it.
 struct ZoneShare {
     ZoneName zone;
     double open = 1.0;
     Place place;
 };
 
-/// Requests that may be repeated: method and path prefix. All others run at most once.
+/// Requests with this method and path prefix may be repeated; requests that match no rule run at most once.
 struct RepeatableRule {
     std::string method;
     std::string pathPrefix = "/"; ///< Matches whole path segments.
@@ -43,12 +44,12 @@
     ServiceName name;
     std::vector<ZoneShare> zones;
     ShiftCap shiftCap;
-    std::optional<ShiftCap> failoverCap; ///< Rules moves that a failure forces; the shift cap where absent.
+    std::optional<ShiftCap> failoverCap; ///< For moves that a failure forces. Not set: the shift cap applies.
     std::vector<RepeatableRule> repeatable;
     Duration defaultDeadline = 2s;
     Duration maximumDeadline = 60s;
-    Duration entryTtl = 30s; ///< How long a caller may keep a look-up answer.
-    Duration keyRetention = 24h; ///< How long keys of the caller's own making are remembered.
+    Duration entryTtl = 30s; ///< How long a caller may cache the answer to a look-up.
+    Duration keyRetention = 24h; ///< How long idempotency keys chosen by callers are stored.
     Place place;
 };
 
@@ -63,8 +64,8 @@
     Place place;
 };
 
-/// One-way delay between two regions where it differs from the common one. Holds for the way back too, unless
-/// that is stated itself.
+/// One-way delay between two regions that differs from Delays::betweenRegions. Applies to the opposite direction too,
+/// unless the bundle has an entry for that direction.
 struct RegionDelay {
     RegionName from;
     RegionName to;
@@ -72,7 +73,7 @@
     Place place;
 };
 
-/// Most requests in flight at a time from one region to another.
+/// Maximum number of requests in flight from one region to another.
 struct LinkLimit {
     RegionName from;
     RegionName to;
@@ -80,20 +81,21 @@
     Place place;
 };
 
-/// Clients by address prefix and the region they are nearest to.
+/// Assigns the clients of an address block to the region that is nearest to them.
 struct ClientBlock {
     std::string prefix; ///< CIDR, IPv4 or IPv6.
     RegionName region;
     Place place;
 };
 
-/// Who may sign bundles. The key is Ed25519, base64.
+/// An operator who may sign bundles.
 struct Operator {
     OperatorName name;
-    std::string publicKey;
+    std::string publicKey; ///< Ed25519, in base64.
     Place place;
 };
 
+/// Default one-way delays.
 struct Delays {
     Duration betweenZones = 1ms;
     Duration betweenRegions = 35ms;
@@ -110,12 +112,12 @@
     std::vector<RegionDelay> regionDelays;
     std::vector<LinkLimit> linkLimits;
     std::vector<ClientBlock> clients;
-    RegionName defaultClientRegion; ///< Of clients that no block names.
+    RegionName defaultClientRegion; ///< Region of clients whose address is in no block.
     std::vector<Service> services;
     std::vector<Operator> operators;
 };
 
-/// Checks references, ranges and duplicates; finds everything wrong in one pass.
+/// Checks references, ranges and duplicates. Reports all findings in one pass.
 [[nodiscard]] Findings checkBundle(const Bundle& bundle);
 
 } // namespace saltvane::model
--- a/src/model/clientaccount.h
+++ b/src/model/clientaccount.h
@@ -19,26 +19,27 @@
 
 using ClientAccountName = Name<struct ClientAccountNameTag>;
 
-/// What an account's requests may add up to, over all gateways.
+/// Limit on the requests of a client account, counted over all gateways.
 struct RateLimit {
-    double perSecond = 0; ///< Requests.
-    double burst = 0; ///< Requests beyond that at any moment.
+    double perSecond = 0; ///< Requests per second.
+    double burst = 0; ///< Requests that may exceed that rate at once.
     auto operator<=>(const RateLimit&) const = default;
 };
 
-/// On whose behalf callers send requests: known by the keys they present. docs/ROUTES.md
+/// The client account on whose behalf a caller sends requests, identified by the key that the caller presents
+/// (docs/ROUTES.md).
 struct ClientAccount {
     ClientAccountName name;
-    std::vector<std::string> keys; ///< Secrets: never logged, shown or passed on.
-    std::optional<uint32_t> rank; ///< Goes before the rank of the route; 0 is the most urgent.
-    std::optional<RateLimit> limit; ///< None: no limit.
-    std::vector<RegionName> permittedRegions; ///< Empty: all. The route's own bind as well.
+    std::vector<std::string> keys; ///< Secrets: never logged, displayed or forwarded.
+    std::optional<uint32_t> rank; ///< Overrides the rank of the route; 0 is the most urgent.
+    std::optional<RateLimit> limit; ///< Not set: no limit.
+    std::vector<RegionName> permittedRegions; ///< Empty: all. The route's permitted regions apply in addition.
 };
 
-/// An account as plans share it: plans that follow each other hold the same one where it did not change.
+/// A reference-counted account. Successive plans share the accounts that did not change between them.
 struct PlanAccount : boost::intrusive_ref_counter<PlanAccount, boost::thread_unsafe_counter> {
-    explicit PlanAccount(ClientAccount given)
-        : account(std::move(given))
+    explicit PlanAccount(ClientAccount value)
+        : account(std::move(value))
     {
     }
     const ClientAccount account;
--- a/src/model/controlmessages.h
+++ b/src/model/controlmessages.h
@@ -13,10 +13,10 @@
 #include <string>
 #include <vector>
 
-/// Messages of the replicated log and of the distribution of what it committed.
+/// Messages of the replicated log and of the distribution of the committed bundles and plans.
 namespace saltvane::model {
 
-/// Identifies one disk of one control host: a replaced disk has another.
+/// Identifies one disk of one control host: a replacement disk has a new id.
 using ReplicaId = Name<struct ReplicaIdTag>;
 
 struct LogEntry {
@@ -32,17 +32,17 @@
     LogIndex lastIndex;
     LogTerm lastTerm;
     bool isPreVote = false;
-    /// The start that the voter told of by a StartNotice, where all voters told of theirs; else 0.
+    /// StartNotice::start of the voter that receives this request, if all voters have sent a notice; otherwise 0.
     uint64_t voterStart = 0;
 };
 
-/// Of a process that has heard of no leader since it started, to the voters it knows.
+/// Sent to the known voters by a process that has not heard from a leader since it started.
 struct StartNotice {
     ReplicaId replica;
-    uint64_t start = 0; ///< The process's incarnation: tells apart the starts of one host.
+    uint64_t start = 0; ///< The process's incarnation, which distinguishes the starts of one host.
     LogIndex lastIndex;
     LogTerm lastTerm;
-    bool isAnswer = false; ///< To a notice: wants no answer.
+    bool isAnswer = false; ///< Answers a notice, and expects no answer itself.
 };
 
 struct VoteReply {
@@ -58,17 +58,17 @@
     LogIndex previousIndex;
     LogTerm previousTerm;
     LogIndex commit;
-    uint64_t round = 0; ///< Echoed; proves the leader current at the time it sent the round.
+    uint64_t round = 0; ///< Echoed in the reply; proves that the sender was still the leader when it sent this round.
     std::vector<LogEntry> entries;
-    Duration proofAge = Duration::max(); ///< Since a quorum last proved the leader current; max() without a proof.
-    uint64_t heardRound = 0; ///< Highest round whose reply from the receiver reached the leader: dates the proof.
+    Duration proofAge = Duration::max(); ///< Time since a quorum last confirmed the leader; max() if none did.
+    uint64_t heardRound = 0; ///< Highest round that the receiver answered, as known to the leader. Dates the proof.
 };
 
 struct AppendReply {
     LogTerm term;
     ReplicaId replica;
     bool isAccepted = false;
-    LogIndex match; ///< Accepted: durable up to here. Otherwise: try from here.
+    LogIndex match; ///< If accepted: the log is durable up to here. Otherwise: where to resume.
     uint64_t round = 0;
 };
 
@@ -87,28 +87,29 @@
     LogTerm term;
     ReplicaId replica;
     LogIndex lastIndex;
-    uint64_t received = 0; ///< Next offset wanted; the total size once installed.
+    uint64_t received = 0; ///< Next offset to send; the total size once the snapshot is installed.
 };
 
-/// A replica that is in no configuration it knows of asks the leader to be let in as a learner.
-/// Among new disks it also gathers the first configuration (docs/design/0006-control.md).
+/// Asks the leader to add a replica as a learner; sent by a replica that is in no configuration known to it.
+/// Between new disks it also serves to assemble the first configuration (docs/design/0006-control.md).
 struct JoinRequest {
     ReplicaId replica;
     HostId host;
-    bool isNewDisk = false; ///< Nothing but the replica id was ever written to the disk.
-    ReplicaId inviter; ///< The coordinator of the first start that this answers; empty otherwise.
+    bool isNewDisk = false; ///< The disk holds nothing but the replica id.
+    ReplicaId inviter; ///< Coordinator of the first start whose invitation this answers; empty otherwise.
 };
 
-/// What is in force, sent from control to zone relays and from a relay to its zone's hosts. A large one goes in parts.
+/// The bundle or plan in force, sent from control hosts to zone relays and from a relay to the hosts of its zone. A
+/// large one is sent as BundlePart messages.
 struct BundlePush {
     LogPosition position;
     BundleVersion version;
     std::string content; ///< The bundle's or plan's text, as the operator sent it.
-    Duration age {}; ///< Time since a control quorum confirmed it as current.
-    uint64_t pull = 0; ///< Number of the pull this answers; 0: sent unasked.
+    Duration age {}; ///< Time since a quorum of control hosts confirmed that it is current.
+    uint64_t pull = 0; ///< Number of the pull that this answers; 0: sent without a pull.
 };
 
-/// A piece of a state in force, which is compressed. A host that gets the first one pulls the next ones, one at a time.
+/// A part of the compressed bundle or plan in force. A host that receives the first part pulls the others one by one.
 struct BundlePart {
     LogPosition position;
     BundleVersion version;
@@ -117,26 +118,26 @@
     uint64_t checksum = 0; ///< xxhash64 of the bytes of all parts.
     std::string bytes;
     Duration age {}; ///< As in BundlePush.
-    uint64_t pull = 0; ///< Number of the pull this answers; 0: sent unasked.
-    LogPosition base {}; ///< The state that it was compressed against; none: it stands alone.
+    uint64_t pull = 0; ///< Number of the pull that this answers; 0: sent without a pull.
+    LogPosition base {}; ///< State used as the compression dictionary; position 0: none.
 };
 
-/// Pull of the state in force; answered with BundlePush or the first BundlePart when the answerer holds a newer one,
-/// else with BundleCurrent.
+/// Requests the bundle or plan in force. Answered with BundlePush or the first BundlePart if the answering host has a
+/// newer one, otherwise with BundleCurrent.
 struct BundlePull {
     LogPosition have;
-    bool isStarting = false; ///< The asker serves nobody yet.
-    uint64_t pull = 0; ///< Echoed in the answer; dates the age it tells.
-    LogPosition partOf {}; ///< The state whose next part is wanted; none: the newest state, from its beginning.
-    LogPosition partBase {}; ///< What that state's parts were compressed against.
-    uint64_t offset = 0; ///< Of the part that is wanted.
-    bool wantsWhole = false; ///< Not compressed against `have`: that failed.
+    bool isStarting = false; ///< The requesting host does not serve requests yet.
+    uint64_t pull = 0; ///< Echoed in the answer; tells when the age in it was current.
+    LogPosition partOf {}; ///< State whose next part is requested; position 0: the newest one, from its first part.
+    LogPosition partBase {}; ///< State that those parts were compressed against.
+    uint64_t offset = 0; ///< Offset of the requested part.
+    bool wantsWhole = false; ///< Not to be compressed against `have`, because decompressing against it failed.
 };
 
 struct BundleCurrent {
     LogPosition position;
     Duration age {}; ///< As in BundlePush.
-    uint64_t pull = 0; ///< Number of the pull this answers.
+    uint64_t pull = 0; ///< Number of the pull that this answers.
 };
 
 } // namespace saltvane::model
--- a/src/model/counters.h
+++ b/src/model/counters.h
@@ -14,7 +14,7 @@
 
 namespace saltvane::model {
 
-/// What a host counts. Each is served as a Prometheus counter (docs/METRICS.md).
+/// Counters of a host. Each is exported as a Prometheus counter (docs/METRICS.md).
 enum class Counter {
     LookUps,
     LookUpsRefused,
@@ -26,7 +26,7 @@
     ForwardsReceived,
     Dispatches,
     Retries,
-    Diversions, ///< Requests sent elsewhere than their row says.
+    Diversions, ///< Requests sent to another zone than their route row selects.
     Announcements,
     AnnouncementsRefused,
     OwnershipsTaken,
@@ -35,10 +35,10 @@
     Ejections,
     TrialRequests,
     CreditsGranted,
-    StaleMessages, ///< Of an older incarnation, sequence or term.
+    StaleMessages, ///< Messages of an older incarnation, sequence number or term.
     KeysClaimed,
-    KeyReplays, ///< Resends answered from the stored answer.
-    LateFrames, ///< For a request that has ended.
+    KeyReplays, ///< Repeated requests answered with the stored answer.
+    LateFrames, ///< Frames of a request that has completed.
     BrokenBodies,
     HostsSuspected,
     HostsJoined,
@@ -53,17 +53,17 @@
     LinkAuthFailures,
     BadFrames,
     BadHttpRequests,
-    LinkBytes, ///< Of frames for other hosts.
+    LinkBytes, ///< Bytes of frames queued for other hosts.
     BundleBytes, ///< The part of LinkBytes that carries plans and bundles to hosts that use them.
     RowMoves, ///< Ticks in which a route row moved.
     RowMovesCapped, ///< Ticks in which the shift cap held a row back.
-    TargetsLostUnderRequests, ///< Runs that ended because their target did, as this host saw.
-    RequestsBlamed, ///< Verdicts of this host.
+    TargetsLostUnderRequests, ///< Runs that this host saw fail because their target ended.
+    RequestsBlamed, ///< Requests that this host found to end the targets that run them.
     LimitedDispatches, ///< Requests sent to targets whose answers name a limit.
     Count
 };
 
-/// One host's counts. Modules are handed a reference and add; the metrics endpoint reads.
+/// Counter values of one host. Modules increment them through a reference; the metrics endpoint reads them.
 struct Counters {
     std::array<uint64_t, static_cast<size_t>(Counter::Count)> values {};
     std::array<uint64_t, static_cast<size_t>(Reason::Count)> refusals {};
--- a/src/model/deployment.h
+++ b/src/model/deployment.h
@@ -17,7 +17,7 @@
 
 namespace saltvane::model {
 
-/// A bundle compiled into tables that decisions index. Immutable; shared by everything that decides under it.
+/// A bundle compiled into tables for fast access. Immutable; shared by all components that work with this bundle.
 class Deployment {
 public:
     /// `bundle` must be free of findings (checkBundle).
@@ -25,7 +25,7 @@
     ~Deployment();
 
     [[nodiscard]] const Bundle& bundle() const { return bundle_; }
-    /// Where in the log this bundle came into force.
+    /// Position in the replicated log at which this bundle came into force.
     [[nodiscard]] LogPosition position() const { return position_; }
 
     [[nodiscard]] uint32_t zoneCount() const;
@@ -38,16 +38,17 @@
     [[nodiscard]] const Region& region(RegionIndex index) const;
     [[nodiscard]] const Service& service(ServiceIndex index) const;
     [[nodiscard]] RegionIndex regionOf(ZoneIndex zone) const;
-    /// Open share of a zone for a service; 0 where the bundle does not name the zone.
+    /// Fraction of a zone's capacity that is open for a service; 0 if the bundle does not list the zone for it.
     [[nodiscard]] double openShare(ServiceIndex service, ZoneIndex zone) const;
-    /// One-way delay between two regions (0 within one) and between two zones.
+    /// One-way delay between two regions or two zones; 0 if they are the same.
     [[nodiscard]] Duration delay(RegionIndex from, RegionIndex to) const;
     [[nodiscard]] Duration delay(ZoneIndex from, ZoneIndex to) const;
-    /// Zones by delay from a region, nearest first, ties by index.
+    /// All zones ordered by delay from a region, nearest first; ties are ordered by index.
     [[nodiscard]] std::span<const ZoneIndex> zonesByDelay(RegionIndex from) const;
-    /// Most requests in flight between two regions; no value where unlimited.
+    /// Maximum number of requests in flight from one region to another; no value if unlimited.
     [[nodiscard]] std::optional<uint32_t> linkLimit(RegionIndex from, RegionIndex to) const;
-    /// Longest-prefix match of a textual address; the default region where no block matches or the text is no address.
+    /// Region of a client address by longest-prefix match; the default region if no block matches or the text is not an
+    /// address.
     [[nodiscard]] RegionIndex clientRegion(std::string_view address) const;
     [[nodiscard]] bool isRepeatable(ServiceIndex service, std::string_view method, std::string_view path) const;
 
--- a/src/model/hostmessages.h
+++ b/src/model/hostmessages.h
@@ -14,7 +14,7 @@
 #include <string_view>
 #include <vector>
 
-/// Messages of host membership, zone summaries, credits and target ownership.
+/// Messages for host membership, zone summaries, credits and target ownership.
 namespace saltvane::model {
 
 struct Address {
@@ -24,28 +24,29 @@
 };
 
 [[nodiscard]] std::string toString(const Address& address); ///< "127.0.0.1:8080"
-/// Inverse of toString: an IP number with a port from 1; IPv6 in brackets.
+/// Inverse of toString: an IP address and a port other than 0; an IPv6 address is in brackets.
 [[nodiscard]] std::optional<Address> parseAddress(std::string_view text);
 
 enum class HostState {
-    Joining, ///< No current state yet: takes no request.
+    Joining, ///< Has no current state yet, and accepts no requests.
     Serving,
+    /// In its planned stop.
     Leaving
-}; ///< In its planned stop.
+};
 
-/// What one host's targets of one service can take now.
+/// Current capacity of the targets of one service that one host owns.
 struct ServiceRoom {
     ServiceName service;
     uint32_t targets = 0; ///< Owned and usable.
     uint32_t slots = 0; ///< Slots of all owned targets that are not leaving.
-    uint32_t room = 0; ///< Requests in flight the owner is ready to hold, cold limits applied.
+    uint32_t room = 0; ///< Requests in flight that the owner accepts in total; slow-start limits are applied.
     uint32_t inFlight = 0;
     uint32_t queued = 0;
-    Duration queueDelay {}; ///< Of the oldest waiting request.
+    Duration queueDelay {}; ///< How long the oldest queued request has waited.
     auto operator<=>(const ServiceRoom&) const = default;
 };
 
-/// Requests for a service that a client region offers at one host, as concurrency (rate times time to answer).
+/// Demand for a service from one client region at one host, as concurrency (request rate times response time).
 struct ServiceDemand {
     ServiceName service;
     RegionName clientRegion;
@@ -53,40 +54,40 @@
     auto operator<=>(const ServiceDemand&) const = default;
 };
 
-/// One host as its zone knows it. A newer (incarnation, sequence) replaces an older one.
+/// State of one host. A record with a newer (incarnation, sequence) replaces an older one.
 struct HostRecord {
     HostId host;
     Incarnation incarnation;
     uint64_t sequence = 0;
     ZoneName zone;
     RegionName region;
-    Address linkAddress; ///< Links between hosts.
-    Address entryAddress; ///< Callers and targets.
+    Address linkAddress; ///< For links from other hosts.
+    Address entryAddress; ///< For callers and targets.
     bool isControl = false;
-    bool isControlLeader = false; ///< With proof of it from a quorum.
+    bool isControlLeader = false; ///< Set only while a quorum confirms it.
     HostState state = HostState::Joining;
     LogPosition inForce;
     BundleVersion inForceVersion;
     std::vector<ServiceRoom> services;
     std::vector<ServiceDemand> demands;
-    std::vector<TargetId> ownedTargets; ///< Within the zone only; empty in zone reports.
+    std::vector<TargetId> ownedTargets; ///< Sent within the zone only; empty in zone reports.
     auto operator<=>(const HostRecord&) const = default;
 };
 
-/// A host to the hosts of its own zone, some times a second.
+/// Sent by a host to the hosts of its zone several times a second.
 struct Heartbeat {
     HostRecord record;
 };
 
-/// The zone's relay to the other zones' relays, and each relay on to its own zone's hosts.
+/// Sent by a zone's relay to the relays of the other zones, each of which forwards it to the hosts of its own zone.
 struct ZoneReport {
     ZoneName zone;
     HostId relay;
     std::vector<HostRecord> hosts;
-    std::vector<Duration> ages; ///< Per host: time since its last heartbeat at the sender.
+    std::vector<Duration> ages; ///< By host: time since the sender received its last heartbeat.
 };
 
-/// An entry host asks an owner for a window of requests in flight.
+/// Sent by an entry host to request credit from an owner: a window of requests in flight.
 struct CreditRequest {
     ServiceName service;
     uint32_t wanted = 0;
@@ -94,16 +95,16 @@
     uint64_t sequence = 0;
 };
 
-/// The owner's answer: a window that ends by itself. A newer sequence replaces an older one.
+/// The owner's answer: a window that expires after `validFor`. A newer sequence replaces an older one.
 struct CreditGrant {
     ServiceName service;
     uint32_t window = 0;
     Duration validFor {};
-    uint64_t sequence = 0; ///< Of the request answered.
+    uint64_t sequence = 0; ///< Sequence of the CreditRequest that this answers.
 };
 
-/// An owner gives a target to another host of the zone: the new owner may dispatch at once,
-/// less the old owner's requests still in flight.
+/// Transfers the ownership of a target to another host of the zone. The new owner may dispatch at once, but the
+/// previous owner's requests still in flight count against the target's limits.
 struct OwnershipHandover {
     TargetId target;
     Incarnation targetIncarnation;
@@ -112,18 +113,18 @@
     Address address;
     uint32_t slots = 0;
     uint32_t connections = 0;
-    uint32_t concurrencyLimit = 0; ///< Where the slow start stands.
+    uint32_t concurrencyLimit = 0; ///< Current limit of the slow start.
     uint32_t stillInFlight = 0;
 };
 
-/// The old owner's requests on a target handed over, as they end.
+/// Sent by the previous owner of a target as its remaining requests complete.
 struct HandoverProgress {
     TargetId target;
     Incarnation targetIncarnation;
     uint32_t stillInFlight = 0;
 };
 
-/// Share of one client region's requests for a service that each zone gets.
+/// The fraction of one client region's requests for a service that each zone receives.
 struct RouteRow {
     ServiceName service;
     RegionName region;
@@ -132,7 +133,8 @@
     auto operator<=>(const RouteRow&) const = default;
 };
 
-/// A starting host asks where the others' rows stand, so that it joins a shift where it is.
+/// Sent by a starting host to get the current rows of other hosts, so that it joins a running shift at its current
+/// state.
 struct RowsRequest { };
 struct RowsReply {
     LogPosition inForce;
--- a/src/model/internal/addressprefix.cpp
+++ b/src/model/internal/addressprefix.cpp
@@ -19,12 +19,12 @@
 constexpr uint64_t AllBits = ~uint64_t {0};
 constexpr uint64_t MappedPrefix = 0xffff; ///< Bits 64 to 95 of an IPv4-mapped address (RFC 4291, 2.5.5.2).
 
-uint64_t readWord(const unsigned char* bytes, size_t count)
+uint64_t readBigEndian(const unsigned char* bytes, size_t count)
 {
-    uint64_t word = 0;
+    uint64_t number = 0;
     for (size_t i = 0; i < count; ++i)
-        word = (word << 8) | bytes[i];
-    return word;
+        number = (number << 8) | bytes[i];
+    return number;
 }
 
 IpAddress ipv4(uint64_t number)
@@ -32,29 +32,29 @@
     return {.family = AddressFamily::Ipv4, .key = {.high = number << Ipv4Bits, .low = 0}};
 }
 
-/// Bits of one word that follow the first `kept` bits of it.
-uint64_t tailBits(uint32_t kept)
+/// Mask of the bits of a 64-bit word that follow its first `prefixBits` bits.
+uint64_t suffixMask(uint32_t prefixBits)
 {
-    if (kept >= WordBits)
+    if (prefixBits >= WordBits)
         return 0;
-    return AllBits >> kept;
+    return AllBits >> prefixBits;
 }
 
-AddressKey tailOf(uint32_t length)
+AddressKey suffixMaskOf(uint32_t length)
 {
-    const uint32_t lowKept = length > WordBits ? length - WordBits : 0;
-    return {.high = tailBits(length), .low = tailBits(lowKept)};
+    const uint32_t lowPrefixBits = length > WordBits ? length - WordBits : 0;
+    return {.high = suffixMask(length), .low = suffixMask(lowPrefixBits)};
 }
 
-/// As tailOf, within the family's bits.
-AddressKey tailOf(AddressFamily family, uint32_t length)
+/// The same, limited to the bits of the address family.
+AddressKey suffixMaskOf(AddressFamily family, uint32_t length)
 {
-    AddressKey tail = tailOf(length);
+    AddressKey suffix = suffixMaskOf(length);
     if (family == AddressFamily::Ipv4) {
-        tail.high &= ~tailBits(Ipv4Bits);
-        tail.low = 0;
+        suffix.high &= ~suffixMask(Ipv4Bits);
+        suffix.low = 0;
     }
-    return tail;
+    return suffix;
 }
 
 std::optional<uint32_t> parseLength(std::string_view text, uint32_t maximum)
@@ -71,7 +71,7 @@
     std::array<unsigned char, sizeof(in_addr)> bytes {};
     if (inet_pton(AF_INET, text, bytes.data()) != 1)
         return std::nullopt;
-    return ipv4(readWord(bytes.data(), bytes.size()));
+    return ipv4(readBigEndian(bytes.data(), bytes.size()));
 }
 
 std::optional<IpAddress> parseIpv6(const char* text)
@@ -79,10 +79,10 @@
     std::array<unsigned char, sizeof(in6_addr)> bytes {};
     if (inet_pton(AF_INET6, text, bytes.data()) != 1)
         return std::nullopt;
-    const uint64_t high = readWord(bytes.data(), 8);
-    const uint64_t low = readWord(bytes.data() + 8, 8);
+    const uint64_t high = readBigEndian(bytes.data(), 8);
+    const uint64_t low = readBigEndian(bytes.data() + 8, 8);
     if (high == 0 && low >> Ipv4Bits == MappedPrefix)
-        return ipv4(low & tailBits(Ipv4Bits));
+        return ipv4(low & suffixMask(Ipv4Bits));
     return IpAddress {.family = AddressFamily::Ipv6, .key = {.high = high, .low = low}};
 }
 
@@ -90,8 +90,8 @@
 
 AddressKey AddressPrefix::last() const
 {
-    const AddressKey tail = tailOf(family, length);
-    return {.high = key.high | tail.high, .low = key.low | tail.low};
+    const AddressKey suffix = suffixMaskOf(family, length);
+    return {.high = key.high | suffix.high, .low = key.low | suffix.low};
 }
 
 std::optional<IpAddress> parseIpAddress(std::string_view text)
@@ -121,8 +121,8 @@
     const auto length = parseLength(text.substr(slash + 1), bits);
     if (!length)
         return std::nullopt;
-    const AddressKey tail = tailOf(address->family, *length);
-    if ((address->key.high & tail.high) != 0 || (address->key.low & tail.low) != 0)
+    const AddressKey suffix = suffixMaskOf(address->family, *length);
+    if ((address->key.high & suffix.high) != 0 || (address->key.low & suffix.low) != 0)
         return std::nullopt;
     return AddressPrefix {.family = address->family, .key = address->key, .length = *length};
 }
--- a/src/model/internal/addressprefix.h
+++ b/src/model/internal/addressprefix.h
@@ -14,7 +14,7 @@
 
 enum class AddressFamily { Ipv4, Ipv6 };
 
-/// Address as a 128-bit number whose first bit is the address's first bit; IPv4 fills the first 32 bits.
+/// An address as a 128-bit number, left-aligned: an IPv4 address occupies the first 32 bits.
 struct AddressKey {
     uint64_t high = 0;
     uint64_t low = 0;
@@ -26,20 +26,20 @@
     AddressKey key;
 };
 
-/// A block of addresses: all that share the first `length` bits with `key`.
+/// A block of addresses: all addresses whose first `length` bits equal those of `key`.
 struct AddressPrefix {
     AddressFamily family = AddressFamily::Ipv4;
     AddressKey key;
     uint32_t length = 0;
     auto operator<=>(const AddressPrefix&) const = default;
 
-    [[nodiscard]] AddressKey last() const; ///< Highest key of the block.
+    [[nodiscard]] AddressKey last() const; ///< The last key of the block.
 };
 
-/// Parses an address without allocation. An IPv4-mapped IPv6 address is an IPv4 address.
+/// Parses an address without allocating. An IPv4-mapped IPv6 address is returned as an IPv4 address.
 [[nodiscard]] std::optional<IpAddress> parseIpAddress(std::string_view text);
 
-/// Parses "address/length"; bits after the prefix must be zero. IPv4 blocks are written as IPv4.
+/// Parses "address/length". Bits after the prefix must be zero, and IPv4-mapped IPv6 addresses are rejected.
 [[nodiscard]] std::optional<AddressPrefix> parseAddressPrefix(std::string_view text);
 
 } // namespace saltvane::model
--- a/src/model/internal/bundlechecker.cpp
+++ b/src/model/internal/bundlechecker.cpp
@@ -14,23 +14,23 @@
 namespace saltvane::model {
 namespace {
 
-constexpr size_t LeastOperators = 2; // one proposes, another approves
-constexpr Duration LongestDelay = 10s;
-constexpr Duration LongestWindow = 24h;
-constexpr Duration LeastWindow = 1s;
-constexpr Duration LeastDeadline = 1ms;
-constexpr Duration LongestDeadline = 1h;
-constexpr Duration LeastTtl = 1s;
-constexpr Duration LongestTtl = 1h;
-constexpr Duration LeastRetention = 1h;
-constexpr Duration LongestRetention = 720h;
+constexpr size_t MinOperators = 2; // One proposes a bundle, another one approves it.
+constexpr Duration MaxDelay = 10s;
+constexpr Duration MaxWindow = 24h;
+constexpr Duration MinWindow = 1s;
+constexpr Duration MinDeadline = 1ms;
+constexpr Duration MaxDeadline = 1h;
+constexpr Duration MinTtl = 1s;
+constexpr Duration MaxTtl = 1h;
+constexpr Duration MinRetention = 1h;
+constexpr Duration MaxRetention = 720h;
 
 bool isMethod(std::string_view text)
 {
     return !text.empty() && std::all_of(text.begin(), text.end(), [](char c) { return c >= 'A' && c <= 'Z'; });
 }
 
-std::string inText(Duration value) { return std::to_string(value / 1ms) + " ms"; }
+std::string millisecondsText(Duration value) { return std::to_string(value / 1ms) + " ms"; }
 
 } // namespace
 
@@ -45,7 +45,7 @@
 
 Findings BundleChecker::check()
 {
-    checkHead();
+    checkTopLevel();
     checkDelays();
     checkRegionsAndZones();
     checkRegionDelays();
@@ -72,7 +72,7 @@
 void BundleChecker::checkRegion(const Place& place, const std::string& field, const RegionName& name)
 {
     if (!regions_.contains(name))
-        add(place, field, "names no region of this bundle: '" + name.value() + "'");
+        add(place, field, "is not a region of this bundle: '" + name.value() + "'");
 }
 
 template <typename Entry> void BundleChecker::checkNames(const std::vector<Entry>& entries, const std::string& field)
@@ -81,18 +81,18 @@
     for (const Entry& entry : entries) {
         checkName(entry.place, field, entry.name.value());
         if (!seen.insert(entry.name.value()).second)
-            add(entry.place, field, "stands twice: '" + entry.name.value() + "'");
+            add(entry.place, field, "is listed twice: '" + entry.name.value() + "'");
     }
 }
 
 void BundleChecker::checkRange(
-    const Place& place, const std::string& field, Duration value, Duration least, Duration most)
+    const Place& place, const std::string& field, Duration value, Duration minimum, Duration maximum)
 {
-    if (value < least || value > most)
-        add(place, field, "must be from " + inText(least) + " to " + inText(most));
+    if (value < minimum || value > maximum)
+        add(place, field, "must be from " + millisecondsText(minimum) + " to " + millisecondsText(maximum));
 }
 
-void BundleChecker::checkHead()
+void BundleChecker::checkTopLevel()
 {
     checkName({}, "deployment", bundle_.deployment);
     if (bundle_.version.value == 0)
@@ -105,9 +105,9 @@
 
 void BundleChecker::checkDelays()
 {
-    checkRange({}, "delays.between_zones_ms", bundle_.delays.betweenZones, 0ms, LongestDelay);
-    checkRange({}, "delays.between_regions_ms", bundle_.delays.betweenRegions, 0ms, LongestDelay);
-    checkRange({}, "delays.to_clients_ms", bundle_.delays.toClients, 0ms, LongestDelay);
+    checkRange({}, "delays.between_zones_ms", bundle_.delays.betweenZones, 0ms, MaxDelay);
+    checkRange({}, "delays.between_regions_ms", bundle_.delays.betweenRegions, 0ms, MaxDelay);
+    checkRange({}, "delays.to_clients_ms", bundle_.delays.toClients, 0ms, MaxDelay);
 }
 
 void BundleChecker::checkRegionsAndZones()
@@ -139,9 +139,9 @@
     std::set<std::pair<RegionName, RegionName>> seen;
     for (const RegionDelay& delay : bundle_.regionDelays) {
         checkRegionPair(delay.place, "region_delays", delay.from, delay.to);
-        checkRange(delay.place, "region_delays.delay_ms", delay.delay, 0ms, LongestDelay);
+        checkRange(delay.place, "region_delays.delay_ms", delay.delay, 0ms, MaxDelay);
         if (!seen.insert({delay.from, delay.to}).second)
-            add(delay.place, "region_delays", "these two regions stand twice");
+            add(delay.place, "region_delays", "this pair of regions is listed twice");
     }
 }
 
@@ -151,7 +151,7 @@
     for (const LinkLimit& limit : bundle_.linkLimits) {
         checkRegionPair(limit.place, "link_limits", limit.from, limit.to);
         if (!seen.insert({limit.from, limit.to}).second)
-            add(limit.place, "link_limits", "these two regions stand twice");
+            add(limit.place, "link_limits", "this pair of regions is listed twice");
     }
 }
 
@@ -164,23 +164,23 @@
         const auto prefix = parseAddressPrefix(block.prefix);
         if (!prefix)
             add(block.place, "clients.blocks.prefix",
-                "is no address block (address/length, zero after the length): '" + block.prefix + "'");
+                "is not an address block (address/length, with zero bits after the prefix): '" + block.prefix + "'");
         else if (!seen.insert(*prefix).second)
-            add(block.place, "clients.blocks.prefix", "stands twice: '" + block.prefix + "'");
+            add(block.place, "clients.blocks.prefix", "is listed twice: '" + block.prefix + "'");
     }
 }
 
 void BundleChecker::checkOperators()
 {
     checkNames(bundle_.operators, "operators.name");
-    if (!bundle_.operators.empty() && bundle_.operators.size() < LeastOperators)
+    if (!bundle_.operators.empty() && bundle_.operators.size() < MinOperators)
         add(bundle_.operators.front().place, "operators", "must name at least two operators, or none");
     std::set<std::string> keys;
     for (const Operator& entry : bundle_.operators) {
         if (!isPublicKey(entry.publicKey))
             add(entry.place, "operators.public_key", std::string(PublicKeyRule));
         else if (!keys.insert(entry.publicKey).second)
-            add(entry.place, "operators.public_key", "is the key of another operator too");
+            add(entry.place, "operators.public_key", "is also the key of another operator");
     }
 }
 
@@ -197,9 +197,9 @@
     std::set<ZoneName> seen;
     for (const ZoneShare& share : service.zones) {
         if (!zones_.contains(share.zone))
-            add(share.place, "services.zones.zone", "names no zone of this bundle: '" + share.zone.value() + "'");
+            add(share.place, "services.zones.zone", "is not a zone of this bundle: '" + share.zone.value() + "'");
         if (!seen.insert(share.zone).second)
-            add(share.place, "services.zones.zone", "stands twice: '" + share.zone.value() + "'");
+            add(share.place, "services.zones.zone", "is listed twice: '" + share.zone.value() + "'");
         if (!(share.open >= 0 && share.open <= 1))
             add(share.place, "services.zones.open", "must be from 0 to 1");
     }
@@ -213,7 +213,7 @@
 {
     if (!(cap.share > 0 && cap.share <= 1))
         add(place, field + ".share", "must be over 0 and up to 1");
-    checkRange(place, field + ".window_s", cap.window, LeastWindow, LongestWindow);
+    checkRange(place, field + ".window_s", cap.window, MinWindow, MaxWindow);
 }
 
 void BundleChecker::checkShiftCaps(const Service& service)
@@ -232,7 +232,7 @@
 {
     for (const RepeatableRule& rule : service.repeatable) {
         if (!isMethod(rule.method))
-            add(rule.place, "services.repeatable.method", "is no HTTP method in capitals: '" + rule.method + "'");
+            add(rule.place, "services.repeatable.method", "is not an HTTP method in upper case: '" + rule.method + "'");
         if (!rule.pathPrefix.starts_with('/'))
             add(rule.place, "services.repeatable.path_prefix", "must start with '/'");
     }
@@ -240,11 +240,11 @@
 
 void BundleChecker::checkServiceTimes(const Service& service)
 {
-    checkRange(service.place, "services.maximum_deadline_ms", service.maximumDeadline, LeastDeadline, LongestDeadline);
-    if (service.defaultDeadline < LeastDeadline || service.defaultDeadline > service.maximumDeadline)
+    checkRange(service.place, "services.maximum_deadline_ms", service.maximumDeadline, MinDeadline, MaxDeadline);
+    if (service.defaultDeadline < MinDeadline || service.defaultDeadline > service.maximumDeadline)
         add(service.place, "services.default_deadline_ms", "must be from 1 ms to the maximum deadline");
-    checkRange(service.place, "services.entry_ttl_s", service.entryTtl, LeastTtl, LongestTtl);
-    checkRange(service.place, "services.key_retention_h", service.keyRetention, LeastRetention, LongestRetention);
+    checkRange(service.place, "services.entry_ttl_s", service.entryTtl, MinTtl, MaxTtl);
+    checkRange(service.place, "services.key_retention_h", service.keyRetention, MinRetention, MaxRetention);
 }
 
 Findings checkBundle(const Bundle& bundle) { return BundleChecker(bundle).check(); }
--- a/src/model/internal/bundlechecker.h
+++ b/src/model/internal/bundlechecker.h
@@ -16,7 +16,7 @@
 
 namespace saltvane::model {
 
-/// Collects the findings of one bundle.
+/// Checks one bundle and collects the findings.
 class BundleChecker {
 public:
     explicit BundleChecker(const Bundle& bundle);
@@ -24,7 +24,7 @@
     [[nodiscard]] Findings check();
 
 private:
-    void checkHead();
+    void checkTopLevel();
     void checkDelays();
     void checkRegionsAndZones();
     void checkRegionDelays();
@@ -41,7 +41,7 @@
     void checkName(const Place& place, const std::string& field, const std::string& name);
     void checkRegion(const Place& place, const std::string& field, const RegionName& name);
     void checkCap(const Place& place, const std::string& field, const ShiftCap& cap);
-    void checkRange(const Place& place, const std::string& field, Duration value, Duration least, Duration most);
+    void checkRange(const Place& place, const std::string& field, Duration value, Duration minimum, Duration maximum);
     void checkRegionPair(const Place& place, const std::string& list, const RegionName& from, const RegionName& to);
     template <typename Entry> void checkNames(const std::vector<Entry>& entries, const std::string& field);
 
--- a/src/model/internal/deploymenttables.cpp
+++ b/src/model/internal/deploymenttables.cpp
@@ -70,7 +70,8 @@
     regionDelays.assign(regions.size() * regions.size(), bundle.delays.betweenRegions);
     for (uint32_t i = 0; i < regions.size(); ++i)
         regionDelays[regionPair({i}, {i})] = Duration::zero();
-    // A stated delay holds both ways unless the other way is stated too, so the reverse ones go first.
+    // A configured delay applies to both directions unless the opposite one is configured too: the first loop sets the
+    // opposite directions, the second one overwrites them where needed.
     for (const RegionDelay& stated : bundle.regionDelays)
         regionDelays[regionPair(regions.at(stated.to), regions.at(stated.from))] = stated.delay;
     for (const RegionDelay& stated : bundle.regionDelays)
--- a/src/model/internal/deploymenttables.h
+++ b/src/model/internal/deploymenttables.h
@@ -10,7 +10,7 @@
 
 namespace saltvane::model {
 
-/// What Deployment's questions are answered from; all tables are indexed by the bundle's own order.
+/// Lookup tables of Deployment. Zones, regions and services are indexed by their order in the bundle.
 struct Deployment::Tables {
     explicit Tables(const Bundle& bundle);
 
@@ -18,13 +18,14 @@
     std::unordered_map<RegionName, RegionIndex> regions;
     std::unordered_map<ServiceName, ServiceIndex> services;
     std::vector<RegionIndex> zoneRegions;
-    std::vector<double> openShares; ///< Service by zone.
-    std::vector<Duration> regionDelays; ///< Region by region.
-    std::vector<ZoneIndex> zonesByDelay; ///< Region by rank.
-    std::vector<std::optional<uint32_t>> linkLimits; ///< Region by region.
+    std::vector<double> openShares; ///< Matrix of service and zone.
+    std::vector<Duration> regionDelays; ///< Matrix of region pairs; see regionPair().
+    std::vector<ZoneIndex> zonesByDelay; ///< For each region, all zones ordered by delay.
+    std::vector<std::optional<uint32_t>> linkLimits; ///< Matrix of region pairs; see regionPair().
     PrefixTable ipv4Clients;
     PrefixTable ipv6Clients;
 
+    /// Index of the pair in the matrices of region pairs.
     [[nodiscard]] size_t regionPair(RegionIndex from, RegionIndex to) const;
 
 private:
--- a/src/model/internal/prefixtable.cpp
+++ b/src/model/internal/prefixtable.cpp
@@ -15,8 +15,8 @@
 constexpr uint32_t BucketCount = 1U << BucketBits;
 constexpr uint32_t BucketShift = 64 - BucketBits;
 
-/// No value after the highest key.
-std::optional<AddressKey> next(const AddressKey& key)
+/// The next key; no value after the highest one.
+std::optional<AddressKey> successor(const AddressKey& key)
 {
     const AddressKey result {.high = key.low + 1 == 0 ? key.high + 1 : key.high, .low = key.low + 1};
     if (result == AddressKey {})
@@ -24,8 +24,9 @@
     return result;
 }
 
-/// An IPv4 key ends with bit 32, so its successor is one step of that bit.
-AddressKey endOf(const AddressPrefix& prefix)
+/// The bits of an IPv4 key end with bit 32. Setting all later bits makes the successor of the last key the first key of
+/// the next block.
+AddressKey lastKeyOf(const AddressPrefix& prefix)
 {
     AddressKey last = prefix.last();
     if (prefix.family == AddressFamily::Ipv4) {
@@ -55,7 +56,7 @@
     for (const PrefixRegion& block : sorted) {
         closeBlocksBefore(block.prefix.key, open);
         addRange(block.prefix.key, block.region);
-        open.push_back({.last = endOf(block.prefix), .region = block.region});
+        open.push_back({.last = lastKeyOf(block.prefix), .region = block.region});
     }
     closeBlocksBefore({.high = ~uint64_t {0}, .low = ~uint64_t {0}}, open);
 }
@@ -63,7 +64,7 @@
 void PrefixTable::closeBlocksBefore(const AddressKey& start, std::vector<OpenBlock>& open)
 {
     while (open.size() > 1 && open.back().last < start) {
-        const auto after = next(open.back().last);
+        const auto after = successor(open.back().last);
         open.pop_back();
         if (after)
             addRange(*after, open.back().region);
--- a/src/model/internal/prefixtable.h
+++ b/src/model/internal/prefixtable.h
@@ -13,23 +13,24 @@
 
 namespace saltvane::model {
 
-/// One client block as the table takes it.
+/// An address block and its region.
 struct PrefixRegion {
     AddressPrefix prefix;
     RegionIndex region;
 };
 
 /// Longest-prefix match over the blocks of one address family.
-/// The nested blocks are flattened into disjoint ranges once, so that a look-up is one search among the ranges
-/// that share the address's first bits.
+/// The constructor flattens nested blocks into disjoint ranges, so that a look-up is one binary search among the ranges
+/// that share the first bits of the address.
 class PrefixTable {
 public:
-    /// Takes the blocks of `family` out of `blocks`; addresses outside all of them get `defaultRegion`.
+    /// Uses only the blocks of `family`; addresses outside all of them map to `defaultRegion`.
     PrefixTable(AddressFamily family, std::span<const PrefixRegion> blocks, RegionIndex defaultRegion);
 
     [[nodiscard]] RegionIndex find(const AddressKey& key) const;
 
 private:
+    /// A block whose end is not reached yet while flattening.
     struct OpenBlock {
         AddressKey last;
         RegionIndex region;
@@ -42,7 +43,8 @@
 
     std::vector<AddressKey> starts_; ///< First key of each range, ascending; the first is 0.
     std::vector<RegionIndex> regions_; ///< Parallel to starts_.
-    std::vector<uint32_t> buckets_; ///< By the key's first bits: the range that holds the bucket's first key.
+    std::vector<uint32_t>
+        buckets_; ///< By the first bits of a key: index of the range that contains the bucket's first key.
 };
 
 } // namespace saltvane::model
--- a/src/model/internal/repeatablepath.h
+++ b/src/model/internal/repeatablepath.h
@@ -9,9 +9,9 @@
 
 namespace saltvane::model {
 
-/// Whether a request path (with its query) is `prefix` itself or lies under it, by whole segments.
-/// A path that a target could read as another one (dot segments, encoded dots or slashes, empty segments) is under
-/// nothing: when in doubt a request must not be repeated.
+/// Whether a request path (which may have a query) equals `prefix` or is below it, comparing whole segments.
+/// Returns false for every path that a target could normalize to another one (dot segments, encoded dots or slashes,
+/// empty segments): a request must not be repeated in case of doubt.
 [[nodiscard]] bool isPathUnder(std::string_view path, std::string_view prefix);
 
 } // namespace saltvane::model
--- a/src/model/internal/requestmessages.cpp
+++ b/src/model/internal/requestmessages.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Field names are ASCII: the locale has no say.
+/// Converts ASCII letters only, independently of the locale: header field names are ASCII.
 char toLower(char letter)
 {
     const bool isUpper = letter >= 'A' && letter <= 'Z';
--- a/src/model/internal/routeplan.cpp
+++ b/src/model/internal/routeplan.cpp
@@ -17,8 +17,8 @@
 
 namespace {
 
-/// An objective that far beyond the time limit can only be a slip of the pen.
-constexpr Duration LargestObjectiveExcess = 60s;
+/// An objective that exceeds the timeout by this much can only be a typing mistake.
+constexpr Duration MaxObjectiveExcess = 60s;
 
 class PlanChecker {
 public:
@@ -31,7 +31,7 @@
     Findings check(const PlanCheckScope& scope)
     {
         checkServices();
-        if (scope.areAccountsChecked)
+        if (scope.includesAccounts)
             checkAccounts();
         for (const size_t position : scope.routes)
             checkRoute(plan_.routes[position]->route, "routes[" + std::to_string(position) + "]");
@@ -39,7 +39,7 @@
     }
 
 private:
-    void fail(std::string field, std::string message)
+    void addFinding(std::string field, std::string message)
     {
         findings_.add({.place = {.source = source_}, .field = std::move(field), .message = std::move(message)});
     }
@@ -48,43 +48,43 @@
     {
         for (size_t i = 0; i < plan_.services.size(); ++i) {
             if (plan_.services[i].name.isEmpty())
-                fail("services[" + std::to_string(i) + "].name", "must not be empty");
+                addFinding("services[" + std::to_string(i) + "].name", "must not be empty");
         }
     }
 
     void checkAccounts()
     {
         std::unordered_set<std::string_view> names;
-        std::unordered_map<std::string_view, size_t> holders; ///< Of keys, by position.
+        std::unordered_map<std::string_view, size_t> keyHolders; ///< Index of the account that has the key.
         for (size_t i = 0; i < plan_.accounts.size(); ++i) {
             const ClientAccount& account = plan_.accounts[i]->account;
             const std::string field = "client_accounts[" + std::to_string(i) + "]";
             if (account.name.isEmpty())
-                fail(field + ".name", "must not be empty");
+                addFinding(field + ".name", "must not be empty");
             else if (!names.insert(account.name.value()).second)
-                fail(field + ".name", "another account has this name: '" + account.name.value() + "'");
+                addFinding(field + ".name", "another account has this name: '" + account.name.value() + "'");
             for (const std::string& key : account.keys)
-                checkKey(key, i, holders, field + ".keys");
+                checkKey(key, i, keyHolders, field + ".keys");
         }
     }
 
-    /// Findings never tell a key: they are logged and shown.
-    void checkKey(const std::string& key, size_t account, std::unordered_map<std::string_view, size_t>& holders,
+    /// The key itself is never part of a finding, because findings are logged and displayed.
+    void checkKey(const std::string& key, size_t account, std::unordered_map<std::string_view, size_t>& keyHolders,
         const std::string& field)
     {
         if (key.empty())
-            return fail(field, "must not hold an empty key");
-        const auto [holder, isNew] = holders.try_emplace(key, account);
+            return addFinding(field, "must not hold an empty key");
+        const auto [holder, isNew] = keyHolders.try_emplace(key, account);
         if (!isNew && holder->second != account)
-            fail(field, "client_accounts[" + std::to_string(holder->second) + "] holds one of these keys, too");
+            addFinding(field, "client_accounts[" + std::to_string(holder->second) + "] has one of these keys too");
     }
 
     void checkRoute(const Route& route, const std::string& field)
     {
         if (route.attempts == 0)
-            fail(field + ".attempts", "must be at least 1");
-        if (route.objective >= route.timeout + LargestObjectiveExcess)
-            fail(field + ".objective_ms", "lies a minute or more beyond timeout_ms");
+            addFinding(field + ".attempts", "must be at least 1");
+        if (route.objective >= route.timeout + MaxObjectiveExcess)
+            addFinding(field + ".objective_ms", "exceeds timeout_ms by a minute or more");
         checkWeights(route, field);
     }
 
@@ -93,14 +93,14 @@
         double sum = 0;
         for (const ServiceWeight& item : route.services) {
             if (plan_.findService(item.service) == nullptr)
-                fail(field + ".service", "no such service: '" + item.service.value() + "'");
+                addFinding(field + ".service", "no such service: '" + item.service.value() + "'");
             if (!std::isfinite(item.weight) || item.weight < 0)
-                fail(field + ".split", "a weight must be a number from 0");
+                addFinding(field + ".split", "a weight must be a number that is not negative");
             else
                 sum += item.weight;
         }
         if (sum <= 0)
-            fail(field + ".split", "the weights sum to 0");
+            addFinding(field + ".split", "the weights sum to 0");
     }
 
     const RoutePlan& plan_;
--- a/src/model/internal/textchecks.cpp
+++ b/src/model/internal/textchecks.cpp
@@ -10,9 +10,9 @@
 namespace saltvane::model {
 namespace {
 
-constexpr size_t LongestName = 64;
+constexpr size_t MaxNameLength = 64;
 constexpr size_t PublicKeyBase64Size = 44; // 32 bytes
-/// The last digit of 32 bytes in base64 carries four bits only.
+/// Valid last digits before the padding: the last digit of 32 bytes in base64 has four significant bits.
 constexpr std::string_view FourBitDigits = "AEIMQUYcgkosw048";
 
 bool isAlphanumeric(char c) { return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9'); }
@@ -25,7 +25,7 @@
 
 bool isName(std::string_view text)
 {
-    if (text.empty() || text.size() > LongestName || text.front() == '.')
+    if (text.empty() || text.size() > MaxNameLength || text.front() == '.')
         return false;
     return std::all_of(text.begin(), text.end(), isNameCharacter);
 }
--- a/src/model/latency.h
+++ b/src/model/latency.h
@@ -13,10 +13,10 @@
 
 namespace saltvane::model {
 
-/// Upper bounds of the buckets of latency histograms, in seconds; one more bucket holds the rest.
+/// Upper bounds of the latency histogram buckets, in seconds. One more bucket counts all larger values.
 inline constexpr std::array<double, 13> LatencyBounds {0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.4, 0.6, 1, 2, 4, 8};
 
-/// How long things took, as the metrics address serves it.
+/// A latency histogram, exported by the metrics endpoint.
 struct LatencyHistogram {
     std::array<uint64_t, LatencyBounds.size() + 1> counts {};
     double sumSeconds = 0;
@@ -32,10 +32,10 @@
     }
 };
 
-/// A histogram with its labels.
+/// A latency histogram with its metric labels.
 struct StageLatency {
-    std::string_view kind; ///< Of request.
-    std::string_view stage; ///< "target": sending to the answer's head; "total": arrival to the answer's end.
+    std::string_view kind; ///< Kind of request.
+    std::string_view stage; ///< "target": from sending to the response head; "total": from arrival to the response end.
     LatencyHistogram histogram;
 };
 
--- a/src/model/limitmessages.h
+++ b/src/model/limitmessages.h
@@ -13,33 +13,33 @@
 #include <optional>
 #include <vector>
 
-/// How hosts share out what limits over all gateways leave: of client accounts (docs/design/0016-client-accounts.md)
-/// and of targets (docs/design/0018-target-limits.md).
+/// Messages by which registry hosts assign credits to gateways under limits that apply to all gateways together: limits
+/// of client accounts (docs/design/0016-client-accounts.md) and of targets (docs/design/0018-target-limits.md).
 namespace saltvane::model {
 
-/// What a limit binds.
+/// Identifies a limit by the client account or target incarnation that it applies to.
 using LimitId = Name<struct LimitIdTag>;
 [[nodiscard]] LimitId limitIdOf(const ClientAccountName& account);
-/// Of this start alone.
+/// The limit of this target incarnation only.
 [[nodiscard]] LimitId limitIdOf(const TargetIncarnation& start);
 
-/// For requests that wait: each takes one credit to be sent to a target.
+/// A request for credits. Each waiting request needs one credit to be sent to a target.
 struct LimitCreditAsk {
-    uint64_t ask = 0; ///< The asking host's number for it; the answer tells it.
+    uint64_t ask = 0; ///< Assigned by the requesting host and echoed in the answer.
     LimitId limit;
     uint32_t credits = 0;
     auto operator<=>(const LimitCreditAsk&) const = default;
 };
 
-/// To a registry host, from a gateway or from another registry host that has none left.
+/// Sent to a registry host by a gateway, or by another registry host that has no credits left.
 struct LimitCreditRequest {
     std::vector<LimitCreditAsk> asks;
 };
 
 struct LimitCreditAnswer {
     uint64_t ask = 0;
-    uint32_t credits = 0; ///< Taken off what the answering host has: they are lost where the answer is.
-    Duration retryAfter {}; ///< Of fewer than asked for: when more can be expected.
+    uint32_t credits = 0; ///< Deducted from the answering host's credits; lost if the answer is lost.
+    Duration retryAfter {}; ///< If fewer credits than requested are granted: when to expect more.
     auto operator<=>(const LimitCreditAnswer&) const = default;
 };
 
@@ -47,15 +47,16 @@
     std::vector<LimitCreditAnswer> answers;
 };
 
-/// What a target's answers say of how much it takes.
+/// The limit that a target's responses report.
 struct BackpressureNotice {
     TargetIncarnation target;
-    std::optional<double> limit; ///< Requests a second, of all gateways together; none: no limit any more.
-    Duration age {}; ///< Since an answer said so.
+    std::optional<double> limit; ///< Requests per second, of all gateways together; not set: the limit is lifted.
+    Duration age {}; ///< Time since a response reported it.
     auto operator<=>(const BackpressureNotice&) const = default;
 };
 
-/// From a gateway that heard it to registry hosts, between these, and from them to gateways.
+/// Sent by the gateway that received the response to registry hosts, between registry hosts, and from these to
+/// gateways.
 struct BackpressureReport {
     std::vector<BackpressureNotice> notices;
 };
--- a/src/model/message.h
+++ b/src/model/message.h
@@ -16,21 +16,21 @@
 
 namespace saltvane::model {
 
-/// Everything one host says to another. wire turns it into frames.
+/// Any message between hosts. Module wire encodes it into frames.
 using Message = std::variant<Heartbeat, ZoneReport, CreditRequest, CreditGrant, OwnershipHandover, HandoverProgress,
     RowsRequest, RowsReply, ForwardRequest, ForwardBody, ForwardWindow, ForwardResponseHead, ForwardEnd, ForwardCancel,
     ClaimRequest, ClaimReply, VoteRequest, VoteReply, AppendRequest, AppendReply, SnapshotChunk, SnapshotReply,
     JoinRequest, BundlePush, BundlePull, BundleCurrent, TargetReport, TargetLoads, StartNotice, BundlePart,
     SuspectReport, LimitCreditRequest, LimitCreditReply, BackpressureReport>;
 
-/// A message with its sender, as a link delivers it. The link has authenticated the sender.
+/// A message received over a link, with its sender. The link has authenticated the sender.
 struct Delivery {
     HostId from;
     Incarnation fromIncarnation;
     Message message;
 };
 
-/// A message for one host. Lost without notice when no link is up.
+/// A message to send to one host. It is dropped silently if no link to that host is up.
 struct Outgoing {
     HostId to;
     Message message;
--- a/src/model/reasons.h
+++ b/src/model/reasons.h
@@ -10,29 +10,30 @@
 
 namespace saltvane::model {
 
-/// What the caller is told about its request (docs/REQUESTS.md).
+/// The result of a request as reported to the caller (docs/REQUESTS.md).
 enum class Outcome {
-    Answered, ///< The whole answer of the target.
-    NotRun, ///< No byte of it can have reached a target, or the target shed it.
+    Answered, ///< The caller got the complete response of a target.
+    NotRun, ///< No byte of the request can have reached a target, or the target shed it.
+    /// Anything else.
     Unknown
-}; ///< Anything else.
+};
 
-/// Why a request was refused, retried or left unknown. Each has a counter.
+/// Why a request was refused or retried, or why its outcome is unknown. Each reason has a counter.
 enum class Reason {
     None,
-    NotReady, ///< The host holds no current state.
+    NotReady, ///< The host has no current state.
     Stopping, ///< The host is in its planned stop.
     UnknownService,
     BadRequest,
     MissingKey, ///< A non-repeatable request without Idempotency-Key.
-    KeyConflict, ///< Same key, other fingerprint.
+    KeyConflict, ///< The key was used with a different fingerprint.
     KeyExpired,
-    KeyInUse, ///< The first run's answer is not kept; never run again.
-    MinterGone,
+    KeyInUse, ///< The answer to the first run is not stored, and the request must not run again.
+    MinterGone, ///< The host incarnation that issued the key has ended.
     NoQuorum, ///< The key could not be claimed in the replicated log.
     DeadlineExceeded,
-    NoRoom, ///< No open zone has room.
-    ShiftCapReached, ///< Room elsewhere, but the cap allows no more movement now.
+    NoRoom, ///< No open zone has headroom.
+    ShiftCapReached, ///< Other zones have headroom, but the shift cap allows no further shift now.
     LinkLimitReached,
     ZoneClosed, ///< The bundle opens no zone for the service.
     QueueFull,
@@ -49,18 +50,19 @@
     TooManyConnections,
     StopTimeLimit,
     RetryBudgetSpent,
-    StaleState, ///< An older incarnation or bundle position; of a gateway: the registry's word comes late.
-    RequestQuarantined, ///< Targets ended that ran this very request.
-    UnknownKey, ///< No client account holds the key, or the request carries none.
-    RateLimited, ///< Its client account's limit is used up.
-    LimitUnknown, ///< No registry host tells what is left of its client account's limit.
-    BackPressure, ///< The targets that might run it take no more for now, by their own word.
+    /// An older incarnation or bundle position; at a gateway: its information from the registry is outdated.
+    StaleState,
+    RequestQuarantined, ///< Targets that ran this request ended.
+    UnknownKey, ///< The key belongs to no client account, or the request has no key.
+    RateLimited, ///< The limit of the client account is exhausted.
+    LimitUnknown, ///< No registry host reports how much of the client account's limit is left.
+    BackPressure, ///< The targets that could run the request report that they accept no more for now.
     Count
 };
 
-[[nodiscard]] std::string_view toString(Reason reason); ///< As in Saltvane-Reason: "no-room".
+[[nodiscard]] std::string_view toString(Reason reason); ///< As in the header Saltvane-Reason, for example "no-room".
 [[nodiscard]] std::string_view toString(Outcome outcome); ///< "answered", "not-run", "unknown".
-/// HTTP status a refusal or unknown of this reason is answered with (RFC 9110).
+/// HTTP status of the response to a request with this outcome and reason (RFC 9110).
 [[nodiscard]] int httpStatus(Outcome outcome, Reason reason);
 
 } // namespace saltvane::model
--- a/src/model/requestdigest.h
+++ b/src/model/requestdigest.h
@@ -12,15 +12,16 @@
 
 namespace saltvane::model {
 
-/// Stands for all tries of one request: same client account, method, host, path with query and body. Keyed, so that
-/// nobody outside can make a request that passes for another one's. docs/design/0013-fatal-requests.md
+/// Identifies all attempts of one request: same client account, method, host, path with query, and body. The digest is
+/// keyed, so that an outsider cannot construct a request with the digest of another one
+/// (docs/design/0013-fatal-requests.md).
 struct RequestDigest {
     uint64_t high = 0;
     uint64_t low = 0;
     auto operator<=>(const RequestDigest&) const = default;
 };
 
-[[nodiscard]] std::string toString(const RequestDigest& digest); ///< The first half in hex, for logs.
+[[nodiscard]] std::string toString(const RequestDigest& digest); ///< `high` in hexadecimal, for logs.
 
 } // namespace saltvane::model
 
--- a/src/model/requestmessages.h
+++ b/src/model/requestmessages.h
@@ -15,7 +15,8 @@
 #include <string_view>
 #include <vector>
 
-/// Messages that carry a request from an entry host to the owner of a target, or to the minter of its key.
+/// Messages that forward a request from an entry host to the owner of a target, or to the host that issued its
+/// idempotency key.
 namespace saltvane::model {
 
 struct Header {
@@ -24,14 +25,15 @@
     auto operator<=>(const Header&) const = default;
 };
 
-/// Field names compare without case (RFC 9110, 5.1).
+/// Compares header field names case-insensitively (RFC 9110, 5.1).
 [[nodiscard]] bool isSameFieldName(std::string_view left, std::string_view right);
 
 /// What the receiver does with a forwarded request.
 enum class ForwardPurpose {
-    Dispatch, ///< Owner: run it on one of your targets.
+    Dispatch, ///< To an owner: run it on one of its targets.
+    /// To the host that issued the request's key: handle it as if the caller had sent it to that host.
     Mint
-}; ///< Minter of its key: treat it as if it had reached you first.
+};
 
 struct ForwardRequest {
     CorrelationId correlation;
@@ -40,13 +42,13 @@
     ServiceName service;
     RegionName clientRegion;
     std::string method;
-    std::string path; ///< With the query.
+    std::string path; ///< Including the query.
     std::vector<Header> headers; ///< End-to-end headers only (RFC 9110, 7.6.1).
-    std::optional<uint64_t> bodyLength; ///< No value: length unknown (chunked). 0: no body frames follow.
-    Duration deadline {}; ///< Time left when sent.
+    std::optional<uint64_t> bodyLength; ///< Not set: length unknown (chunked). 0: no ForwardBody follows.
+    Duration deadline {}; ///< Time left when the message is sent.
     bool isRepeatable = false;
     std::string idempotencyKey;
-    std::vector<TargetId> excludedTargets; ///< Tried before.
+    std::vector<TargetId> excludedTargets; ///< Already attempted.
 };
 
 enum class Direction { ToTarget, ToClient };
@@ -54,12 +56,12 @@
 struct ForwardBody {
     CorrelationId correlation;
     Direction direction = Direction::ToTarget;
-    uint64_t offset = 0; ///< A gap or overlap is a broken body.
+    uint64_t offset = 0; ///< A gap or overlap makes the body invalid.
     std::string bytes;
     bool isLast = false;
 };
 
-/// Back pressure: the receiver of a body has passed on this many bytes more.
+/// Flow control: the receiver of a body has passed on this many more bytes.
 struct ForwardWindow {
     CorrelationId correlation;
     Direction direction = Direction::ToTarget;
@@ -74,25 +76,26 @@
     TargetId target;
 };
 
-/// Ends a forwarded request; after it the correlation id is void. Answered follows the last body frame.
+/// Completes a forwarded request and invalidates its correlation id. With Outcome::Answered it follows the last
+/// ForwardBody.
 struct ForwardEnd {
     CorrelationId correlation;
     Outcome outcome = Outcome::Unknown;
     Reason reason = Reason::None;
     Duration retryAfter {};
-    TargetId target; ///< Empty where none was tried.
-    uint32_t tries = 0; ///< Targets that were sent at least one byte.
+    TargetId target; ///< Empty if the request was sent to no target.
+    uint32_t tries = 0; ///< Number of targets that at least one byte was sent to.
 };
 
-/// The client went away or the deadline passed at the entry host.
+/// Sent by the entry host when the client has disconnected or the deadline has passed.
 struct ForwardCancel {
     CorrelationId correlation;
     Reason reason = Reason::ClientGone;
 };
 
-/// Claims a key of the caller's own making in the replicated log, before dispatch.
+/// Claims an idempotency key chosen by the caller in the replicated log, before dispatch.
 struct ClaimRequest {
-    uint64_t claim = 0; ///< Matches the reply; a resend uses the same.
+    uint64_t claim = 0; ///< Matches the reply to the request; a resend uses the same number.
     ServiceName service;
     std::string key;
     uint64_t fingerprint = 0;
@@ -101,7 +104,7 @@
 
 enum class ClaimResult {
     Granted,
-    HeldElsewhere, ///< holder names the host that runs or ran it.
+    HeldElsewhere, ///< `holder` is the host that runs or ran the request.
     OtherFingerprint,
     NoQuorum
 };
--- a/src/model/routeplan.h
+++ b/src/model/routeplan.h
@@ -20,8 +20,8 @@
 #include <utility>
 #include <vector>
 
-/// The route plan: which service answers a host name and path, and on what terms (docs/ROUTES.md). Operators replace
-/// it whole; services of a plan have targets that announce themselves to the registry.
+/// The route plan: maps host names and paths to services, with limits and rules for each route (docs/ROUTES.md).
+/// Operators always replace the complete plan. Targets of its services register themselves with the registry.
 namespace saltvane::model {
 
 using RouteName = Name<struct RouteNameTag>;
@@ -29,12 +29,12 @@
 /// How often a request of a route may run.
 enum class RouteKind {
     Repeatable, ///< Any number of times.
-    AtMostOnce, ///< Never twice, whatever is lost on the way.
-    LargeRead, ///< Repeatable, with answers large enough to weigh on links.
+    AtMostOnce, ///< Never twice, even if the answer to the first run is lost.
+    LargeRead, ///< Repeatable, with responses large enough to load network links.
 };
 [[nodiscard]] std::string_view toString(RouteKind kind);
 
-/// A share of a route's requests, relative to the other shares of the route.
+/// Weight of a service within a route: its fraction of the requests is its weight divided by the sum of all weights.
 struct ServiceWeight {
     ServiceName service;
     double weight = 0;
@@ -42,23 +42,23 @@
 
 struct Route {
     RouteName name;
-    std::string host; ///< Of the Host header, without a port; compared without case.
-    std::string pathPrefix; ///< Begins and ends with a slash; the longest that matches decides.
+    std::string host; ///< As in the Host header, without a port; case-insensitive.
+    std::string pathPrefix; ///< Begins and ends with a slash. The longest match applies.
     RouteKind kind = RouteKind::Repeatable;
-    Duration timeout {}; ///< Longest time a request is held.
-    Duration objective {}; ///< Answers within it earn the route's full value.
+    Duration timeout {}; ///< Maximum duration of a request.
+    Duration objective {}; ///< Response time within which an answer counts in full.
     uint32_t rank = 0; ///< 0 is the most urgent.
-    uint32_t attempts = 1; ///< Most targets that one request is sent to.
-    bool isPublic = false; ///< Needs no client account.
-    bool hasAffinity = false; ///< Targets that lately served the same object answer faster.
+    uint32_t attempts = 1; ///< Maximum number of targets that one request is sent to.
+    bool isPublic = false; ///< Requests need no client account.
+    bool hasAffinity = false; ///< Targets that recently served the same object respond faster.
     std::vector<RegionName> permittedRegions; ///< Empty: all.
-    std::vector<ServiceWeight> services; ///< At least one; the weights' sum is over 0.
+    std::vector<ServiceWeight> services; ///< At least one; the sum of the weights is over 0.
 };
 
-/// A route as plans share it: plans that follow each other hold the same one where it did not change.
+/// A reference-counted route. Successive plans share the routes that did not change between them.
 struct PlanRoute : boost::intrusive_ref_counter<PlanRoute, boost::thread_unsafe_counter> {
-    explicit PlanRoute(Route given)
-        : route(std::move(given))
+    explicit PlanRoute(Route value)
+        : route(std::move(value))
     {
     }
     const Route route;
@@ -66,16 +66,16 @@
 using RouteRef = boost::intrusive_ptr<const PlanRoute>;
 [[nodiscard]] inline RouteRef makeRoute(Route route) { return {new PlanRoute(std::move(route))}; }
 
-/// A service whose targets announce themselves.
+/// A service whose targets register themselves.
 struct RoutedService {
     ServiceName name;
-    std::string probePath; ///< Answers GET with the target's health.
-    uint32_t connections = 0; ///< Most a target accepts, from all hosts.
-    Duration slowStart {}; ///< How long a target that started under load stays slow.
-    double slowStartPerSecond = 0; ///< Requests a second that a target bears meanwhile.
+    std::string probePath; ///< Path of the target's health check (GET).
+    uint32_t connections = 0; ///< Maximum number that a target accepts, from all hosts together.
+    Duration slowStart {}; ///< How long a target stays slow after it starts under load.
+    double slowStartPerSecond = 0; ///< Requests per second that a target can handle during its slow start.
 };
 
-/// What callers may send, and how long they may take.
+/// Size and time limits for the requests of callers.
 struct CallerLimits {
     uint64_t headerBytes = 16 * 1024;
     uint64_t bodyBytes = 64ull * 1024 * 1024;
@@ -88,18 +88,19 @@
     std::vector<RouteRef> routes;
     std::vector<RoutedService> services;
     CallerLimits limits;
-    bool hasAccounts = false; ///< Routes that are not public ask for the key of an account.
+    bool hasAccounts = false; ///< Routes that are not public require the key of a client account.
     std::vector<AccountRef> accounts;
 
     [[nodiscard]] const RoutedService* findService(const ServiceName& name) const;
 };
 
-/// Checks references, ranges and duplicates; finds everything wrong in one pass. `source` names the plan.
+/// Checks references, ranges and duplicates. Reports all findings in one pass; `source` is the name of the plan in
+/// them.
 [[nodiscard]] Findings checkRoutePlan(const RoutePlan& plan, const std::string& source);
-/// Which parts of a plan to check, beside its services.
+/// Which parts of a plan to check in addition to its services.
 struct PlanCheckScope {
-    std::span<const size_t> routes; ///< Positions.
-    bool areAccountsChecked = true; ///< All of them: any two may hold one key.
+    std::span<const size_t> routes; ///< Indices into RoutePlan::routes.
+    bool includesAccounts = true; ///< Always all of them, because any two may have the same key.
 };
 [[nodiscard]] Findings checkRoutePlan(const RoutePlan& plan, const PlanCheckScope& scope, const std::string& source);
 
--- a/src/model/suspectmessages.h
+++ b/src/model/suspectmessages.h
@@ -11,32 +11,34 @@
 #include <cstdint>
 #include <vector>
 
-/// What hosts tell each other of requests under which targets ended. docs/design/0013-fatal-requests.md
+/// Messages about requests during which targets ended (docs/design/0013-fatal-requests.md).
 namespace saltvane::model {
 
-/// A run of a request that ended because its target did. Times are counted back from the message.
+/// A run of a request during which its target ended. Times are relative to the sending of the message.
 struct TargetEnd {
-    uint64_t target = 0; ///< Start of the target, by incarnationHash.
+    uint64_t target = 0; ///< The target's incarnation, by incarnationHash().
     Duration sentAgo {};
     Duration endedAgo {};
-    /// Of other requests' runs at the gateway that saw it: the share that ended so, lately. 0 to 1.
+    /// Fraction of the recent runs of other requests, at the gateway that saw this one, that failed in the same way. 0
+    /// to 1.
     double usualShare = 0;
     auto operator<=>(const TargetEnd&) const = default;
 };
 
-/// All that a host knows of one such request. Two of them merge into what both know, in any order.
+/// A host's information about one such request. Two records of a request can be merged in any order.
 struct SuspectRequest {
     RequestDigest digest;
-    uint64_t epoch = 0; ///< Times that an answer to it made its ends void. A later epoch goes before an earlier one.
-    bool isBlamed = false; ///< Not sent to targets any more, but for trials.
-    uint32_t trials = 0; ///< Sent since then, to see whether it still ends its target.
-    Duration restingFor {}; ///< Since it was blamed, or tried last.
-    Duration askedAgo {}; ///< Since a caller last sent it.
+    /// Incremented when an answer to the request invalidates `ends`. A later epoch replaces an earlier one.
+    uint64_t epoch = 0;
+    bool isBlamed = false; ///< Sent to targets only as a trial.
+    uint32_t trials = 0; ///< Trials since then, which test whether the request still ends its target.
+    Duration restingFor {}; ///< Time since it was blamed or, if later, since its last trial.
+    Duration askedAgo {}; ///< Time since a caller last sent it.
     std::vector<TargetEnd> ends;
     auto operator<=>(const SuspectRequest&) const = default;
 };
 
-/// From a gateway: what it saw. From a control host: what it heard.
+/// From a gateway: the runs that it observed itself. From a control host: what it received.
 struct SuspectReport {
     std::vector<SuspectRequest> requests;
 };
--- a/src/model/targetmessages.h
+++ b/src/model/targetmessages.h
@@ -12,58 +12,60 @@
 #include <cstdint>
 #include <vector>
 
-/// What control hosts tell gateways of the targets that report to them.
+/// Messages from control hosts to gateways about the targets that report to the control hosts.
 namespace saltvane::model {
 
-/// A target that sent no heartbeat for so long is not used any more. They come every 1 to 2 s, some seconds late.
+/// A target whose last heartbeat is this old is no longer used. Heartbeats are sent every 1 to 2 s and may arrive a few
+/// seconds late.
 constexpr Duration TargetSilenceLimit = 12s;
 
-/// One start of a target. Targets may start again under their id; a later incarnation replaces an earlier one wherever
-/// the two meet, in whatever order word of them comes. docs/design/0012-target-incarnations.md
+/// One start of a target. A target may restart under the same id; its later incarnation always replaces the earlier
+/// one, in whatever order reports of them arrive (docs/design/0012-target-incarnations.md).
 struct TargetIncarnation {
     TargetId target;
-    Incarnation incarnation; ///< Unix milliseconds of the start by the target's own clock; 0: it doesn't tell.
+    Incarnation incarnation; ///< Unix time of the start in milliseconds, by the target's clock; 0: not reported.
     auto operator<=>(const TargetIncarnation&) const = default;
 };
 
-/// One start of a target, as it last reported.
+/// The last report of one target incarnation.
 struct TargetRecord {
     TargetId target;
     Incarnation incarnation; ///< As in TargetIncarnation.
     ServiceName service;
     Address address;
     ZoneName zone;
-    uint32_t slots = 0; ///< Requests it works on at once.
+    uint32_t slots = 0; ///< Number of requests that it processes concurrently.
     bool isLeaving = false;
-    Duration slowStartLeft {}; ///< How long it stays slow, counted from the report.
-    uint64_t sequence = 0; ///< Of the target's reports; a higher one replaces a lower one.
-    Duration age {}; ///< Since the report came in. TargetSilenceLimit or more: the target is silent.
-    HostId slowStartHost; ///< The only gateway that may use it while it is slow; empty: none is known.
-    /// From a disk, as before the control host restarted: true until the target reports or falls silent. Never goes
-    /// before word of another target at its address.
+    Duration slowStartLeft {}; ///< Remaining slow start at the time of the report.
+    uint64_t sequence = 0; ///< Of the target's reports; a higher sequence replaces a lower one.
+    Duration age {}; ///< Time since the report arrived. TargetSilenceLimit or more: the target is unresponsive.
+    HostId slowStartHost; ///< The only gateway that may use the target during its slow start; empty: unknown.
+    /// Restored from disk after a restart of the control host: true until the target reports again or becomes
+    /// unresponsive. A report of another target at the same address always takes precedence.
     bool isRecalled = false;
     auto operator<=>(const TargetRecord&) const = default;
 };
 
-/// From a control host to a gateway: what changed since its last report, or everything.
+/// Sent by a control host to a gateway: the changes since its last report, or the full state.
 struct TargetReport {
-    LogPosition orders; ///< The standing orders are as of here; older ones are void.
-    std::vector<ZoneName> evacuatedZones; ///< All of them.
-    std::vector<TargetIncarnation> retired; ///< They and all earlier starts get no new work from now on.
+    LogPosition orders; ///< Log position of the operator's orders in this report; older orders are obsolete.
+    std::vector<ZoneName> evacuatedZones; ///< The complete list.
+    std::vector<TargetIncarnation> retired; ///< These and all earlier incarnations get no new work from now on.
     std::vector<TargetRecord> targets;
 };
 
-/// Places a target among others; the same for all its starts, so that its objects come back to it.
+/// Position of a target in the placement of objects; the same for all its incarnations, so that objects are placed on
+/// it again after a restart.
 [[nodiscard]] uint64_t targetHash(const TargetId& target);
-/// Stands for one start of a target in messages that name many, and for what that start has warm.
+/// Identifies one incarnation of a target in messages about many targets, and its warm objects.
 [[nodiscard]] uint64_t incarnationHash(const TargetIncarnation& start);
 
-/// Requests in flight by target. From a gateway: its own. From a control host: those of all gateways, some tenths of a
-/// second old. Targets without any are left out.
+/// Requests in flight by target. From a gateway: its own. From a control host: those of all gateways, a few tenths of a
+/// second old. Targets without requests in flight are omitted.
 struct TargetLoads {
-    std::vector<uint64_t> targets; ///< By incarnationHash.
-    std::vector<uint32_t> inFlight; ///< Of the same length.
-    bool isChange = false; ///< Targets that aren't named are as they were told before.
+    std::vector<uint64_t> targets; ///< By incarnationHash().
+    std::vector<uint32_t> inFlight; ///< Same length as `targets`.
+    bool isChange = false; ///< Targets that are not listed are unchanged since the previous message.
 };
 
 } // namespace saltvane::model
--- a/src/model/tests/bundlecheckertests.cpp
+++ b/src/model/tests/bundlecheckertests.cpp
@@ -14,13 +14,13 @@
 
 const std::string ExampleKey = std::string(43, 'A') + "=";
 
-/// One change to a sound bundle, and the field of the only finding it must give.
-struct Damage {
+/// A change that makes a valid bundle invalid, and the field of the only finding that it must cause.
+struct InvalidBundle {
     const char* field;
     std::function<void(Bundle&)> apply;
 };
 
-std::vector<Damage> damages()
+std::vector<InvalidBundle> invalidBundles()
 {
     return {
         {"deployment", [](Bundle& b) { b.deployment = ""; }},
@@ -95,7 +95,7 @@
     };
 }
 
-TEST(CheckBundleTest, ASoundBundleHasNoFindings)
+TEST(CheckBundleTest, ValidBundleHasNoFindings)
 {
     Bundle bundle = makeBundle();
     bundle.services[0].failoverCap = ShiftCap {.share = 1, .window = 1s};
@@ -103,19 +103,19 @@
     EXPECT_TRUE(checkBundle(bundle).isEmpty());
 }
 
-TEST(CheckBundleTest, EachDamageGivesItsOneFinding)
+TEST(CheckBundleTest, EachInvalidChangeGivesExactlyOneFinding)
 {
-    for (const Damage& damage : damages()) {
+    for (const InvalidBundle& invalid : invalidBundles()) {
         Bundle bundle = makeBundle();
-        damage.apply(bundle);
+        invalid.apply(bundle);
         const Findings findings = checkBundle(bundle);
-        ASSERT_EQ(findings.items().size(), 1) << damage.field;
-        EXPECT_EQ(findings.items()[0].field, damage.field);
+        ASSERT_EQ(findings.items().size(), 1) << invalid.field;
+        EXPECT_EQ(findings.items()[0].field, invalid.field);
         EXPECT_FALSE(findings.items()[0].message.empty());
     }
 }
 
-TEST(CheckBundleTest, AllFindingsComeInOnePassWithTheirPlaces)
+TEST(CheckBundleTest, AllFindingsAreReportedAtOnceWithTheirLocations)
 {
     Bundle bundle = makeBundle();
     bundle.version = {0};
@@ -129,7 +129,7 @@
     EXPECT_EQ(findings.items()[2].place, bundle.services[0].place);
 }
 
-TEST(CheckBundleTest, AnEmptyBundleIsRefusedWithoutFailure) { EXPECT_FALSE(checkBundle(Bundle {}).isEmpty()); }
+TEST(CheckBundleTest, EmptyBundleHasFindings) { EXPECT_FALSE(checkBundle(Bundle {}).isEmpty()); }
 
 } // namespace
 } // namespace saltvane::model
--- a/src/model/tests/bundles.h
+++ b/src/model/tests/bundles.h
@@ -9,7 +9,7 @@
 
 namespace saltvane::model {
 
-/// A small bundle without findings: two regions, three zones, one service open everywhere.
+/// A small valid bundle: two regions, three zones, one service that is open in two of the zones.
 inline Bundle makeBundle()
 {
     Bundle bundle;
--- a/src/model/tests/deploymenttests.cpp
+++ b/src/model/tests/deploymenttests.cpp
@@ -21,20 +21,20 @@
 
 Deployment compile(Bundle bundle) { return {std::move(bundle), {.term = {1}, .index = {2}}}; }
 
-Deployment withBlocks(std::vector<ClientBlock> blocks)
+Deployment deploymentWithBlocks(std::vector<ClientBlock> blocks)
 {
     Bundle bundle = makeBundle();
     bundle.clients = std::move(blocks);
     return compile(std::move(bundle));
 }
 
-std::string dotted(uint32_t number)
+std::string ipv4Text(uint32_t number)
 {
     return std::to_string(number >> 24) + "." + std::to_string(number >> 16 & 255) + "."
         + std::to_string(number >> 8 & 255) + "." + std::to_string(number & 255);
 }
 
-TEST(DeploymentTest, NamesAndSharesFollowTheBundle)
+TEST(DeploymentTest, FindsZonesRegionsAndOpenSharesOfTheBundle)
 {
     const Deployment deployment = compile(makeBundle());
     EXPECT_EQ(deployment.findZone(ZoneName("n2")), ZoneIndex {2});
@@ -54,7 +54,7 @@
     EXPECT_EQ(std::vector(fromSouth.begin(), fromSouth.end()), (std::vector<ZoneIndex> {{1}, {0}, {2}}));
 }
 
-TEST(DeploymentTest, StatedDelayHoldsBothWaysUnlessTheOtherIsStated)
+TEST(DeploymentTest, DelayAppliesToBothDirectionsUnlessBothAreConfigured)
 {
     Bundle bundle = makeBundle();
     bundle.regionDelays = {{.from = RegionName("north"), .to = RegionName("south"), .delay = 7ms}};
@@ -67,7 +67,7 @@
     EXPECT_EQ(deployment.delay(ZoneIndex {0}, ZoneIndex {0}), 0ms);
 }
 
-TEST(DeploymentTest, LinkLimitHoldsOneWay)
+TEST(DeploymentTest, LinkLimitAppliesToOneDirection)
 {
     Bundle bundle = makeBundle();
     bundle.linkLimits = {{.from = RegionName("north"), .to = RegionName("south"), .requestsInFlight = 5}};
@@ -76,7 +76,7 @@
     EXPECT_EQ(deployment.linkLimit(South, North), std::nullopt);
 }
 
-TEST(DeploymentTest, OnlyWholeSegmentsOfAPlainPathAreRepeatable)
+TEST(DeploymentTest, RepeatableRulesMatchWholeSegmentsOfUnambiguousPaths)
 {
     const Deployment deployment = compile(makeBundle());
     EXPECT_TRUE(deployment.isRepeatable(Prices, "GET", "/nav"));
@@ -88,9 +88,9 @@
     EXPECT_FALSE(deployment.isRepeatable(Prices, "GET", ""));
 }
 
-TEST(ClientRegionTest, LongestBlockWins)
+TEST(ClientRegionTest, LongestPrefixMatches)
 {
-    const Deployment deployment = withBlocks({{.prefix = "10.0.0.0/8", .region = RegionName("north")},
+    const Deployment deployment = deploymentWithBlocks({{.prefix = "10.0.0.0/8", .region = RegionName("north")},
         {.prefix = "10.1.0.0/16", .region = RegionName("south")},
         {.prefix = "10.1.2.0/24", .region = RegionName("north")},
         {.prefix = "10.1.2.255/32", .region = RegionName("south")}});
@@ -103,9 +103,9 @@
     EXPECT_EQ(deployment.clientRegion("11.0.0.0"), South);
 }
 
-TEST(ClientRegionTest, FamiliesDoNotMix)
+TEST(ClientRegionTest, AddressFamiliesAreSeparate)
 {
-    const Deployment deployment = withBlocks({{.prefix = "::/0", .region = RegionName("north")},
+    const Deployment deployment = deploymentWithBlocks({{.prefix = "::/0", .region = RegionName("north")},
         {.prefix = "2001:db8:8000::/33", .region = RegionName("south")},
         {.prefix = "255.255.255.255/32", .region = RegionName("north")}});
     EXPECT_EQ(deployment.clientRegion("2001:db8:7fff::"), North);
@@ -117,9 +117,9 @@
     EXPECT_EQ(deployment.clientRegion("255.255.255.254"), South);
 }
 
-TEST(ClientRegionTest, TextThatIsNoAddressGetsTheDefault)
+TEST(ClientRegionTest, InvalidAddressMapsToTheDefaultRegion)
 {
-    const Deployment deployment = withBlocks({{.prefix = "0.0.0.0/0", .region = RegionName("north")}});
+    const Deployment deployment = deploymentWithBlocks({{.prefix = "0.0.0.0/0", .region = RegionName("north")}});
     EXPECT_EQ(deployment.clientRegion("1.2.3.4"), North);
     for (const char* text : {"", "1.2.3", "1.2.3.4 ", "example", "fe80::1%eth0", "::1::"})
         EXPECT_EQ(deployment.clientRegion(text), South) << text;
@@ -127,10 +127,11 @@
     EXPECT_EQ(deployment.clientRegion(std::string_view("1.2.3.4\0x", 9)), South);
 }
 
-TEST(ClientRegionTest, AgreesWithALinearSearchOverRandomBlocks)
+TEST(ClientRegionTest, MatchesALinearSearchOverRandomBlocks)
 {
     boost::random::mt19937 random(20260714);
-    const auto draw = [&](uint32_t most) { return boost::random::uniform_int_distribution<uint32_t>(0, most)(random); };
+    const auto draw
+        = [&](uint32_t maximum) { return boost::random::uniform_int_distribution<uint32_t>(0, maximum)(random); };
     struct Block {
         uint32_t address;
         uint32_t length;
@@ -146,28 +147,28 @@
         if (!seen.insert({block.address, length}).second)
             continue;
         blocks.push_back(block);
-        clients.push_back({.prefix = dotted(block.address) + "/" + std::to_string(length),
+        clients.push_back({.prefix = ipv4Text(block.address) + "/" + std::to_string(length),
             .region = RegionName(block.isNorth ? "north" : "south")});
     }
-    const Deployment deployment = withBlocks(clients);
+    const Deployment deployment = deploymentWithBlocks(clients);
     for (int i = 0; i < 4000; ++i) {
-        const Block& near = blocks[draw(static_cast<uint32_t>(blocks.size() - 1))];
+        const Block& nearby = blocks[draw(static_cast<uint32_t>(blocks.size() - 1))];
         const uint32_t address
-            = near.address + draw(2) - 1 + (draw(1) == 0 ? 0 : 1U << (32 - std::max(near.length, 1U)));
-        int best = -1;
+            = nearby.address + draw(2) - 1 + (draw(1) == 0 ? 0 : 1U << (32 - std::max(nearby.length, 1U)));
+        int longestMatch = -1;
         RegionIndex expected = South;
         for (const Block& block : blocks) {
             const uint32_t mask = block.length == 0 ? 0 : ~uint32_t {0} << (32 - block.length);
-            if ((address & mask) != block.address || static_cast<int>(block.length) <= best)
+            if ((address & mask) != block.address || static_cast<int>(block.length) <= longestMatch)
                 continue;
-            best = static_cast<int>(block.length);
+            longestMatch = static_cast<int>(block.length);
             expected = block.isNorth ? North : South;
         }
-        EXPECT_EQ(deployment.clientRegion(dotted(address)), expected) << dotted(address);
+        EXPECT_EQ(deployment.clientRegion(ipv4Text(address)), expected) << ipv4Text(address);
     }
 }
 
-TEST(AddressPrefixTest, RefusesWhatIsNoBlock)
+TEST(AddressPrefixTest, RejectsInvalidBlocks)
 {
     for (const char* text : {"10.0.0.0", "10.0.0.0/", "10.0.0.0/33", "10.0.0.0/-1", "10.0.0.1/8", "::/129",
              "2001:db8::1/64", "/8", "10.0.0.0/8x", "10.0.0.0/+8", "::ffff:10.0.0.0/8"})
--- a/src/model/tests/reasontests.cpp
+++ b/src/model/tests/reasontests.cpp
@@ -27,7 +27,7 @@
     EXPECT_EQ(toString(Reason::StaleState), "stale-state");
 }
 
-TEST(ReasonTest, StatusFollowsOutcomeAndReason)
+TEST(ReasonTest, HttpStatusDependsOnOutcomeAndReason)
 {
     EXPECT_EQ(httpStatus(Outcome::NotRun, Reason::NoRoom), 503);
     EXPECT_EQ(httpStatus(Outcome::NotRun, Reason::QueueTimeout), 504);
@@ -58,13 +58,13 @@
     EXPECT_EQ(infoOf(Counter::LateFrames).name, "saltvane_late_frames_total");
 }
 
-TEST(AddressTest, Ipv6StandsInBrackets)
+TEST(AddressTest, Ipv6AddressIsInBrackets)
 {
     EXPECT_EQ(toString(Address {.ip = "127.0.0.1", .port = 8080}), "127.0.0.1:8080");
     EXPECT_EQ(toString(Address {.ip = "::1", .port = 8080}), "[::1]:8080");
 }
 
-TEST(AddressTest, ParsesOnlyIpNumbersWithPorts)
+TEST(AddressTest, ParsesOnlyIpAddressesWithPorts)
 {
     EXPECT_EQ(parseAddress("127.0.0.1:8080"), (Address {.ip = "127.0.0.1", .port = 8080}));
     EXPECT_EQ(parseAddress("[::1]:1"), (Address {.ip = "::1", .port = 1}));
--- a/src/model/textchecks.h
+++ b/src/model/textchecks.h
@@ -7,15 +7,17 @@
 
 #include <string_view>
 
-/// Syntax checks that bundles and settings share.
+/// Syntax checks shared by bundles and settings.
 namespace saltvane::model {
 
 constexpr std::string_view NameRule = "must have 1 to 64 letters, digits, '-', '_' or '.', and not start with '.'";
 constexpr std::string_view PublicKeyRule = "must be 32 bytes in base64";
 
-/// Names of hosts, zones, regions, services, operators and deployments; safe in headers, paths and file names.
+/// Whether the text is a valid name of a host, zone, region, service, operator or deployment. Such names are safe in
+/// headers, paths and file names.
 [[nodiscard]] bool isName(std::string_view text);
-/// An Ed25519 public key in padded base64. Whether it is a point of the curve shows when it is used.
+/// Whether the text has the form of an Ed25519 public key in padded base64. Whether it is a point on the curve is
+/// checked when the key is used.
 [[nodiscard]] bool isPublicKey(std::string_view text);
 
 } // namespace saltvane::model
