--- a/src/wire/framecodec.cpp
+++ b/src/wire/framecodec.cpp
@@ -18,20 +18,21 @@
 
 namespace saltvane::wire {
 
-static_assert(std::endian::native == std::endian::little, "frame headers are copied as they stand in memory");
+static_assert(std::endian::native == std::endian::little, "frame headers are copied as they are in memory");
 
 namespace {
 
-constexpr size_t HeadroomOfEnvelope = 1024;
-/// A reader between frames gives a larger buffer back.
-constexpr size_t LargestIdleBuffer = 4 * 1024; ///< There is a reader for each link, most of them at rest.
+constexpr size_t EnvelopeOverheadBytes = 1024;
+/// Between frames, a reader frees a buffer larger than this: there is a reader for each link, and most links are idle.
+constexpr size_t MaxIdleBufferBytes = 4 * 1024;
 
 template <typename Wire> fbs::Payload payloadOf(const Offset<Wire>& /*table*/)
 {
     return fbs::PayloadTraits<Wire>::enum_value;
 }
 
-struct BodySize {
+/// Size of the field that makes up most of a message, to size the builder's buffer.
+struct BulkFieldSize {
     size_t operator()(const model::ForwardBody& body) const { return body.bytes.size(); }
     size_t operator()(const model::SnapshotChunk& chunk) const { return chunk.bytes.size(); }
     size_t operator()(const model::BundlePush& push) const { return push.content.size(); }
@@ -58,14 +59,14 @@
     return number;
 }
 
-/// Bytes in front of the first frame that align its envelope, and with it all later ones.
-constexpr size_t LeadIn = FrameAlignment - FrameHeaderSize % FrameAlignment;
+/// Padding before the first frame that aligns its envelope. All later envelopes are then aligned too.
+constexpr size_t LeadingPadding = FrameAlignment - FrameHeaderSize % FrameAlignment;
 
 } // namespace
 
 std::string encodeFrame(const model::Message& message)
 {
-    Builder builder(std::visit(BodySize {}, message) + HeadroomOfEnvelope);
+    Builder builder(std::visit(BulkFieldSize {}, message) + EnvelopeOverheadBytes);
     finishEnvelope(builder, message);
     const size_t size = builder.GetSize();
     const size_t paddedSize = alignedUp(size);
@@ -84,25 +85,25 @@
 }
 
 FrameReader::FrameReader()
-    : buffer_(LeadIn, '\0')
-    , consumed_(LeadIn)
+    : buffer_(LeadingPadding, '\0')
+    , consumed_(LeadingPadding)
 {
 }
 
-void FrameReader::restart()
+void FrameReader::resetBuffer()
 {
-    if (buffer_.capacity() > LargestIdleBuffer)
+    if (buffer_.capacity() > MaxIdleBufferBytes)
         buffer_ = std::string();
-    buffer_.resize(LeadIn);
-    consumed_ = LeadIn;
+    buffer_.resize(LeadingPadding);
+    consumed_ = LeadingPadding;
 }
 
 void FrameReader::append(std::string_view bytes)
 {
     if (consumed_ > buffer_.size() / 2) {
-        // At least half is moved out for each byte kept, so that the cost per byte read is constant.
-        buffer_.erase(LeadIn, consumed_ - LeadIn);
-        consumed_ = LeadIn;
+        // At least one byte is removed for each byte that is moved, so the amortized cost per byte is constant.
+        buffer_.erase(LeadingPadding, consumed_ - LeadingPadding);
+        consumed_ = LeadingPadding;
     }
     buffer_.append(bytes);
 }
@@ -127,7 +128,7 @@
         return message.error();
     consumed_ += FrameHeaderSize + length;
     if (consumed_ == buffer_.size())
-        restart();
+        resetBuffer();
     return std::optional<model::Message>(std::move(message.value()));
 }
 
--- a/src/wire/framecodec.h
+++ b/src/wire/framecodec.h
@@ -15,37 +15,39 @@
 #include <string_view>
 #include <vector>
 
-/// Frames between hosts: length of the envelope (4 bytes, little endian), xxhash64 of the envelope (8 bytes),
-/// FlatBuffers Envelope filled up with zeros to a multiple of 8 bytes. docs/PROTOCOL.md
+/// Frames between hosts (docs/PROTOCOL.md): length of the envelope (4 bytes, little endian), xxhash64 of the envelope
+/// (8 bytes), and the FlatBuffers Envelope, padded with zeros to a multiple of 8 bytes.
 namespace saltvane::wire {
 
 inline constexpr size_t LargestFrame = 4 * 1024 * 1024;
 
 enum class FrameErrorKind {
-    TooLarge, ///< The length is over LargestFrame.
-    BadLength, ///< The length is no multiple of 8.
+    TooLarge, ///< The length exceeds LargestFrame.
+    BadLength, ///< The length is not a multiple of 8.
     BadChecksum,
-    BadEnvelope, ///< The FlatBuffers verifier refused it.
+    BadEnvelope, ///< The FlatBuffers verifier rejected it.
+    /// A field has a value that is out of range; see FrameError::field.
     BadField
-}; ///< A value out of range: the field is named.
+};
 struct FrameError {
     FrameErrorKind kind = FrameErrorKind::BadEnvelope;
     std::string field;
 };
 
-/// Empty where the message does not fit into LargestFrame; a sender keeps its messages below that.
+/// Returns an empty string if the frame would exceed LargestFrame. Senders must keep their messages smaller.
 [[nodiscard]] std::string encodeFrame(const model::Message& message);
 
-/// Cuts a byte stream into messages. After an error the stream is of no more use.
+/// Splits a byte stream into messages. After an error the stream cannot be read any further.
 class FrameReader {
 public:
     FrameReader();
     void append(std::string_view bytes);
-    /// The next whole message; no value while bytes are missing.
+    /// The next message; no value until all its bytes have been appended.
     [[nodiscard]] Result<std::optional<model::Message>, FrameError> next();
 
 private:
-    void restart();
+    /// Empties the buffer. Called when all its bytes have been consumed.
+    void resetBuffer();
 
     std::string buffer_;
     size_t consumed_;
--- a/src/wire/internal/commoncodec.cpp
+++ b/src/wire/internal/commoncodec.cpp
@@ -25,7 +25,7 @@
     if (address == nullptr)
         return {};
     model::Address decoded {.ip = reader.text(address->ip(), field), .port = address->port()};
-    reader.require(decoded.ip.size() <= LargestIp, field);
+    reader.require(decoded.ip.size() <= MaxIpBytes, field);
     reader.require(decoded.ip.empty() == (decoded.port == 0), field);
     return decoded;
 }
--- a/src/wire/internal/commoncodec.h
+++ b/src/wire/internal/commoncodec.h
@@ -13,7 +13,7 @@
 #include <string_view>
 #include <vector>
 
-/// Parts that messages of several families share. Empty strings and vectors are left out of the frame.
+/// Codec functions that several message families share. Empty strings and vectors are omitted from the frame.
 namespace saltvane::wire {
 
 using Builder = flatbuffers::FlatBufferBuilder;
@@ -32,8 +32,8 @@
     return builder.CreateVector(reinterpret_cast<const uint8_t*>(bytes.data()), bytes.size());
 }
 
-/// An element of a vector of numbers, wherever it lies: the verifier doesn't check that elements of 8 bytes are
-/// aligned, and a peer's bytes need not be.
+/// Reads an element of a vector of numbers at any alignment: the verifier does not check the alignment of 8-byte
+/// elements, and a peer may send them misaligned.
 template <typename T> [[nodiscard]] T elementAt(const flatbuffers::Vector<T>& vector, flatbuffers::uoffset_t index)
 {
     T value {};
@@ -59,7 +59,7 @@
     return builder.CreateVector(offsets);
 }
 
-/// Encodes each item by `encodeItem(builder, item)`.
+/// Encodes each item with `encodeItem(builder, item)`.
 template <typename Wire, typename Item, typename Encoder>
 [[nodiscard]] Offset<OffsetVector<Wire>> encodeTables(
     Builder& builder, const std::vector<Item>& items, Encoder encodeItem)
@@ -73,7 +73,7 @@
     return builder.CreateVector(offsets);
 }
 
-/// A duration below zero (a deadline that passed while the message was made) is sent as zero.
+/// A negative duration (a deadline that passed while the message was created) is sent as zero.
 [[nodiscard]] inline int64_t encodeDuration(Duration duration) { return std::max<int64_t>(duration.count(), 0); }
 
 [[nodiscard]] inline fbs::LogPosition encodePosition(const LogPosition& position)
@@ -88,7 +88,7 @@
     FieldReader& reader, const OffsetVector<flatbuffers::String>* names, std::string_view field)
 {
     std::vector<NameType> decoded;
-    if (names == nullptr || !reader.charge(names->size() * sizeof(flatbuffers::uoffset_t), field))
+    if (names == nullptr || !reader.consumeBudget(names->size() * sizeof(flatbuffers::uoffset_t), field))
         return decoded;
     decoded.reserve(names->size());
     for (const flatbuffers::String* name : *names)
@@ -96,14 +96,14 @@
     return decoded;
 }
 
-/// Decodes each table by `decodeItem(reader, table)`.
+/// Decodes each table with `decodeItem(reader, table)`.
 template <typename Item, typename Wire, typename Decoder>
 [[nodiscard]] std::vector<Item> decodeTables(
     FieldReader& reader, const OffsetVector<Wire>* tables, std::string_view field, Decoder decodeItem)
 {
-    constexpr size_t SmallestTable = sizeof(flatbuffers::uoffset_t) + sizeof(flatbuffers::soffset_t);
+    constexpr size_t MinTableBytes = sizeof(flatbuffers::uoffset_t) + sizeof(flatbuffers::soffset_t);
     std::vector<Item> decoded;
-    if (tables == nullptr || !reader.charge(tables->size() * SmallestTable, field))
+    if (tables == nullptr || !reader.consumeBudget(tables->size() * MinTableBytes, field))
         return decoded;
     decoded.reserve(tables->size());
     for (const Wire* table : *tables)
@@ -112,7 +112,7 @@
 }
 
 [[nodiscard]] LogPosition decodePosition(const fbs::LogPosition* position);
-/// Either empty or an IP text with a port over 0.
+/// Accepts an empty address, or an IP text with a port other than 0.
 [[nodiscard]] model::Address decodeAddress(FieldReader& reader, const fbs::Address* address, std::string_view field);
 
 } // namespace saltvane::wire
--- a/src/wire/internal/controlmessagecodec.h
+++ b/src/wire/internal/controlmessagecodec.h
@@ -8,7 +8,7 @@
 #include "model/controlmessages.h"
 #include "wire/internal/commoncodec.h"
 
-/// Messages of the replicated log and of the distribution (model/controlmessages.h).
+/// Codec of the messages in model/controlmessages.h.
 namespace saltvane::wire {
 
 [[nodiscard]] Offset<fbs::VoteRequest> encode(Builder& builder, const model::VoteRequest& message);
@@ -24,7 +24,7 @@
 [[nodiscard]] Offset<fbs::BundlePull> encode(Builder& builder, const model::BundlePull& message);
 [[nodiscard]] Offset<fbs::BundleCurrent> encode(Builder& builder, const model::BundleCurrent& message);
 
-/// Values out of range are noted in `reader`.
+/// Values that are out of range are recorded in `reader`.
 [[nodiscard]] model::VoteRequest decode(FieldReader& reader, const fbs::VoteRequest& message);
 [[nodiscard]] model::VoteReply decode(FieldReader& reader, const fbs::VoteReply& message);
 [[nodiscard]] model::StartNotice decode(FieldReader& reader, const fbs::StartNotice& message);
--- a/src/wire/internal/envelopecodec.cpp
+++ b/src/wire/internal/envelopecodec.cpp
@@ -19,8 +19,8 @@
 
 namespace {
 
-constexpr uint32_t DeepestNesting = 16;
-constexpr uint32_t MostTables = 200'000;
+constexpr uint32_t MaxNestingDepth = 16;
+constexpr uint32_t MaxTables = 200'000;
 
 using Decoder = model::Message (*)(FieldReader&, const void*);
 
@@ -29,7 +29,7 @@
     return decode(reader, *static_cast<const Wire*>(table));
 }
 
-/// By the number of the payload's kind; kind 0 is none.
+/// Indexed by the payload type; type 0 means no payload.
 constexpr std::array Decoders {
     static_cast<Decoder>(nullptr),
     &decodeAs<fbs::Heartbeat>,
@@ -72,7 +72,7 @@
 
 bool isVerified(std::string_view envelope)
 {
-    const flatbuffers::Verifier::Options options {.max_depth = DeepestNesting, .max_tables = MostTables};
+    const flatbuffers::Verifier::Options options {.max_depth = MaxNestingDepth, .max_tables = MaxTables};
     flatbuffers::Verifier verifier(reinterpret_cast<const uint8_t*>(envelope.data()), envelope.size(), options);
     return fbs::VerifyEnvelopeBuffer(verifier);
 }
--- a/src/wire/internal/envelopecodec.h
+++ b/src/wire/internal/envelopecodec.h
@@ -12,12 +12,12 @@
 
 namespace saltvane::wire {
 
-/// Bytes of a frame before its envelope.
+/// Size in bytes of the part of a frame before its envelope.
 inline constexpr size_t FrameHeaderSize = sizeof(uint32_t) + sizeof(uint64_t);
-/// The length of an envelope is a multiple of this, so that all envelopes of a stream have the same alignment.
+/// The length of each envelope is a multiple of this, so that all envelopes of a stream have the same alignment.
 inline constexpr size_t FrameAlignment = 8;
 
-/// Checks and decodes an envelope. Its first byte must be aligned to FrameAlignment.
+/// Verifies and decodes an envelope, which must be aligned to FrameAlignment in memory.
 [[nodiscard]] Result<model::Message, FrameError> decodeEnvelope(std::string_view envelope);
 
 [[nodiscard]] uint64_t checksumOf(std::string_view envelope);
--- a/src/wire/internal/fieldreader.cpp
+++ b/src/wire/internal/fieldreader.cpp
@@ -11,36 +11,36 @@
 
 namespace {
 
-/// What sums of shares may be over 1 by rounding.
+/// How far a fraction may exceed 1 because of rounding errors.
 constexpr double ShareTolerance = 1e-6;
 
 } // namespace
 
-void FieldReader::require(bool isGood, std::string_view field)
+void FieldReader::require(bool isValid, std::string_view field)
 {
-    if (!isGood && !badField_)
+    if (!isValid && !badField_)
         badField_ = std::string(field);
 }
 
-bool FieldReader::charge(size_t size, std::string_view field)
+bool FieldReader::consumeBudget(size_t size, std::string_view field)
 {
-    const bool isAffordable = size <= budget_;
-    require(isAffordable, field);
-    if (isAffordable)
+    const bool isWithinBudget = size <= budget_;
+    require(isWithinBudget, field);
+    if (isWithinBudget)
         budget_ -= size;
-    return isAffordable;
+    return isWithinBudget;
 }
 
 std::string FieldReader::text(const flatbuffers::String* value, std::string_view field)
 {
-    if (value == nullptr || !charge(value->size(), field))
+    if (value == nullptr || !consumeBudget(value->size(), field))
         return {};
     return {value->c_str(), value->size()};
 }
 
 std::string FieldReader::bytes(const flatbuffers::Vector<uint8_t>* value, std::string_view field)
 {
-    if (value == nullptr || !charge(value->size(), field))
+    if (value == nullptr || !consumeBudget(value->size(), field))
         return {};
     return {reinterpret_cast<const char*>(value->data()), value->size()};
 }
@@ -51,13 +51,13 @@
     return Duration(nanoseconds);
 }
 
-double FieldReader::amount(double value, std::string_view field)
+double FieldReader::nonNegative(double value, std::string_view field)
 {
     require(std::isfinite(value) && value >= 0, field);
     return value;
 }
 
-double FieldReader::share(double value, std::string_view field)
+double FieldReader::fraction(double value, std::string_view field)
 {
     require(value >= 0 && value <= 1 + ShareTolerance, field);
     return value;
--- a/src/wire/internal/fieldreader.h
+++ b/src/wire/internal/fieldreader.h
@@ -17,47 +17,49 @@
 
 namespace saltvane::wire {
 
-/// Bytes a name (host, zone, service, target ...) may have on a link.
-inline constexpr size_t LargestName = 1024;
-/// Bytes an address's text may have.
-inline constexpr size_t LargestIp = 64;
+/// Maximum size in bytes of a name (host, zone, service, target and so on).
+inline constexpr size_t MaxNameBytes = 1024;
+/// Maximum size in bytes of an IP address as text.
+inline constexpr size_t MaxIpBytes = 64;
 
-/// Reads fields of one verified envelope and keeps the first value that is out of range.
-/// Reading goes on after an error with harmless values, so that decoders need no branch per field.
+/// Reads the fields of one verified envelope and records the first field whose value is out of range. Reading continues
+/// after an error with harmless values, so that decoders need no error handling per field.
 class FieldReader {
 public:
-    /// `budget`: bytes the message may take decoded. Fields of a FlatBuffer may overlap, so that a small frame could
-    /// otherwise decode into a large message; what encodeFrame() makes never holds more than its own size.
+    /// `budget`: maximum size in bytes of the decoded message. Fields of a FlatBuffer may overlap, so without this
+    /// limit a small frame could decode into a large message. Frames made by encodeFrame() never decode to more than
+    /// their size.
     explicit FieldReader(size_t budget)
         : budget_(budget)
     {
     }
 
-    /// Name of the first bad field; no value while all were good.
+    /// Name of the first invalid field; no value if all were valid so far.
     [[nodiscard]] const std::optional<std::string>& badField() const { return badField_; }
 
-    void require(bool isGood, std::string_view field);
-    /// True while the message may take so many bytes more.
-    bool charge(size_t size, std::string_view field);
+    /// Records the field as invalid unless `isValid`.
+    void require(bool isValid, std::string_view field);
+    /// Deducts `size` bytes from the budget. Returns false, and records the field, if the budget is too small.
+    bool consumeBudget(size_t size, std::string_view field);
 
-    /// Absent strings and vectors read as empty ones.
+    /// Absent strings and vectors are read as empty ones.
     std::string text(const flatbuffers::String* value, std::string_view field);
     std::string bytes(const flatbuffers::Vector<uint8_t>* value, std::string_view field);
     template <typename NameType> NameType name(const flatbuffers::String* value, std::string_view field)
     {
         if (value == nullptr)
             return {};
-        require(value->size() <= LargestName, field);
+        require(value->size() <= MaxNameBytes, field);
         return NameType(text(value, field));
     }
 
-    /// Not negative.
+    /// Must not be negative.
     Duration duration(int64_t nanoseconds, std::string_view field);
-    /// Finite and not negative.
-    double amount(double value, std::string_view field);
-    /// From 0 to 1, rounding allowed for.
-    double share(double value, std::string_view field);
-    /// `last` is the enumeration's greatest value; enumerations begin with 0 and have no gap.
+    /// Must be finite and not negative.
+    double nonNegative(double value, std::string_view field);
+    /// Must be from 0 to 1, with a tolerance for rounding errors.
+    double fraction(double value, std::string_view field);
+    /// `last` is the greatest value of the enumeration. Enumerations begin with 0 and have no gaps.
     template <typename Enum, typename WireEnum> Enum enumerator(WireEnum value, Enum last, std::string_view field)
     {
         const auto number = static_cast<int>(value);
--- a/src/wire/internal/hostmessagecodec.cpp
+++ b/src/wire/internal/hostmessagecodec.cpp
@@ -43,7 +43,7 @@
     return {
         .service = reader.name<ServiceName>(demand.service(), "ServiceDemand.service"),
         .clientRegion = reader.name<RegionName>(demand.client_region(), "ServiceDemand.clientRegion"),
-        .concurrency = reader.amount(demand.concurrency(), "ServiceDemand.concurrency"),
+        .concurrency = reader.nonNegative(demand.concurrency(), "ServiceDemand.concurrency"),
     };
 }
 
@@ -110,7 +110,7 @@
         return decoded;
     }
     for (size_t i = 0; i < shareCount; ++i)
-        decoded.shares.push_back(reader.share(elementAt(*row.shares(), i), "RouteRow.shares"));
+        decoded.shares.push_back(reader.fraction(elementAt(*row.shares(), i), "RouteRow.shares"));
     return decoded;
 }
 
--- a/src/wire/internal/hostmessagecodec.h
+++ b/src/wire/internal/hostmessagecodec.h
@@ -8,7 +8,7 @@
 #include "model/hostmessages.h"
 #include "wire/internal/commoncodec.h"
 
-/// Messages of membership, zone summaries, credits and ownership (model/hostmessages.h).
+/// Codec of the messages in model/hostmessages.h.
 namespace saltvane::wire {
 
 [[nodiscard]] Offset<fbs::Heartbeat> encode(Builder& builder, const model::Heartbeat& message);
@@ -20,7 +20,7 @@
 [[nodiscard]] Offset<fbs::RowsRequest> encode(Builder& builder, const model::RowsRequest& message);
 [[nodiscard]] Offset<fbs::RowsReply> encode(Builder& builder, const model::RowsReply& message);
 
-/// Values out of range are noted in `reader`.
+/// Values that are out of range are recorded in `reader`.
 [[nodiscard]] model::Heartbeat decode(FieldReader& reader, const fbs::Heartbeat& message);
 [[nodiscard]] model::ZoneReport decode(FieldReader& reader, const fbs::ZoneReport& message);
 [[nodiscard]] model::CreditRequest decode(FieldReader& reader, const fbs::CreditRequest& message);
--- a/src/wire/internal/limitmessagecodec.cpp
+++ b/src/wire/internal/limitmessagecodec.cpp
@@ -47,7 +47,7 @@
         .target = {.target = reader.name<TargetId>(notice.target(), "BackpressureNotice.target"),
             .incarnation = {notice.incarnation()}},
         .age = reader.duration(notice.age(), "BackpressureNotice.age")};
-    const double limit = reader.amount(notice.limit(), "BackpressureNotice.limit");
+    const double limit = reader.nonNegative(notice.limit(), "BackpressureNotice.limit");
     if (notice.is_limited())
         decoded.limit = limit;
     reader.require(!decoded.target.target.isEmpty(), "BackpressureNotice.target");
--- a/src/wire/internal/requestmessagecodec.cpp
+++ b/src/wire/internal/requestmessagecodec.cpp
@@ -18,10 +18,10 @@
 namespace {
 
 constexpr auto LastReason = static_cast<model::Reason>(static_cast<int>(model::Reason::Count) - 1);
-/// Lengths, offsets and windows of bodies stay below this, so that sums of two cannot overflow.
-constexpr uint64_t LargestBodyOffset = std::numeric_limits<uint64_t>::max() / 4;
-constexpr int SmallestStatus = 100;
-constexpr int LargestStatus = 999;
+/// Limit for the lengths, offsets and windows of bodies, so that the sum of two cannot overflow.
+constexpr uint64_t MaxBodyOffset = std::numeric_limits<uint64_t>::max() / 4;
+constexpr int MinStatus = 100;
+constexpr int MaxStatus = 999;
 
 Offset<fbs::Header> encodeHeader(Builder& builder, const model::Header& header)
 {
@@ -38,16 +38,17 @@
     };
 }
 
-uint64_t bodySize(FieldReader& reader, uint64_t value, std::string_view field)
+uint64_t checkedBodyOffset(FieldReader& reader, uint64_t value, std::string_view field)
 {
-    reader.require(value <= LargestBodyOffset, field);
+    reader.require(value <= MaxBodyOffset, field);
     return value;
 }
 
-std::optional<uint64_t> bodyLength(FieldReader& reader, const std::optional<uint64_t>& value, std::string_view field)
+std::optional<uint64_t> checkedBodyLength(
+    FieldReader& reader, const std::optional<uint64_t>& value, std::string_view field)
 {
     if (value)
-        reader.require(*value <= LargestBodyOffset, field);
+        reader.require(*value <= MaxBodyOffset, field);
     return value;
 }
 
@@ -80,7 +81,7 @@
         .path = reader.text(message.path(), "ForwardRequest.path"),
     };
     decoded.headers = decodeTables<model::Header>(reader, message.headers(), "ForwardRequest.headers", decodeHeader);
-    decoded.bodyLength = bodyLength(reader, message.body_length(), "ForwardRequest.bodyLength");
+    decoded.bodyLength = checkedBodyLength(reader, message.body_length(), "ForwardRequest.bodyLength");
     decoded.deadline = reader.duration(message.deadline(), "ForwardRequest.deadline");
     decoded.isRepeatable = message.is_repeatable();
     decoded.idempotencyKey = reader.text(message.idempotency_key(), "ForwardRequest.idempotencyKey");
@@ -101,7 +102,7 @@
     return {
         .correlation = {message.correlation()},
         .direction = reader.enumerator(message.direction(), model::Direction::ToClient, "ForwardBody.direction"),
-        .offset = bodySize(reader, message.offset(), "ForwardBody.offset"),
+        .offset = checkedBodyOffset(reader, message.offset(), "ForwardBody.offset"),
         .bytes = reader.bytes(message.bytes(), "ForwardBody.bytes"),
         .isLast = message.is_last(),
     };
@@ -118,7 +119,7 @@
     return {
         .correlation = {message.correlation()},
         .direction = reader.enumerator(message.direction(), model::Direction::ToClient, "ForwardWindow.direction"),
-        .bytes = bodySize(reader, message.bytes(), "ForwardWindow.bytes"),
+        .bytes = checkedBodyOffset(reader, message.bytes(), "ForwardWindow.bytes"),
     };
 }
 
@@ -133,12 +134,12 @@
 model::ForwardResponseHead decode(FieldReader& reader, const fbs::ForwardResponseHead& message)
 {
     const int status = message.status();
-    reader.require(status >= SmallestStatus && status <= LargestStatus, "ForwardResponseHead.status");
+    reader.require(status >= MinStatus && status <= MaxStatus, "ForwardResponseHead.status");
     return {
         .correlation = {message.correlation()},
         .status = status,
         .headers = decodeTables<model::Header>(reader, message.headers(), "ForwardResponseHead.headers", decodeHeader),
-        .bodyLength = bodyLength(reader, message.body_length(), "ForwardResponseHead.bodyLength"),
+        .bodyLength = checkedBodyLength(reader, message.body_length(), "ForwardResponseHead.bodyLength"),
         .target = reader.name<TargetId>(message.target(), "ForwardResponseHead.target"),
     };
 }
--- a/src/wire/internal/requestmessagecodec.h
+++ b/src/wire/internal/requestmessagecodec.h
@@ -8,7 +8,7 @@
 #include "model/requestmessages.h"
 #include "wire/internal/commoncodec.h"
 
-/// Messages of forwarded requests and claimed keys (model/requestmessages.h).
+/// Codec of the messages in model/requestmessages.h.
 namespace saltvane::wire {
 
 [[nodiscard]] Offset<fbs::ForwardRequest> encode(Builder& builder, const model::ForwardRequest& message);
@@ -20,7 +20,7 @@
 [[nodiscard]] Offset<fbs::ClaimRequest> encode(Builder& builder, const model::ClaimRequest& message);
 [[nodiscard]] Offset<fbs::ClaimReply> encode(Builder& builder, const model::ClaimReply& message);
 
-/// Values out of range are noted in `reader`.
+/// Values that are out of range are recorded in `reader`.
 [[nodiscard]] model::ForwardRequest decode(FieldReader& reader, const fbs::ForwardRequest& message);
 [[nodiscard]] model::ForwardBody decode(FieldReader& reader, const fbs::ForwardBody& message);
 [[nodiscard]] model::ForwardWindow decode(FieldReader& reader, const fbs::ForwardWindow& message);
--- a/src/wire/internal/suspectmessagecodec.cpp
+++ b/src/wire/internal/suspectmessagecodec.cpp
@@ -20,7 +20,7 @@
     return {.target = end.target(),
         .sentAgo = reader.duration(end.sent_ago(), "TargetEnd.sentAgo"),
         .endedAgo = reader.duration(end.ended_ago(), "TargetEnd.endedAgo"),
-        .usualShare = reader.share(end.usual_share(), "TargetEnd.usualShare")};
+        .usualShare = reader.fraction(end.usual_share(), "TargetEnd.usualShare")};
 }
 
 Offset<fbs::SuspectRequest> encodeRequest(Builder& builder, const model::SuspectRequest& request)
--- a/src/wire/internal/suspectmessagecodec.h
+++ b/src/wire/internal/suspectmessagecodec.h
@@ -8,11 +8,11 @@
 #include "model/suspectmessages.h"
 #include "wire/internal/commoncodec.h"
 
-/// Messages about requests under which targets ended (model/suspectmessages.h).
+/// Codec of the messages in model/suspectmessages.h.
 namespace saltvane::wire {
 
 [[nodiscard]] Offset<fbs::SuspectReport> encode(Builder& builder, const model::SuspectReport& message);
-/// Values out of range are noted in `reader`.
+/// Values that are out of range are recorded in `reader`.
 [[nodiscard]] model::SuspectReport decode(FieldReader& reader, const fbs::SuspectReport& message);
 
 } // namespace saltvane::wire
--- a/src/wire/internal/targetmessagecodec.cpp
+++ b/src/wire/internal/targetmessagecodec.cpp
@@ -41,7 +41,7 @@
     return decoded;
 }
 
-/// Earlier versions sent the ids alone: their starts are unknown.
+/// Earlier versions send only the target ids. Their incarnations are then unknown (0).
 std::vector<model::TargetIncarnation> decodeRetired(FieldReader& reader, const fbs::TargetReport& message)
 {
     std::vector<model::TargetIncarnation> retired;
@@ -49,8 +49,8 @@
     const auto ids = decodeNames<TargetId>(reader, message.retired(), "TargetReport.retired");
     reader.require(incarnations == nullptr || incarnations->size() == ids.size(), "TargetReport.retiredIncarnations");
     for (flatbuffers::uoffset_t i = 0; i < ids.size(); ++i) {
-        const bool isTold = incarnations != nullptr && i < incarnations->size();
-        retired.push_back({.target = ids[i], .incarnation = {isTold ? elementAt(*incarnations, i) : 0}});
+        const bool hasIncarnation = incarnations != nullptr && i < incarnations->size();
+        retired.push_back({.target = ids[i], .incarnation = {hasIncarnation ? elementAt(*incarnations, i) : 0}});
     }
     return retired;
 }
--- a/src/wire/internal/targetmessagecodec.h
+++ b/src/wire/internal/targetmessagecodec.h
@@ -8,12 +8,12 @@
 #include "model/targetmessages.h"
 #include "wire/internal/commoncodec.h"
 
-/// Messages about targets that report to control hosts (model/targetmessages.h).
+/// Codec of the messages in model/targetmessages.h.
 namespace saltvane::wire {
 
 [[nodiscard]] Offset<fbs::TargetReport> encode(Builder& builder, const model::TargetReport& message);
 [[nodiscard]] Offset<fbs::TargetLoads> encode(Builder& builder, const model::TargetLoads& message);
-/// Values out of range are noted in `reader`.
+/// Values that are out of range are recorded in `reader`.
 [[nodiscard]] model::TargetReport decode(FieldReader& reader, const fbs::TargetReport& message);
 [[nodiscard]] model::TargetLoads decode(FieldReader& reader, const fbs::TargetLoads& message);
 
--- a/src/wire/tests/framecodectests.cpp
+++ b/src/wire/tests/framecodectests.cpp
@@ -14,7 +14,7 @@
 namespace saltvane::wire {
 namespace {
 
-model::Message decodeWhole(std::string_view frame)
+model::Message decodeFrame(std::string_view frame)
 {
     FrameReader reader;
     reader.append(frame);
@@ -25,7 +25,7 @@
     return std::move(*message.value());
 }
 
-FrameError errorOf(std::string_view frame)
+FrameError decodeError(std::string_view frame)
 {
     FrameReader reader;
     reader.append(frame);
@@ -34,9 +34,9 @@
     return message.isOk() ? FrameError {.field = "none"} : message.error();
 }
 
-std::string badFieldOf(const model::Message& message)
+std::string invalidFieldOf(const model::Message& message)
 {
-    const FrameError error = errorOf(encodeFrame(message));
+    const FrameError error = decodeError(encodeFrame(message));
     EXPECT_EQ(error.kind, FrameErrorKind::BadField);
     return error.field;
 }
@@ -56,10 +56,10 @@
     EXPECT_EQ(kinds.size(), std::variant_size_v<model::Message>);
 }
 
-TEST(FrameCodecTest, EveryFieldOfEveryMessageSurvives)
+TEST(FrameCodecTest, EveryFieldOfEveryMessageSurvivesARoundTrip)
 {
     for (const model::Message& sample : sampleMessages()) {
-        const model::Message decoded = decodeWhole(encodeFrame(sample));
+        const model::Message decoded = decodeFrame(encodeFrame(sample));
         ASSERT_EQ(decoded.index(), sample.index());
         std::visit(
             [&decoded](const auto& message) {
@@ -71,14 +71,14 @@
     }
 }
 
-TEST(FrameCodecTest, DefaultsSurviveToo)
+TEST(FrameCodecTest, DefaultValuesSurviveARoundTrip)
 {
-    const auto request = std::get<model::ForwardRequest>(decodeWhole(encodeFrame(model::ForwardRequest {})));
+    const auto request = std::get<model::ForwardRequest>(decodeFrame(encodeFrame(model::ForwardRequest {})));
     EXPECT_FALSE(request.bodyLength.has_value());
     EXPECT_EQ(firstDifference(request, model::ForwardRequest {}), fieldCount<model::ForwardRequest>());
 }
 
-TEST(FrameCodecTest, CutAtEveryByteNothingComesEarly)
+TEST(FrameCodecTest, FrameCutAtAnyByteGivesNoMessageUntilItIsComplete)
 {
     for (const model::Message& sample : sampleMessages()) {
         const std::string frame = encodeFrame(sample);
@@ -97,7 +97,7 @@
     }
 }
 
-TEST(FrameCodecTest, StreamInOddPiecesKeepsOrder)
+TEST(FrameCodecTest, MessagesKeepTheirOrderForAnyChunkSize)
 {
     constexpr size_t FrameCount = 300;
     std::string stream;
@@ -119,65 +119,66 @@
     }
 }
 
-TEST(FrameCodecTest, TooLargeFramesAreRefusedOnTheirLength)
+TEST(FrameCodecTest, TooLargeFramesAreRejectedByTheirLengthField)
 {
     const uint32_t length = LargestFrame + 8;
-    EXPECT_EQ(errorOf({reinterpret_cast<const char*>(&length), sizeof(length)}).kind, FrameErrorKind::TooLarge);
+    EXPECT_EQ(decodeError({reinterpret_cast<const char*>(&length), sizeof(length)}).kind, FrameErrorKind::TooLarge);
     EXPECT_TRUE(encodeFrame(model::ForwardBody {.bytes = std::string(LargestFrame, 'x')}).empty());
 }
 
-TEST(FrameCodecTest, OddLengthIsRefused)
+TEST(FrameCodecTest, LengthThatIsNoMultipleOfEightIsRejected)
 {
     const uint32_t length = 12;
-    EXPECT_EQ(errorOf({reinterpret_cast<const char*>(&length), sizeof(length)}).kind, FrameErrorKind::BadLength);
+    EXPECT_EQ(decodeError({reinterpret_cast<const char*>(&length), sizeof(length)}).kind, FrameErrorKind::BadLength);
 }
 
 TEST(FrameCodecTest, ChangedByteFailsTheChecksum)
 {
     std::string frame = encodeFrame(sampleMessages().front());
     frame.back() = static_cast<char>(frame.back() ^ 1);
-    EXPECT_EQ(errorOf(frame).kind, FrameErrorKind::BadChecksum);
+    EXPECT_EQ(decodeError(frame).kind, FrameErrorKind::BadChecksum);
 }
 
-TEST(FrameCodecTest, BadFieldsAreNamed)
+TEST(FrameCodecTest, ErrorsNameTheInvalidField)
 {
     using namespace model;
-    EXPECT_EQ(badFieldOf(ForwardEnd {.outcome = static_cast<Outcome>(3)}), "ForwardEnd.outcome");
-    EXPECT_EQ(badFieldOf(ForwardEnd {.reason = Reason::Count}), "ForwardEnd.reason");
-    EXPECT_EQ(badFieldOf(ForwardCancel {.reason = Reason::Count}), "ForwardCancel.reason");
-    EXPECT_EQ(badFieldOf(ForwardBody {.direction = static_cast<Direction>(2)}), "ForwardBody.direction");
-    EXPECT_EQ(badFieldOf(ForwardBody {.offset = std::numeric_limits<uint64_t>::max()}), "ForwardBody.offset");
-    EXPECT_EQ(badFieldOf(ForwardRequest {.purpose = static_cast<ForwardPurpose>(2)}), "ForwardRequest.purpose");
-    EXPECT_EQ(badFieldOf(ForwardResponseHead {.status = 99}), "ForwardResponseHead.status");
-    EXPECT_EQ(badFieldOf(ClaimReply {.result = static_cast<ClaimResult>(4)}), "ClaimReply.result");
-    EXPECT_EQ(badFieldOf(SnapshotChunk {.offset = 2, .totalSize = 1}), "SnapshotChunk.offset");
-    EXPECT_EQ(badFieldOf(SnapshotChunk {.totalSize = 1, .bytes = "ab"}), "SnapshotChunk.bytes");
-    EXPECT_EQ(badFieldOf(ZoneReport {.hosts = {sampleHostRecord()}}), "ZoneReport.ages");
-    EXPECT_EQ(badFieldOf(RowsReply {.rows = {{.zones = {ZoneName("a")}}}}), "RouteRow.shares");
-    EXPECT_EQ(badFieldOf(RowsReply {.rows = {{.zones = {ZoneName("a")}, .shares = {1.5}}}}), "RouteRow.shares");
-    EXPECT_EQ(badFieldOf(CreditGrant {.service = ServiceName(std::string(2000, 'x'))}), "CreditGrant.service");
-    EXPECT_EQ(badFieldOf(OwnershipHandover {.address = {.ip = "127.0.0.1", .port = 0}}), "OwnershipHandover.address");
+    EXPECT_EQ(invalidFieldOf(ForwardEnd {.outcome = static_cast<Outcome>(3)}), "ForwardEnd.outcome");
+    EXPECT_EQ(invalidFieldOf(ForwardEnd {.reason = Reason::Count}), "ForwardEnd.reason");
+    EXPECT_EQ(invalidFieldOf(ForwardCancel {.reason = Reason::Count}), "ForwardCancel.reason");
+    EXPECT_EQ(invalidFieldOf(ForwardBody {.direction = static_cast<Direction>(2)}), "ForwardBody.direction");
+    EXPECT_EQ(invalidFieldOf(ForwardBody {.offset = std::numeric_limits<uint64_t>::max()}), "ForwardBody.offset");
+    EXPECT_EQ(invalidFieldOf(ForwardRequest {.purpose = static_cast<ForwardPurpose>(2)}), "ForwardRequest.purpose");
+    EXPECT_EQ(invalidFieldOf(ForwardResponseHead {.status = 99}), "ForwardResponseHead.status");
+    EXPECT_EQ(invalidFieldOf(ClaimReply {.result = static_cast<ClaimResult>(4)}), "ClaimReply.result");
+    EXPECT_EQ(invalidFieldOf(SnapshotChunk {.offset = 2, .totalSize = 1}), "SnapshotChunk.offset");
+    EXPECT_EQ(invalidFieldOf(SnapshotChunk {.totalSize = 1, .bytes = "ab"}), "SnapshotChunk.bytes");
+    EXPECT_EQ(invalidFieldOf(ZoneReport {.hosts = {sampleHostRecord()}}), "ZoneReport.ages");
+    EXPECT_EQ(invalidFieldOf(RowsReply {.rows = {{.zones = {ZoneName("a")}}}}), "RouteRow.shares");
+    EXPECT_EQ(invalidFieldOf(RowsReply {.rows = {{.zones = {ZoneName("a")}, .shares = {1.5}}}}), "RouteRow.shares");
+    EXPECT_EQ(invalidFieldOf(CreditGrant {.service = ServiceName(std::string(2000, 'x'))}), "CreditGrant.service");
+    EXPECT_EQ(
+        invalidFieldOf(OwnershipHandover {.address = {.ip = "127.0.0.1", .port = 0}}), "OwnershipHandover.address");
 }
 
-TEST(FrameCodecTest, BadFieldsOfHostRecordsAreNamed)
+TEST(FrameCodecTest, ErrorsNameTheInvalidFieldOfAHostRecord)
 {
     model::HostRecord record = sampleHostRecord();
     record.state = static_cast<model::HostState>(3);
-    EXPECT_EQ(badFieldOf(model::Heartbeat {record}), "HostRecord.state");
+    EXPECT_EQ(invalidFieldOf(model::Heartbeat {record}), "HostRecord.state");
     record = sampleHostRecord();
     record.host = HostId();
-    EXPECT_EQ(badFieldOf(model::Heartbeat {record}), "HostRecord.host");
+    EXPECT_EQ(invalidFieldOf(model::Heartbeat {record}), "HostRecord.host");
     for (const double concurrency :
         {-1.0, std::numeric_limits<double>::quiet_NaN(), std::numeric_limits<double>::infinity()}) {
         record = sampleHostRecord();
         record.demands.front().concurrency = concurrency;
-        EXPECT_EQ(badFieldOf(model::Heartbeat {record}), "ServiceDemand.concurrency");
+        EXPECT_EQ(invalidFieldOf(model::Heartbeat {record}), "ServiceDemand.concurrency");
     }
 }
 
 TEST(FrameCodecTest, NegativeDurationsAreSentAsZero)
 {
-    const model::Message message = decodeWhole(encodeFrame(model::ForwardRequest {.deadline = -1ms}));
+    const model::Message message = decodeFrame(encodeFrame(model::ForwardRequest {.deadline = -1ms}));
     EXPECT_EQ(std::get<model::ForwardRequest>(message).deadline, Duration {});
 }
 
--- a/src/wire/tests/framemutationtests.cpp
+++ b/src/wire/tests/framemutationtests.cpp
@@ -22,8 +22,8 @@
 constexpr uint64_t Seed = 20260801;
 constexpr int MutationsPerSample = 3000;
 
-/// Makes the frame's header fit its envelope again, so that a change reaches the checks behind the checksum.
-std::string frameOf(std::string_view envelope)
+/// Builds a frame with a valid header for a changed envelope, so that the change reaches the checks after the checksum.
+std::string makeFrame(std::string_view envelope)
 {
     std::string padded(envelope);
     padded.resize((padded.size() + FrameAlignment - 1) / FrameAlignment * FrameAlignment);
@@ -70,12 +70,13 @@
     std::mt19937_64 random_ {Seed};
 };
 
-struct Tally {
+/// Counts the results of decoding changed frames.
+struct MutationResults {
     int messages = 0;
     int incomplete = 0;
     std::array<int, 5> errors {};
 
-    void feed(std::string_view bytes)
+    void decodeAndCount(std::string_view bytes)
     {
         FrameReader reader;
         reader.append(bytes);
@@ -90,53 +91,53 @@
             ++incomplete;
         }
     }
-    [[nodiscard]] int of(FrameErrorKind kind) const { return errors.at(static_cast<size_t>(kind)); }
+    [[nodiscard]] int errorCount(FrameErrorKind kind) const { return errors.at(static_cast<size_t>(kind)); }
 };
 
 TEST(FrameMutationTest, ChangedFramesNeverCrash)
 {
     Mutator mutator;
-    Tally tally;
+    MutationResults results;
     for (const model::Message& sample : sampleMessages()) {
         const std::string frame = encodeFrame(sample);
         for (int i = 0; i < MutationsPerSample; ++i)
-            tally.feed(mutator.mutate(frame));
+            results.decodeAndCount(mutator.mutate(frame));
     }
-    EXPECT_GT(tally.of(FrameErrorKind::BadChecksum), 0);
-    EXPECT_GT(tally.of(FrameErrorKind::TooLarge), 0);
-    EXPECT_GT(tally.of(FrameErrorKind::BadLength), 0);
-    EXPECT_GT(tally.incomplete, 0);
+    EXPECT_GT(results.errorCount(FrameErrorKind::BadChecksum), 0);
+    EXPECT_GT(results.errorCount(FrameErrorKind::TooLarge), 0);
+    EXPECT_GT(results.errorCount(FrameErrorKind::BadLength), 0);
+    EXPECT_GT(results.incomplete, 0);
 }
 
 TEST(FrameMutationTest, ChangedEnvelopesWithGoodChecksumNeverCrash)
 {
     Mutator mutator;
-    Tally tally;
+    MutationResults results;
     for (const model::Message& sample : sampleMessages()) {
         const std::string envelope = encodeFrame(sample).substr(FrameHeaderSize);
         for (int i = 0; i < MutationsPerSample; ++i)
-            tally.feed(frameOf(mutator.mutate(envelope)));
+            results.decodeAndCount(makeFrame(mutator.mutate(envelope)));
     }
-    EXPECT_GT(tally.of(FrameErrorKind::BadEnvelope), 0);
-    EXPECT_GT(tally.of(FrameErrorKind::BadField), 0);
-    EXPECT_GT(tally.messages, 0);
-    EXPECT_EQ(tally.of(FrameErrorKind::BadChecksum), 0);
+    EXPECT_GT(results.errorCount(FrameErrorKind::BadEnvelope), 0);
+    EXPECT_GT(results.errorCount(FrameErrorKind::BadField), 0);
+    EXPECT_GT(results.messages, 0);
+    EXPECT_EQ(results.errorCount(FrameErrorKind::BadChecksum), 0);
 }
 
-template <typename Make> FrameError errorOfEnvelope(Make make)
+template <typename Make> FrameError envelopeError(Make make)
 {
     Builder builder;
     make(builder);
     FrameReader reader;
-    reader.append(frameOf({reinterpret_cast<const char*>(builder.GetBufferPointer()), builder.GetSize()}));
+    reader.append(makeFrame({reinterpret_cast<const char*>(builder.GetBufferPointer()), builder.GetSize()}));
     const auto message = reader.next();
     EXPECT_FALSE(message.isOk());
     return message.isOk() ? FrameError {.field = "none"} : message.error();
 }
 
-TEST(FrameMutationTest, NegativeDurationIsRefused)
+TEST(FrameMutationTest, NegativeDurationIsRejected)
 {
-    const FrameError error = errorOfEnvelope([](Builder& builder) {
+    const FrameError error = envelopeError([](Builder& builder) {
         const auto table = fbs::CreateCreditGrant(builder, 0, 1, -1, 1);
         fbs::FinishEnvelopeBuffer(builder, fbs::CreateEnvelope(builder, fbs::Payload::CreditGrant, table.Union()));
     });
@@ -144,21 +145,21 @@
     EXPECT_EQ(error.field, "CreditGrant.validFor");
 }
 
-TEST(FrameMutationTest, UnknownOrMissingPayloadIsRefused)
+TEST(FrameMutationTest, UnknownOrMissingPayloadIsRejected)
 {
     const FrameError missing
-        = errorOfEnvelope([](Builder& builder) { fbs::FinishEnvelopeBuffer(builder, fbs::CreateEnvelope(builder)); });
+        = envelopeError([](Builder& builder) { fbs::FinishEnvelopeBuffer(builder, fbs::CreateEnvelope(builder)); });
     EXPECT_EQ(missing.field, "Envelope.payload");
-    const FrameError unknown = errorOfEnvelope([](Builder& builder) {
+    const FrameError unknown = envelopeError([](Builder& builder) {
         const auto table = fbs::CreateRowsRequest(builder);
         fbs::FinishEnvelopeBuffer(builder, fbs::CreateEnvelope(builder, static_cast<fbs::Payload>(200), table.Union()));
     });
     EXPECT_EQ(unknown.field, "Envelope.payload");
 }
 
-TEST(FrameMutationTest, OverlappingFieldsCannotGrowAMessageBeyondItsFrame)
+TEST(FrameMutationTest, OverlappingFieldsCannotMakeAMessageLargerThanItsFrame)
 {
-    const FrameError error = errorOfEnvelope([](Builder& builder) {
+    const FrameError error = envelopeError([](Builder& builder) {
         const auto payload = encodeBytes(builder, std::string(4096, 'x'));
         const auto entry = fbs::CreateLogEntry(builder, 1, 1, payload);
         const std::vector<Offset<fbs::LogEntry>> entries(1000, entry);
@@ -170,9 +171,9 @@
 }
 
 } // namespace
-/// Seen: a vector of 8-byte numbers that a peer put at an odd place was read as if it were aligned. With the sanitizers
-/// (preset asan) the read was an error.
-TEST(FrameMutationTest, AVectorAtAnOddPlaceIsReadOrRefused)
+/// Guards against reading a misaligned vector of 8-byte numbers, which a peer may send, as if it were aligned. The
+/// sanitizers (preset asan) report such a read as an error.
+TEST(FrameMutationTest, MisalignedVectorIsReadOrRejected)
 {
     std::ifstream file(std::string(SALTVANE_SOURCE_DIR) + "/testing/fuzz/seeds/frames/misaligned", std::ios::binary);
     std::string envelope {std::istreambuf_iterator<char>(file), {}};
--- a/src/wire/tests/messagefields.h
+++ b/src/wire/tests/messagefields.h
@@ -10,9 +10,11 @@
 #include <type_traits>
 #include <utility>
 
-/// The fields of any message struct as a tuple of references, so that tests cover a field as soon as it is declared.
+/// Access to the fields of any message struct as a tuple of references, so that tests cover each new field
+/// automatically.
 namespace saltvane::wire {
 
+/// Converts to the type of any field.
 template <typename Whole> struct AnyField {
     template <typename Field>
     requires(!std::is_same_v<Field, Whole>)
@@ -73,7 +75,7 @@
     }
 }
 
-/// Index of the first field that differs, the number of fields where none does.
+/// Index of the first field that differs; the number of fields if none differs.
 template <typename Message> size_t firstDifference(const Message& left, const Message& right)
 {
     const auto compare = [&]<size_t... Is>(std::index_sequence<Is...> /*indices*/)
@@ -87,7 +89,7 @@
     return compare(std::make_index_sequence<fieldCount<Message>()> {});
 }
 
-/// Index of the first field with its default value, the number of fields where all were set.
+/// Index of the first field with its default value; the number of fields if all differ from their defaults.
 template <typename Message> size_t firstDefault(const Message& message)
 {
     const auto compare = [&]<size_t... Is>(std::index_sequence<Is...> /*indices*/)
