--- a/src/settings/hostsettings.h
+++ b/src/settings/hostsettings.h
@@ -20,13 +20,13 @@
 
 namespace saltvane::settings {
 
-/// A control host as the settings name it.
+/// A control host listed in the settings.
 struct ControlHost {
     HostId host;
     model::Address linkAddress;
 };
 
-/// Key that targets of a service sign their announcements with (docs/TARGETS.md).
+/// Secret with which the targets of a service authenticate their announcements (docs/TARGETS.md).
 struct AnnounceKey {
     ServiceName service;
     std::string secret; ///< Sent in the header Saltvane-Announce-Key.
@@ -39,10 +39,10 @@
     Duration idleTimeout = 60s;
     Duration headerTimeout = 10s;
     Duration stopTimeLimit = 60s;
-    uint64_t memoryBytes = 256ull * 1024 * 1024; ///< That the host may use.
+    uint64_t memoryBytes = 256ull * 1024 * 1024; ///< Memory that the host may use.
 };
 
-/// Settings of one saltvaned (docs/SETTINGS.md).
+/// Settings of one saltvaned process (docs/SETTINGS.md).
 struct HostSettings {
     std::string deployment;
     HostId host;
@@ -50,25 +50,25 @@
     RegionName region;
     bool isEntry = false;
     bool isControl = false;
-    model::Address entryAddress; ///< HTTP, for callers, targets and operators.
-    model::Address linkAddress; ///< Links of other hosts.
-    std::vector<model::Address> seeds; ///< Link addresses.
+    model::Address entryAddress; ///< HTTP address for callers, targets and operators.
+    model::Address linkAddress; ///< Address for links from other hosts.
+    std::vector<model::Address> seeds; ///< Link addresses of other hosts to connect to first.
     std::vector<ControlHost> controlHosts;
-    std::string dataFolder; ///< Needed by the control role.
+    std::string dataFolder; ///< Required by the control role.
     std::string linkKey; ///< Authenticates links; at least 32 bytes.
-    std::string tokenKey; ///< MACs idempotency tokens; at least 32 bytes.
+    std::string tokenKey; ///< MAC key of idempotency tokens; at least 32 bytes.
     std::vector<AnnounceKey> announceKeys;
     std::vector<model::Operator> operators; ///< Who may sign the first bundle.
     Limits limits;
     Place place;
 };
 
-/// Parses and checks settings whole: all findings with their places, unknown keys included.
+/// Parses and checks settings. Reports all findings with their locations, including unknown keys.
 [[nodiscard]] Result<HostSettings, Findings> parseHostSettings(std::string_view text, std::string_view sourceName);
-/// Reads a file; a file that cannot be read is a finding.
+/// The same for a file; a file that cannot be read is reported as a finding.
 [[nodiscard]] Result<HostSettings, Findings> loadHostSettings(const std::string& path);
 
-/// The same for bundles (docs/BUNDLES.md); includes model::checkBundle's findings.
+/// The same for bundles (docs/BUNDLES.md); includes the findings of model::checkBundle().
 [[nodiscard]] Result<model::Bundle, Findings> parseBundle(std::string_view text, std::string_view sourceName);
 [[nodiscard]] Result<model::Bundle, Findings> loadBundle(const std::string& path);
 
--- a/src/settings/internal/bundleparser.cpp
+++ b/src/settings/internal/bundleparser.cpp
@@ -10,9 +10,9 @@
 namespace saltvane::settings {
 namespace {
 
-constexpr uint64_t MostLinkRequests = 1'000'000;
+constexpr uint64_t MaxLinkRequests = 1'000'000;
 
-/// Reads a bundle's parts; ranges and references are model::checkBundle's job.
+/// Reads the fields of a bundle. model::checkBundle() checks their ranges and references.
 class BundleParser {
 public:
     explicit BundleParser(YamlReader& root)
@@ -42,7 +42,7 @@
 model::Bundle BundleParser::parse()
 {
     bundle_.deployment = root_.text("deployment");
-    bundle_.version = {root_.integer("version", {.least = 1})};
+    bundle_.version = {root_.integer("version", {.minimum = 1})};
     bundle_.objective = readObjective();
     readDelays();
     readRegions();
@@ -50,8 +50,8 @@
     readLinkLimits();
     readClients();
     readServices();
-    bundle_.operators = readOperators(root_, OperatorChecks::Leave);
-    root_.finish();
+    bundle_.operators = readOperators(root_, OperatorChecks::Skip);
+    root_.reportUnknownKeys();
     return std::move(bundle_);
 }
 
@@ -59,7 +59,7 @@
 {
     const std::string text = root_.text("objective");
     if (text != "latency" && text != "headroom")
-        root_.fail("objective", "must be latency or headroom");
+        root_.addFinding("objective", "must be latency or headroom");
     return text == "headroom" ? model::Objective::Headroom : model::Objective::Latency;
 }
 
@@ -72,7 +72,7 @@
     read.betweenZones = delays->duration("between_zones_ms", 1ms, read.betweenZones);
     read.betweenRegions = delays->duration("between_regions_ms", 1ms, read.betweenRegions);
     read.toClients = delays->duration("to_clients_ms", 1ms, read.toClients);
-    delays->finish();
+    delays->reportUnknownKeys();
 }
 
 void BundleParser::readRegions()
@@ -80,10 +80,10 @@
     for (YamlReader& entry : root_.mappings("regions", Presence::Required)) {
         const RegionName region(entry.text("name"));
         bundle_.regions.push_back({.name = region, .place = entry.place()});
-        for (PlacedText& zone : entry.texts("zones", Presence::Required))
+        for (LocatedText& zone : entry.texts("zones", Presence::Required))
             bundle_.zones.push_back(
                 {.name = ZoneName(std::move(zone.text)), .region = region, .place = std::move(zone.place)});
-        entry.finish();
+        entry.reportUnknownKeys();
     }
 }
 
@@ -94,19 +94,19 @@
             .to = RegionName(entry.text("to")),
             .delay = entry.duration("delay_ms", 1ms),
             .place = entry.place()});
-        entry.finish();
+        entry.reportUnknownKeys();
     }
 }
 
 void BundleParser::readLinkLimits()
 {
     for (YamlReader& entry : root_.mappings("link_limits", Presence::Optional)) {
-        const uint64_t limit = entry.integer("requests_in_flight", {.least = 0, .most = MostLinkRequests});
+        const uint64_t limit = entry.integer("requests_in_flight", {.minimum = 0, .maximum = MaxLinkRequests});
         bundle_.linkLimits.push_back({.from = RegionName(entry.text("from")),
             .to = RegionName(entry.text("to")),
             .requestsInFlight = static_cast<uint32_t>(limit),
             .place = entry.place()});
-        entry.finish();
+        entry.reportUnknownKeys();
     }
 }
 
@@ -119,9 +119,9 @@
     for (YamlReader& entry : clients->mappings("blocks", Presence::Optional)) {
         bundle_.clients.push_back(
             {.prefix = entry.text("prefix"), .region = RegionName(entry.text("region")), .place = entry.place()});
-        entry.finish();
+        entry.reportUnknownKeys();
     }
-    clients->finish();
+    clients->reportUnknownKeys();
 }
 
 void BundleParser::readServices()
@@ -145,7 +145,7 @@
     service.maximumDeadline = entry.duration("maximum_deadline_ms", 1ms, service.maximumDeadline);
     service.entryTtl = entry.duration("entry_ttl_s", 1s, service.entryTtl);
     service.keyRetention = entry.duration("key_retention_h", 1h, service.keyRetention);
-    entry.finish();
+    entry.reportUnknownKeys();
     return service;
 }
 
@@ -155,7 +155,7 @@
     for (YamlReader& entry : service.mappings("zones", Presence::Required)) {
         shares.push_back(
             {.zone = ZoneName(entry.text("zone")), .open = entry.decimal("open", 1.0), .place = entry.place()});
-        entry.finish();
+        entry.reportUnknownKeys();
     }
     return shares;
 }
@@ -166,7 +166,7 @@
     for (YamlReader& entry : service.mappings("repeatable", Presence::Optional)) {
         rules.push_back(
             {.method = entry.text("method"), .pathPrefix = entry.text("path_prefix", "/"), .place = entry.place()});
-        entry.finish();
+        entry.reportUnknownKeys();
     }
     return rules;
 }
@@ -174,7 +174,7 @@
 model::ShiftCap BundleParser::readCap(YamlReader& cap)
 {
     const model::ShiftCap read {.share = cap.decimal("share"), .window = cap.duration("window_s", 1s)};
-    cap.finish();
+    cap.reportUnknownKeys();
     return read;
 }
 
@@ -187,7 +187,7 @@
     if (!root)
         return context.takeFindings();
     model::Bundle bundle = BundleParser(*root).parse();
-    context.addChecked(model::checkBundle(bundle));
+    context.addContentFindings(model::checkBundle(bundle));
     if (context.hasFindings())
         return context.takeFindings();
     return bundle;
--- a/src/settings/internal/hostsettingsparser.cpp
+++ b/src/settings/internal/hostsettingsparser.cpp
@@ -14,20 +14,20 @@
 namespace saltvane::settings {
 namespace {
 
-constexpr size_t LeastKeyBytes = 32;
-constexpr size_t LeastSecretBytes = 16;
-constexpr size_t LongestSecretBytes = 256;
-constexpr size_t LeastOperators = 2; // one proposes, another approves
-constexpr IntegerRange HeaderBytesRange {.least = 1024, .most = 1024 * 1024};
-constexpr IntegerRange BodyBytesRange {.least = 1, .most = uint64_t {1} << 40};
-constexpr IntegerRange ConnectionsRange {.least = 16, .most = 1'000'000};
-constexpr DurationRange TimeoutRange {.least = 1s, .most = 1h};
-
-/// A secret travels in a header, so it has visible characters only.
+constexpr size_t MinKeyBytes = 32;
+constexpr size_t MinSecretBytes = 16;
+constexpr size_t MaxSecretBytes = 256;
+constexpr size_t MinOperators = 2; // One proposes a bundle, another one approves it.
+constexpr IntegerRange HeaderBytesRange {.minimum = 1024, .maximum = 1024 * 1024};
+constexpr IntegerRange BodyBytesRange {.minimum = 1, .maximum = uint64_t {1} << 40};
+constexpr IntegerRange ConnectionsRange {.minimum = 16, .maximum = 1'000'000};
+constexpr DurationRange TimeoutRange {.minimum = 1s, .maximum = 1h};
+
+/// A secret is sent in an HTTP header, so it may contain visible characters only.
 bool isSecret(std::string_view text)
 {
     const auto isVisible = [](char c) { return c > ' ' && c < '\x7f'; };
-    return text.size() >= LeastSecretBytes && text.size() <= LongestSecretBytes
+    return text.size() >= MinSecretBytes && text.size() <= MaxSecretBytes
         && std::all_of(text.begin(), text.end(), isVisible);
 }
 
@@ -47,7 +47,7 @@
     model::Address readOwnAddress(std::string_view key);
     void readIdentity();
     void readRoles();
-    void readRole(const PlacedText& role);
+    void readRole(const LocatedText& role);
     void readAddresses();
     void readSeeds();
     void readControlHosts();
@@ -73,7 +73,7 @@
     readAnnounceKeys();
     readOperatorList();
     readLimits();
-    root_.finish();
+    root_.reportUnknownKeys();
     return std::move(settings_);
 }
 
@@ -81,7 +81,7 @@
 {
     std::string name = mapping.text(key);
     if (!model::isName(name))
-        mapping.fail(key, std::string(model::NameRule));
+        mapping.addFinding(key, std::string(model::NameRule));
     return name;
 }
 
@@ -95,24 +95,24 @@
 
 void HostSettingsParser::readRoles()
 {
-    const std::vector<PlacedText> roles = root_.texts("roles", Presence::Required);
-    for (const PlacedText& role : roles)
+    const std::vector<LocatedText> roles = root_.texts("roles", Presence::Required);
+    for (const LocatedText& role : roles)
         readRole(role);
     if (roles.empty())
-        root_.fail("roles", "must name at least one role");
+        root_.addFinding("roles", "must name at least one role");
     settings_.dataFolder = root_.text("data_folder", "");
     if (settings_.isControl && settings_.dataFolder.empty())
-        root_.fail("data_folder", "is needed by the control role");
+        root_.addFinding("data_folder", "is required by the control role");
 }
 
-void HostSettingsParser::readRole(const PlacedText& role)
+void HostSettingsParser::readRole(const LocatedText& role)
 {
     const bool isEntry = role.text == "entry";
     const bool isControl = role.text == "control";
     if (!isEntry && !isControl)
-        root_.failItem("roles", role.place, "must be entry or control");
+        root_.addItemFinding("roles", role.place, "must be entry or control");
     if ((isEntry && settings_.isEntry) || (isControl && settings_.isControl))
-        root_.failItem("roles", role.place, "stands twice: '" + role.text + "'");
+        root_.addItemFinding("roles", role.place, "is listed twice: '" + role.text + "'");
     settings_.isEntry = settings_.isEntry || isEntry;
     settings_.isControl = settings_.isControl || isControl;
 }
@@ -121,7 +121,7 @@
 {
     model::Address address = root_.address(key);
     if (isWildcard(address.ip))
-        root_.fail(key, "must be an address that others can reach");
+        root_.addFinding(key, "must be an address that others can reach");
     return address;
 }
 
@@ -130,16 +130,16 @@
     settings_.entryAddress = readOwnAddress("entry_address");
     settings_.linkAddress = readOwnAddress("link_address");
     if (settings_.entryAddress == settings_.linkAddress)
-        root_.fail("link_address", "must differ from entry_address");
+        root_.addFinding("link_address", "must differ from entry_address");
 }
 
 void HostSettingsParser::readSeeds()
 {
-    for (const PlacedText& seed : root_.texts("seeds", Presence::Optional)) {
+    for (const LocatedText& seed : root_.texts("seeds", Presence::Optional)) {
         if (const auto address = model::parseAddress(seed.text))
             settings_.seeds.push_back(*address);
         else
-            root_.failItem("seeds", seed.place, std::string(AddressRule));
+            root_.addItemFinding("seeds", seed.place, std::string(AddressRule));
     }
 }
 
@@ -150,44 +150,44 @@
     for (YamlReader& entry : root_.mappings("control_hosts", Presence::Required)) {
         ControlHost host {.host = HostId(readName(entry, "host")), .linkAddress = entry.address("link_address")};
         if (!hosts.insert(host.host).second)
-            entry.fail("host", "stands twice: '" + host.host.value() + "'");
+            entry.addFinding("host", "is listed twice: '" + host.host.value() + "'");
         if (!addresses.insert(host.linkAddress).second)
-            entry.fail("link_address", "stands twice: '" + toString(host.linkAddress) + "'");
+            entry.addFinding("link_address", "is listed twice: '" + toString(host.linkAddress) + "'");
         settings_.controlHosts.push_back(std::move(host));
-        entry.finish();
+        entry.reportUnknownKeys();
     }
     if (settings_.controlHosts.empty())
-        root_.fail("control_hosts", "must name at least one host");
+        root_.addFinding("control_hosts", "must name at least one host");
     checkOwnControlEntry();
 }
 
 void HostSettingsParser::checkOwnControlEntry()
 {
-    if (root_.isUnreadable("host") || root_.isUnreadable("roles"))
+    if (root_.isInvalid("host") || root_.isInvalid("roles"))
         return;
     const auto own = std::find_if(settings_.controlHosts.begin(), settings_.controlHosts.end(),
         [this](const ControlHost& entry) { return entry.host == settings_.host; });
     const bool isListed = own != settings_.controlHosts.end();
     if (settings_.isControl && !isListed)
-        root_.fail("control_hosts", "must name this host, which has the control role");
+        root_.addFinding("control_hosts", "must list this host, which has the control role");
     if (!settings_.isControl && isListed)
-        root_.fail("control_hosts", "names this host, which has no control role");
-    if (root_.isUnreadable("link_address"))
+        root_.addFinding("control_hosts", "lists this host, which does not have the control role");
+    if (root_.isInvalid("link_address"))
         return;
     if (settings_.isControl && isListed && own->linkAddress != settings_.linkAddress)
-        root_.fail("control_hosts", "names this host with another link_address");
+        root_.addFinding("control_hosts", "lists this host with a different link_address");
 }
 
 void HostSettingsParser::readKeys()
 {
     settings_.linkKey = root_.text("link_key");
     settings_.tokenKey = root_.text("token_key");
-    if (settings_.linkKey.size() < LeastKeyBytes)
-        root_.fail("link_key", "must have at least 32 bytes");
-    if (settings_.tokenKey.size() < LeastKeyBytes)
-        root_.fail("token_key", "must have at least 32 bytes");
+    if (settings_.linkKey.size() < MinKeyBytes)
+        root_.addFinding("link_key", "must have at least 32 bytes");
+    if (settings_.tokenKey.size() < MinKeyBytes)
+        root_.addFinding("token_key", "must have at least 32 bytes");
     if (settings_.linkKey == settings_.tokenKey)
-        root_.fail("token_key", "must differ from link_key");
+        root_.addFinding("token_key", "must differ from link_key");
 }
 
 void HostSettingsParser::readAnnounceKeys()
@@ -196,19 +196,19 @@
     for (YamlReader& entry : root_.mappings("announce_keys", Presence::Optional)) {
         AnnounceKey key {.service = ServiceName(readName(entry, "service")), .secret = entry.text("secret")};
         if (!isSecret(key.secret))
-            entry.fail("secret", "must have 16 to 256 visible ASCII characters");
+            entry.addFinding("secret", "must have 16 to 256 visible ASCII characters");
         if (!services.insert(key.service).second)
-            entry.fail("service", "stands twice: '" + key.service.value() + "'");
+            entry.addFinding("service", "is listed twice: '" + key.service.value() + "'");
         settings_.announceKeys.push_back(std::move(key));
-        entry.finish();
+        entry.reportUnknownKeys();
     }
 }
 
 void HostSettingsParser::readOperatorList()
 {
     settings_.operators = readOperators(root_, OperatorChecks::Run);
-    if (settings_.isControl && settings_.operators.size() < LeastOperators)
-        root_.fail("operators", "must name at least two operators on a control host");
+    if (settings_.isControl && settings_.operators.size() < MinOperators)
+        root_.addFinding("operators", "must name at least two operators on a control host");
 }
 
 void HostSettingsParser::readLimits()
@@ -223,7 +223,7 @@
     read.idleTimeout = limits->duration("idle_timeout_s", 1s, read.idleTimeout, TimeoutRange);
     read.headerTimeout = limits->duration("header_timeout_s", 1s, read.headerTimeout, TimeoutRange);
     read.stopTimeLimit = limits->duration("stop_time_limit_s", 1s, read.stopTimeLimit, TimeoutRange);
-    limits->finish();
+    limits->reportUnknownKeys();
 }
 
 } // namespace
--- a/src/settings/internal/operatorlist.cpp
+++ b/src/settings/internal/operatorlist.cpp
@@ -15,11 +15,11 @@
 void checkOperator(YamlReader& entry, const model::Operator& read, std::set<OperatorName>& names)
 {
     if (!model::isName(read.name.value()))
-        entry.fail("name", std::string(model::NameRule));
+        entry.addFinding("name", std::string(model::NameRule));
     if (!names.insert(read.name).second)
-        entry.fail("name", "stands twice: '" + read.name.value() + "'");
+        entry.addFinding("name", "is listed twice: '" + read.name.value() + "'");
     if (!model::isPublicKey(read.publicKey))
-        entry.fail("public_key", std::string(model::PublicKeyRule));
+        entry.addFinding("public_key", std::string(model::PublicKeyRule));
 }
 
 } // namespace
@@ -33,7 +33,7 @@
             {.name = OperatorName(entry.text("name")), .publicKey = entry.text("public_key"), .place = entry.place()});
         if (checks == OperatorChecks::Run)
             checkOperator(entry, operators.back(), names);
-        entry.finish();
+        entry.reportUnknownKeys();
     }
     return operators;
 }
--- a/src/settings/internal/operatorlist.h
+++ b/src/settings/internal/operatorlist.h
@@ -10,10 +10,10 @@
 
 namespace saltvane::settings {
 
-enum class OperatorChecks { Run, Leave };
+enum class OperatorChecks { Run, Skip };
 
-/// The operators of a list of {name, public_key}; the same in settings and bundles. Bundles leave the checks to
-/// model::checkBundle.
+/// Reads the list `operators` of {name, public_key}, which settings and bundles share. Bundles skip the checks, because
+/// model::checkBundle() does them.
 [[nodiscard]] std::vector<model::Operator> readOperators(YamlReader& root, OperatorChecks checks);
 
 } // namespace saltvane::settings
--- a/src/settings/internal/plantext.cpp
+++ b/src/settings/internal/plantext.cpp
@@ -14,9 +14,9 @@
 
 namespace {
 
-constexpr size_t None = std::string_view::npos;
+constexpr size_t NotFound = std::string_view::npos;
 
-/// Goes over JSON text by its brackets and quotes alone; whoever parses the parts finds what else is wrong.
+/// Scans JSON text by its brackets and quotes only. Other errors are found when the parts are parsed.
 class PlanSplitter {
 public:
     explicit PlanSplitter(std::string_view text)
@@ -26,105 +26,107 @@
 
     std::optional<PlanText> split()
     {
-        if (!take('{'))
+        if (!consume('{'))
             return std::nullopt;
         do {
-            if (!takeMember())
+            if (!consumeMember())
                 return std::nullopt;
-        } while (take(','));
-        if (!take('}') || !routes_.isFound)
+        } while (consume(','));
+        if (!consume('}') || !routes_.isFound)
             return std::nullopt;
-        return PlanText {.rest = rest(), .routes = std::move(routes_.items), .accounts = std::move(accounts_.items)};
+        return PlanText {
+            .remainder = remainder(), .routes = std::move(routes_.items), .accounts = std::move(accounts_.items)};
     }
 
 private:
-    /// A list whose items are taken out.
+    /// A list whose items are split off.
     struct List {
         bool isFound = false;
-        size_t begin = 0; ///< Of what is between its brackets.
+        size_t begin = 0; ///< Offset of the text between the brackets.
         size_t end = 0;
         std::vector<std::string_view> items;
     };
 
-    [[nodiscard]] std::string rest() const
+    [[nodiscard]] std::string remainder() const
     {
         std::array lists {&routes_, &accounts_};
         std::ranges::sort(lists, {}, &List::begin);
-        std::string rest;
-        size_t at = 0;
+        std::string remainder;
+        size_t position = 0;
         for (const List* list : lists) {
-            rest += text_.substr(at, list->begin - at);
-            at = list->end;
+            remainder += text_.substr(position, list->begin - position);
+            position = list->end;
         }
-        return rest += text_.substr(at);
+        return remainder += text_.substr(position);
     }
 
-    [[nodiscard]] char next()
+    /// Skips white space. Returns the next character, or '\0' at the end.
+    [[nodiscard]] char peek()
     {
-        at_ = text_.find_first_not_of(" \t\n\r", at_);
-        if (at_ == None)
-            at_ = text_.size();
-        return at_ < text_.size() ? text_[at_] : '\0';
+        position_ = text_.find_first_not_of(" \t\n\r", position_);
+        if (position_ == NotFound)
+            position_ = text_.size();
+        return position_ < text_.size() ? text_[position_] : '\0';
     }
 
-    bool take(char expected)
+    bool consume(char expected)
     {
-        if (next() != expected)
+        if (peek() != expected)
             return false;
-        ++at_;
+        ++position_;
         return true;
     }
 
-    bool takeMember()
+    bool consumeMember()
     {
-        if (next() != '"')
+        if (peek() != '"')
             return false;
-        const size_t begin = at_ + 1;
+        const size_t begin = position_ + 1;
         if (!skipString())
             return false;
-        const std::string_view key = text_.substr(begin, at_ - 1 - begin);
-        if (key.find('\\') != None || !take(':'))
+        const std::string_view key = text_.substr(begin, position_ - 1 - begin);
+        if (key.find('\\') != NotFound || !consume(':'))
             return false;
         if (key == "routes")
-            return takeList(routes_);
-        if (key == "client_accounts" && next() != 'n') // Null is no list.
-            return takeList(accounts_);
+            return consumeList(routes_);
+        if (key == "client_accounts" && peek() != 'n') // Null counts as no list.
+            return consumeList(accounts_);
         return skipValue();
     }
 
-    bool takeList(List& list)
+    bool consumeList(List& list)
     {
-        if (list.isFound || !take('['))
+        if (list.isFound || !consume('['))
             return false;
         list.isFound = true;
-        list.begin = at_;
-        if (next() != ']') {
+        list.begin = position_;
+        if (peek() != ']') {
             do {
-                if (next() != '{')
+                if (peek() != '{')
                     return false;
-                const size_t begin = at_;
+                const size_t begin = position_;
                 if (!skipValue())
                     return false;
-                list.items.push_back(text_.substr(begin, at_ - begin));
-            } while (take(','));
+                list.items.push_back(text_.substr(begin, position_ - begin));
+            } while (consume(','));
         }
-        if (next() != ']')
+        if (peek() != ']')
             return false;
-        list.end = at_;
-        ++at_;
+        list.end = position_;
+        ++position_;
         return true;
     }
 
-    /// From a quote to behind the one that ends the string.
+    /// Skips a string, from its opening quote to after the closing one.
     bool skipString()
     {
-        for (size_t quote = text_.find('"', at_ + 1); quote != None; quote = text_.find('"', quote + 1)) {
+        for (size_t quote = text_.find('"', position_ + 1); quote != NotFound; quote = text_.find('"', quote + 1)) {
             size_t backslashes = 0;
             while (text_[quote - 1 - backslashes] == '\\')
                 ++backslashes;
             if (backslashes % 2 != 0)
                 continue;
-            at_ = quote + 1;
+            position_ = quote + 1;
             return true;
         }
         return false;
@@ -132,14 +134,14 @@
 
     bool skipValue()
     {
-        switch (next()) {
+        switch (peek()) {
         case '"':
             return skipString();
         case '{':
         case '[':
             return skipBrackets();
         default:
-            at_ = std::min(text_.find_first_of(",]} \t\n\r", at_), text_.size());
+            position_ = std::min(text_.find_first_of(",]} \t\n\r", position_), text_.size());
             return true;
         }
     }
@@ -147,14 +149,14 @@
     bool skipBrackets()
     {
         size_t depth = 0;
-        while (at_ < text_.size()) {
-            const char c = text_[at_];
+        while (position_ < text_.size()) {
+            const char c = text_[position_];
             if (c == '"') {
                 if (!skipString())
                     return false;
                 continue;
             }
-            ++at_;
+            ++position_;
             if (c == '{' || c == '[')
                 ++depth;
             else if ((c == '}' || c == ']') && --depth == 0)
@@ -164,7 +166,7 @@
     }
 
     std::string_view text_;
-    size_t at_ = 0;
+    size_t position_ = 0;
     List routes_;
     List accounts_;
 };
@@ -176,7 +178,7 @@
 std::string withoutLists(std::string_view plan)
 {
     std::optional<PlanText> split = splitPlanText(plan);
-    return split ? std::move(split->rest) : std::string(plan);
+    return split ? std::move(split->remainder) : std::string(plan);
 }
 
 } // namespace saltvane::settings
--- a/src/settings/internal/plantext.h
+++ b/src/settings/internal/plantext.h
@@ -12,15 +12,15 @@
 
 namespace saltvane::settings {
 
-/// A plan's text taken apart without reading its long lists. Where every part is JSON, so is the whole.
+/// A plan's text, split without parsing its long lists. If each part is valid JSON, the complete text is too.
 struct PlanText {
-    std::string rest; ///< The plan with these lists empty.
-    std::vector<std::string_view> routes; ///< Text of each route; views of the plan's text.
-    std::vector<std::string_view> accounts; ///< The same of each client account.
+    std::string remainder; ///< The plan's text with both lists empty.
+    std::vector<std::string_view> routes; ///< Text of each route, as a view into the plan's text.
+    std::vector<std::string_view> accounts; ///< The same for each client account.
 };
 
-/// None where the text isn't a JSON object with one list of objects under "routes", and at the most one under
-/// "client_accounts", or writes its keys with escapes.
+/// No value if the text is not a JSON object with exactly one list of objects "routes" and at most one list
+/// "client_accounts", or if a key of the object contains an escape sequence.
 [[nodiscard]] std::optional<PlanText> splitPlanText(std::string_view text);
 
 } // namespace saltvane::settings
--- a/src/settings/internal/routedhostparser.cpp
+++ b/src/settings/internal/routedhostparser.cpp
@@ -15,16 +15,16 @@
 
 namespace {
 
-constexpr size_t LeastKeyBytes = 32;
-constexpr IntegerRange PortRange {.least = 1, .most = 65535};
-constexpr IntegerRange HeaderBytesRange {.least = 1024, .most = 1024 * 1024};
-constexpr uint64_t GatewayHeaderBytes = 16 * 1024; ///< As plans usually allow.
-constexpr uint64_t RegistryHeaderBytes = 4 * 1024;
+constexpr size_t MinKeyBytes = 32;
+constexpr IntegerRange PortRange {.minimum = 1, .maximum = 65535};
+constexpr IntegerRange HeaderBytesRange {.minimum = 1024, .maximum = 1024 * 1024};
+constexpr uint64_t DefaultGatewayHeaderBytes = 16 * 1024; ///< The default limit of plans.
+constexpr uint64_t DefaultRegistryHeaderBytes = 4 * 1024;
 constexpr uint64_t BytesPerMegabyte = 1024 * 1024;
-constexpr IntegerRange MemoryRange {.least = 16, .most = 1024 * 1024}; ///< Megabytes.
-constexpr DurationRange TtlRange {.least = 100ms, .most = 1h};
-constexpr DurationRange WordLimitRange {.least = 1s, .most = 1h};
-constexpr DurationRange StopRange {.least = 100ms, .most = 1h};
+constexpr IntegerRange MemoryRange {.minimum = 16, .maximum = 1024 * 1024}; ///< Megabytes.
+constexpr DurationRange TtlRange {.minimum = 100ms, .maximum = 1h};
+constexpr DurationRange PropagationLimitRange {.minimum = 1s, .maximum = 1h};
+constexpr DurationRange StopTimeLimitRange {.minimum = 100ms, .maximum = 1h};
 
 struct HeaderField {
     std::string_view key;
@@ -55,12 +55,12 @@
     RoutedHostSettings parse()
     {
         readRoles();
-        readPlace();
+        readZones();
         readAddresses();
         readSeeds();
         readHeaders();
         readLimits();
-        root_.finish();
+        root_.reportUnknownKeys();
         return std::move(settings_);
     }
 
@@ -68,38 +68,38 @@
     void readRoles()
     {
         settings_.deployment = root_.text("deployment");
-        for (const PlacedText& role : root_.texts("roles", Presence::Required)) {
+        for (const LocatedText& role : root_.texts("roles", Presence::Required)) {
             settings_.isGateway = settings_.isGateway || role.text == "gateway";
             settings_.isRegistry = settings_.isRegistry || role.text == "registry";
             if (role.text != "gateway" && role.text != "registry")
-                root_.failItem("roles", role.place, "must be gateway or registry");
+                root_.addItemFinding("roles", role.place, "must be gateway or registry");
         }
         if (settings_.isGateway == settings_.isRegistry)
-            root_.fail("roles", "must name one of gateway and registry");
+            root_.addFinding("roles", "must name one of gateway and registry");
         settings_.isFirstStart = readFlag("first_start");
         settings_.dataFolder = root_.text("data_folder", "");
         if (settings_.isRegistry && settings_.dataFolder.empty())
-            root_.fail("data_folder", "is needed by the registry role");
+            root_.addFinding("data_folder", "is required by the registry role");
         settings_.linkKey = root_.text("link_key");
-        if (settings_.linkKey.size() < LeastKeyBytes)
-            root_.fail("link_key", "must have at least 32 bytes");
+        if (settings_.linkKey.size() < MinKeyBytes)
+            root_.addFinding("link_key", "must have at least 32 bytes");
     }
 
     bool readFlag(std::string_view key)
     {
         const std::string text = root_.text(key, "false");
         if (text != "true" && text != "false")
-            root_.fail(key, "must be true or false");
+            root_.addFinding(key, "must be true or false");
         return text == "true";
     }
 
-    void readPlace()
+    void readZones()
     {
         settings_.zone = ZoneName(root_.text("zone"));
         settings_.region = RegionName(root_.text("region"));
         for (YamlReader& entry : root_.mappings("zones", Presence::Required)) {
             settings_.zones.emplace(entry.text("zone"), entry.text("region"));
-            entry.finish();
+            entry.reportUnknownKeys();
         }
         settings_.zones.emplace(settings_.zone, settings_.region);
     }
@@ -120,15 +120,16 @@
             settings_.metricsAddress = root_.address("metrics_address");
     }
 
-    /// Seeds may be known by another port than that of their links, which is then the same on all hosts.
+    /// The port in a seed's address may be that of another service of the seed, so it is replaced by `seed_link_port`,
+    /// which is the same on all hosts.
     void readSeeds()
     {
         const auto port = static_cast<uint16_t>(root_.integer("seed_link_port", PortRange, settings_.linkAddress.port));
-        for (const PlacedText& seed : root_.texts("seeds", Presence::Optional)) {
+        for (const LocatedText& seed : root_.texts("seeds", Presence::Optional)) {
             if (const auto address = model::parseAddress(seed.text))
                 settings_.seeds.push_back({.ip = address->ip, .port = port});
             else
-                root_.failItem("seeds", seed.place, std::string(AddressRule));
+                root_.addItemFinding("seeds", seed.place, std::string(AddressRule));
         }
     }
 
@@ -139,7 +140,7 @@
             return;
         for (const HeaderField& field : HeaderFields)
             settings_.headers.*field.name = headers->text(field.key, settings_.headers.*field.name);
-        headers->finish();
+        headers->reportUnknownKeys();
     }
 
     void readLimits()
@@ -149,16 +150,17 @@
         settings_.linkMegabits = root_.decimal("link_mbps", settings_.linkMegabits);
         settings_.shiftCap = root_.decimal("shift_cap", settings_.shiftCap);
         settings_.lookUpTtl = root_.duration("look_up_ttl_s", 1s, settings_.lookUpTtl, TtlRange);
-        settings_.leaveLimit = root_.duration("leave_limit_s", 1s, settings_.leaveLimit, WordLimitRange);
-        settings_.planLimit = root_.duration("plan_limit_s", 1s, settings_.planLimit, WordLimitRange);
-        // Of a gateway, plans may lower it; a registry host's callers send short heads. Each connection holds as much
-        // memory.
-        const uint64_t usual = settings_.isGateway ? GatewayHeaderBytes : RegistryHeaderBytes;
-        settings_.limits.requestHeaderBytes = root_.integer("header_bytes", HeaderBytesRange, usual);
-        const uint64_t usualMegabytes = settings_.limits.memoryBytes / BytesPerMegabyte;
-        settings_.limits.memoryBytes = root_.integer("memory_mb", MemoryRange, usualMegabytes) * BytesPerMegabyte;
+        settings_.leaveLimit = root_.duration("leave_limit_s", 1s, settings_.leaveLimit, PropagationLimitRange);
+        settings_.planLimit = root_.duration("plan_limit_s", 1s, settings_.planLimit, PropagationLimitRange);
+        // Each connection reserves this much memory. Plans may lower it on a gateway; on a registry host, callers send
+        // short headers.
+        const uint64_t defaultHeaderBytes
+            = settings_.isGateway ? DefaultGatewayHeaderBytes : DefaultRegistryHeaderBytes;
+        settings_.limits.requestHeaderBytes = root_.integer("header_bytes", HeaderBytesRange, defaultHeaderBytes);
+        const uint64_t defaultMegabytes = settings_.limits.memoryBytes / BytesPerMegabyte;
+        settings_.limits.memoryBytes = root_.integer("memory_mb", MemoryRange, defaultMegabytes) * BytesPerMegabyte;
         settings_.limits.stopTimeLimit
-            = root_.duration("stop_time_limit_s", 1s, settings_.limits.stopTimeLimit, StopRange);
+            = root_.duration("stop_time_limit_s", 1s, settings_.limits.stopTimeLimit, StopTimeLimitRange);
     }
 
     YamlReader& root_;
@@ -169,16 +171,16 @@
 
 namespace {
 
-/// Whether the text names a role of a routed host.
+/// Whether the settings contain a role of a routed host.
 bool isRoutedHost(std::string_view text)
 {
     YamlContext context {"settings"};
     auto root = YamlReader::parse(text, context);
     if (!root)
         return false;
-    const std::vector<PlacedText> roles = root->texts("roles", Presence::Optional);
+    const std::vector<LocatedText> roles = root->texts("roles", Presence::Optional);
     return std::ranges::any_of(
-        roles, [](const PlacedText& role) { return role.text == "gateway" || role.text == "registry"; });
+        roles, [](const LocatedText& role) { return role.text == "gateway" || role.text == "registry"; });
 }
 
 template <typename Settings> Result<AnyHostSettings, Findings> asAny(const Result<Settings, Findings>& settings)
--- a/src/settings/internal/routeplanfields.cpp
+++ b/src/settings/internal/routeplanfields.cpp
@@ -18,12 +18,12 @@
 
 using Json = nlohmann::json;
 
-constexpr double LargestSeconds = 1e6;
+constexpr double MaxSeconds = 1e6;
 constexpr double SecondsPerMillisecond = 0.001;
 constexpr std::array RouteKinds {
     model::RouteKind::Repeatable, model::RouteKind::AtMostOnce, model::RouteKind::LargeRead};
 
-/// Reads the fields of one JSON object; what is missing or of the wrong type becomes a finding.
+/// Reads the fields of one JSON object. A field that is missing or has the wrong type is reported as a finding.
 class ObjectReader {
 public:
     ObjectReader(const Json& object, std::string path, const std::string& source, Findings& findings)
@@ -33,7 +33,7 @@
         , findings_(findings)
     {
         if (!object_.is_object())
-            fail("", "must be an object");
+            addFinding("", "must be an object");
     }
 
     [[nodiscard]] const Json* find(const char* key) const
@@ -49,7 +49,7 @@
         const Json* value = find(key);
         if (value != nullptr && value->is_string())
             return value->get<std::string>();
-        fail(key, "must be a text");
+        addFinding(key, "must be a string");
         return {};
     }
 
@@ -60,27 +60,27 @@
             return *fallback;
         if (value != nullptr && value->is_number() && std::isfinite(value->get<double>()) && value->get<double>() >= 0)
             return value->get<double>();
-        fail(key, "must be a number from 0");
+        addFinding(key, "must be a number that is not negative");
         return fallback.value_or(0);
     }
 
-    uint64_t whole(const char* key, std::optional<uint64_t> fallback = std::nullopt)
+    uint64_t wholeNumber(const char* key, std::optional<uint64_t> fallback = std::nullopt)
     {
         const Json* value = find(key);
         if (value == nullptr && fallback)
             return *fallback;
         if (value != nullptr && value->is_number_unsigned())
             return value->get<uint64_t>();
-        fail(key, "must be a whole number from 0");
+        addFinding(key, "must be a whole number that is not negative");
         return fallback.value_or(0);
     }
 
-    /// Of 32 bits.
+    /// An unsigned number of at most 32 bits.
     uint32_t count(const char* key, std::optional<uint32_t> fallback = std::nullopt)
     {
-        const uint64_t value = whole(key, fallback);
+        const uint64_t value = wholeNumber(key, fallback);
         if (value > std::numeric_limits<uint32_t>::max())
-            fail(key, "is too large");
+            addFinding(key, "is too large");
         return static_cast<uint32_t>(value);
     }
 
@@ -99,7 +99,7 @@
         if (value == nullptr)
             return false;
         if (!value->is_boolean())
-            fail(key, "must be true or false");
+            addFinding(key, "must be true or false");
         return value->is_boolean() && value->get<bool>();
     }
 
@@ -110,11 +110,11 @@
         if (value != nullptr && value->is_array())
             return *value;
         if (value != nullptr || isRequired)
-            fail(key, "must be a list");
+            addFinding(key, "must be a list");
         return None;
     }
 
-    /// Texts; none where the list is missing.
+    /// A list of strings; empty if the list is missing.
     template <typename Text> std::vector<Text> names(const char* key)
     {
         std::vector<Text> names;
@@ -122,7 +122,7 @@
             if (name.is_string())
                 names.emplace_back(name.get<std::string>());
             else
-                fail(key, "must hold names");
+                addFinding(key, "must contain only strings");
         }
         return names;
     }
@@ -131,9 +131,12 @@
     {
         return {object, fieldOf(key) + "[" + std::to_string(index) + "]", source_, findings_};
     }
-    ObjectReader part(const Json& object, const std::string& key) { return {object, fieldOf(key), source_, findings_}; }
+    ObjectReader member(const Json& object, const std::string& key)
+    {
+        return {object, fieldOf(key), source_, findings_};
+    }
 
-    void fail(const std::string& key, std::string message)
+    void addFinding(const std::string& key, std::string message)
     {
         findings_.add({.place = {.source = source_}, .field = fieldOf(key), .message = std::move(message)});
     }
@@ -144,9 +147,9 @@
         if (find(key) == nullptr && fallback)
             return *fallback;
         const double value = number(key) * secondsPerUnit;
-        if (value > LargestSeconds)
-            fail(key, "is too large");
-        return fromSeconds(std::min(value, LargestSeconds));
+        if (value > MaxSeconds)
+            addFinding(key, "is too large");
+        return fromSeconds(std::min(value, MaxSeconds));
     }
     [[nodiscard]] std::string fieldOf(const std::string& key) const
     {
@@ -167,7 +170,7 @@
     const auto* const found = std::ranges::find(RouteKinds, text, model::toString);
     if (found != RouteKinds.end())
         return *found;
-    reader.fail("kind", "must be repeatable, at_most_once or large_read, not '" + text + "'");
+    reader.addFinding("kind", "must be repeatable, at_most_once or large_read, not '" + text + "'");
     return model::RouteKind::AtMostOnce;
 }
 
@@ -235,12 +238,12 @@
 
 model::CallerLimits readLimits(ObjectReader reader)
 {
-    const model::CallerLimits usual;
+    const model::CallerLimits defaults;
     return {
-        .headerBytes = reader.whole("header_bytes", usual.headerBytes),
-        .bodyBytes = reader.whole("body_bytes", usual.bodyBytes),
-        .headerTimeout = reader.milliseconds("header_timeout_ms", usual.headerTimeout),
-        .idleTimeout = reader.milliseconds("idle_timeout_ms", usual.idleTimeout),
+        .headerBytes = reader.wholeNumber("header_bytes", defaults.headerBytes),
+        .bodyBytes = reader.wholeNumber("body_bytes", defaults.bodyBytes),
+        .headerTimeout = reader.milliseconds("header_timeout_ms", defaults.headerTimeout),
+        .idleTimeout = reader.milliseconds("idle_timeout_ms", defaults.idleTimeout),
     };
 }
 
@@ -260,7 +263,7 @@
 model::RoutePlan readPlanFields(const nlohmann::json& json, const std::string& source, Findings& findings)
 {
     ObjectReader reader(json, "", source, findings);
-    model::RoutePlan plan {.version = {reader.whole("version")}};
+    model::RoutePlan plan {.version = {reader.wholeNumber("version")}};
     size_t index = 0;
     for (const Json& route : reader.list("routes", true))
         plan.routes.push_back(model::makeRoute(readPlanRoute(route, index++, source, findings)));
@@ -272,7 +275,7 @@
     for (const Json& account : reader.list("client_accounts", false))
         plan.accounts.push_back(model::makeAccount(readPlanAccount(account, index++, source, findings)));
     if (const Json* limits = reader.find("limits"))
-        plan.limits = readLimits(reader.part(*limits, "limits"));
+        plan.limits = readLimits(reader.member(*limits, "limits"));
     return plan;
 }
 
--- a/src/settings/internal/routeplanfields.h
+++ b/src/settings/internal/routeplanfields.h
@@ -13,13 +13,13 @@
 
 namespace saltvane::settings {
 
-/// The fields of a plan, whole; what is missing or of the wrong type becomes a finding.
+/// Reads all fields of a plan. A field that is missing or has the wrong type is reported as a finding.
 [[nodiscard]] model::RoutePlan readPlanFields(
     const nlohmann::json& json, const std::string& source, Findings& findings);
-/// The same of the plan's route with this index.
+/// The same for one route, which has this index in the plan.
 [[nodiscard]] model::Route readPlanRoute(
     const nlohmann::json& json, size_t index, const std::string& source, Findings& findings);
-/// The same of the plan's client account with this index.
+/// The same for one client account, which has this index in the plan.
 [[nodiscard]] model::ClientAccount readPlanAccount(
     const nlohmann::json& json, size_t index, const std::string& source, Findings& findings);
 
--- a/src/settings/internal/routeplanreader.cpp
+++ b/src/settings/internal/routeplanreader.cpp
@@ -22,7 +22,8 @@
 
 using Json = nlohmann::json;
 
-/// Items of the plan before among which the next one is looked for first: plans change in few places.
+/// How many items of the previous plan are searched for the next item before the index is used: successive plans differ
+/// in few places, so most items are found here.
 constexpr size_t LookAhead = 8;
 
 std::vector<ServiceName> serviceNamesOf(const model::RoutePlan& plan)
@@ -35,39 +36,40 @@
 
 } // namespace
 
-/// Finds the items of the plan before by their texts, in whatever order.
-template <typename Ref> class RoutePlanReader::Finder {
+/// Finds items of the previous plan by the digests of their texts, in any order.
+template <typename Ref> class RoutePlanReader::CachedItemFinder {
 public:
-    explicit Finder(std::span<const Known<Ref>> known)
-        : known_(known)
+    explicit CachedItemFinder(std::span<const Cached<Ref>> cached)
+        : cached_(cached)
     {
     }
 
-    const Known<Ref>* find(const TextDigest& digest)
+    const Cached<Ref>* find(const TextDigest& digest)
     {
-        const size_t end = std::min(known_.size(), next_ + LookAhead);
+        const size_t end = std::min(cached_.size(), next_ + LookAhead);
         for (size_t i = next_; i < end; ++i) {
-            if (known_[i].digest == digest)
-                return take(i);
+            if (cached_[i].digest == digest)
+                return advanceTo(i);
         }
         if (index_.empty()) {
-            for (size_t i = 0; i < known_.size(); ++i)
-                index_.emplace(known_[i].digest.first, i);
+            for (size_t i = 0; i < cached_.size(); ++i)
+                index_.emplace(cached_[i].digest.first, i);
         }
         const auto found = index_.find(digest.first);
-        return found == index_.end() || known_[found->second].digest != digest ? nullptr : take(found->second);
+        return found == index_.end() || cached_[found->second].digest != digest ? nullptr : advanceTo(found->second);
     }
 
 private:
-    const Known<Ref>* take(size_t position)
+    const Cached<Ref>* advanceTo(size_t position)
     {
         next_ = position + 1;
-        return &known_[position];
+        return &cached_[position];
     }
 
-    std::span<const Known<Ref>> known_;
+    std::span<const Cached<Ref>> cached_;
     size_t next_ = 0;
-    std::unordered_map<uint64_t, size_t> index_; ///< Built where an item isn't found close by.
+    /// By the first half of the digest; built when an item is first not found among the next LookAhead ones.
+    std::unordered_map<uint64_t, size_t> index_;
 };
 
 RoutePlanReader::TextDigest RoutePlanReader::digestOf(std::string_view text)
@@ -79,27 +81,27 @@
 template <typename Ref, typename ReadItem>
 void RoutePlanReader::readList(List<Ref>& list, std::span<const std::string_view> texts, const ReadItem& readItem)
 {
-    list.fresh.clear();
+    list.added.clear();
     list.read.clear();
     list.read.reserve(texts.size());
-    Finder<Ref> finder(list.known);
+    CachedItemFinder<Ref> finder(list.cached);
     for (const std::string_view text : texts) {
         const size_t position = list.read.size();
-        Known<Ref> known {.digest = digestOf(text)};
-        if (const Known<Ref>* before = finder.find(known.digest)) {
-            known.item = before->item;
+        Cached<Ref> current {.digest = digestOf(text)};
+        if (const Cached<Ref>* cachedItem = finder.find(current.digest)) {
+            current.item = cachedItem->item;
         } else {
-            list.fresh.push_back(position);
-            const auto prepared = list.prepared.find(known.digest.first);
-            const bool isPrepared = prepared != list.prepared.end() && prepared->second.digest == known.digest;
-            known.item = isPrepared ? prepared->second.item : readItem(Json::parse(text), position);
+            list.added.push_back(position);
+            const auto ahead = list.itemsReadAhead.find(current.digest.first);
+            const bool isReadAhead = ahead != list.itemsReadAhead.end() && ahead->second.digest == current.digest;
+            current.item = isReadAhead ? ahead->second.item : readItem(Json::parse(text), position);
         }
-        list.read.push_back(std::move(known));
+        list.read.push_back(std::move(current));
     }
 }
 
-/// A plan that is read ahead.
-struct RoutePlanReader::Preparation {
+/// Progress of a plan that is being read ahead.
+struct RoutePlanReader::ReadAheadState {
     PlanText parts;
     size_t nextRoute = 0;
     size_t nextAccount = 0;
@@ -112,18 +114,18 @@
 
 void RoutePlanReader::prepare(std::string_view text)
 {
-    routes_.prepared.clear();
-    accounts_.prepared.clear();
-    preparation_ = std::make_unique<Preparation>();
+    routes_.itemsReadAhead.clear();
+    accounts_.itemsReadAhead.clear();
+    readAheadState_ = std::make_unique<ReadAheadState>();
     if (std::optional<PlanText> parts = splitPlanText(text))
-        preparation_->parts = *std::move(parts);
+        readAheadState_->parts = *std::move(parts);
 }
 
 template <typename Ref, typename ReadItem>
-size_t RoutePlanReader::prepareList(
+size_t RoutePlanReader::readListAhead(
     List<Ref>& list, std::span<const std::string_view> texts, size_t& next, size_t items, const ReadItem& readItem)
 {
-    Finder<Ref> finder(list.known);
+    CachedItemFinder<Ref> finder(list.cached);
     for (; next < texts.size() && items > 0; ++next) {
         const TextDigest digest = digestOf(texts[next]);
         if (finder.find(digest) != nullptr)
@@ -131,57 +133,56 @@
         --items;
         Findings findings;
         Ref item = readItem(Json::parse(texts[next], nullptr, false), next, findings);
-        if (findings.isEmpty()) // What is wrong is told when the plan is read.
-            list.prepared.insert_or_assign(digest.first, Known<Ref> {.digest = digest, .item = std::move(item)});
+        if (findings.isEmpty()) // Findings are reported when the plan is read.
+            list.itemsReadAhead.insert_or_assign(digest.first, Cached<Ref> {.digest = digest, .item = std::move(item)});
     }
     return items;
 }
 
 bool RoutePlanReader::prepareSome(size_t items)
 {
-    if (!preparation_)
+    if (!readAheadState_)
         return true;
-    Preparation& now = *preparation_;
+    ReadAheadState& state = *readAheadState_;
     const auto readRoute = [](const Json& json, size_t position, Findings& findings) {
         return model::makeRoute(readPlanRoute(json, position, "plan", findings));
     };
     const auto readAccount = [](const Json& json, size_t position, Findings& findings) {
         return model::makeAccount(readPlanAccount(json, position, "plan", findings));
     };
-    items = prepareList(routes_, now.parts.routes, now.nextRoute, items, readRoute);
-    items = prepareList(accounts_, now.parts.accounts, now.nextAccount, items, readAccount);
-    if (now.nextRoute < now.parts.routes.size() || now.nextAccount < now.parts.accounts.size())
+    items = readListAhead(routes_, state.parts.routes, state.nextRoute, items, readRoute);
+    items = readListAhead(accounts_, state.parts.accounts, state.nextAccount, items, readAccount);
+    if (state.nextRoute < state.parts.routes.size() || state.nextAccount < state.parts.accounts.size())
         return false;
-    preparation_.reset();
+    readAheadState_.reset();
     return true;
 }
 
-template <typename Ref> std::vector<Ref> RoutePlanReader::refsOf(std::span<const Known<Ref>> list)
+template <typename Ref> std::vector<Ref> RoutePlanReader::refsOf(std::span<const Cached<Ref>> list)
 {
     std::vector<Ref> refs;
     refs.reserve(list.size());
-    for (const Known<Ref>& known : list)
-        refs.push_back(known.item);
+    for (const Cached<Ref>& cached : list)
+        refs.push_back(cached.item);
     return refs;
 }
 
 Result<model::RoutePlan, Findings> RoutePlanReader::read(std::string_view text, const std::string& sourceName)
 {
     std::optional<model::RoutePlan> plan = readParts(text, sourceName);
-    routes_.prepared.clear();
-    accounts_.prepared.clear();
+    routes_.itemsReadAhead.clear();
+    accounts_.itemsReadAhead.clear();
     if (!plan)
-        return parseRoutePlan(text, sourceName); // Tells all that is wrong, with its places.
+        return parseRoutePlan(text, sourceName); // Reports all findings with their locations.
     const std::vector<ServiceName> services = serviceNamesOf(*plan);
     const bool mustCheckAll = services != services_;
     Findings findings = mustCheckAll
         ? model::checkRoutePlan(*plan, sourceName)
-        : model::checkRoutePlan(
-            *plan, {.routes = routes_.fresh, .areAccountsChecked = !accounts_.isSame()}, sourceName);
+        : model::checkRoutePlan(*plan, {.routes = routes_.added, .includesAccounts = !accounts_.isSame()}, sourceName);
     if (!findings.isEmpty())
         return findings;
-    routes_.known = std::move(routes_.read);
-    accounts_.known = std::move(accounts_.read);
+    routes_.cached = std::move(routes_.read);
+    accounts_.cached = std::move(accounts_.read);
     services_ = services;
     return *std::move(plan);
 }
@@ -202,7 +203,7 @@
     if (!findings.isEmpty())
         return std::nullopt;
     std::vector<model::AccountRef> accounts = refsOf<model::AccountRef>(accounts_.read);
-    accounts_.known = std::move(accounts_.read);
+    accounts_.cached = std::move(accounts_.read);
     return accounts;
 }
 
@@ -213,7 +214,7 @@
         return std::nullopt;
     Findings findings;
     try {
-        model::RoutePlan plan = readPlanFields(Json::parse(parts->rest), sourceName, findings);
+        model::RoutePlan plan = readPlanFields(Json::parse(parts->remainder), sourceName, findings);
         readList(routes_, parts->routes, [&](const Json& json, size_t position) {
             return model::makeRoute(readPlanRoute(json, position, sourceName, findings));
         });
--- a/src/settings/internal/textfile.cpp
+++ b/src/settings/internal/textfile.cpp
@@ -29,7 +29,8 @@
         return currentError(path);
     std::ostringstream content;
     content << file.rdbuf();
-    // An empty file sets failbit of the output only; a directory opens but cannot be read, which sets errno.
+    // Stream state cannot be used here: an empty file sets failbit of `content`. A directory can be opened but not
+    // read, which sets errno.
     if (errno != 0)
         return currentError(path);
     return content.str();
--- a/src/settings/internal/textfile.h
+++ b/src/settings/internal/textfile.h
@@ -12,9 +12,9 @@
 
 namespace saltvane::settings {
 
-/// The whole content of a file of settings size.
+/// Reads a complete file, which must be small enough for memory.
 [[nodiscard]] Result<std::string, IoError> readTextFile(const std::string& path);
-/// An unreadable file as a finding.
+/// The finding for a file that cannot be read.
 [[nodiscard]] Findings fileFinding(const IoError& error);
 
 } // namespace saltvane::settings
--- a/src/settings/internal/yamlcontext.cpp
+++ b/src/settings/internal/yamlcontext.cpp
@@ -19,7 +19,7 @@
     return {.source = sourceName_, .line = line + 1, .column = column + 1};
 }
 
-const YamlNode& YamlContext::keep(YamlNode document)
+const YamlNode& YamlContext::storeDocument(YamlNode document)
 {
     document_ = std::move(document);
     return document_;
@@ -35,21 +35,21 @@
     return {{entry.line, entry.column}, field};
 }
 
-void YamlContext::noteField(const Place& entry, const std::string& field, const Place& value)
+void YamlContext::recordField(const Place& entry, const std::string& field, const Place& value)
 {
     fields_[keyOf(entry, field)].value = value;
 }
 
-void YamlContext::noteUnreadable(const Place& entry, const std::string& field)
+void YamlContext::recordInvalidField(const Place& entry, const std::string& field)
 {
-    fields_[keyOf(entry, field)].isUnreadable = true;
+    fields_[keyOf(entry, field)].isInvalid = true;
 }
 
-bool YamlContext::isUnreadable(const Place& entry, std::string field) const
+bool YamlContext::isInvalid(const Place& entry, std::string field) const
 {
     while (!field.empty()) {
-        const auto noted = fields_.find(keyOf(entry, field));
-        if (noted != fields_.end() && noted->second.isUnreadable)
+        const auto recorded = fields_.find(keyOf(entry, field));
+        if (recorded != fields_.end() && recorded->second.isInvalid)
             return true;
         const size_t dot = field.rfind('.');
         field.resize(dot == std::string::npos ? 0 : dot);
@@ -57,15 +57,15 @@
     return false;
 }
 
-void YamlContext::addChecked(const Findings& checked)
+void YamlContext::addContentFindings(const Findings& checked)
 {
     for (const Finding& finding : checked.items()) {
-        if (isUnreadable(finding.place, finding.field))
+        if (isInvalid(finding.place, finding.field))
             continue;
         Place place = finding.place.line > 0 ? finding.place : this->place(0, 0);
-        const auto noted = fields_.find(keyOf(finding.place, finding.field));
-        if (noted != fields_.end())
-            place = noted->second.value;
+        const auto recorded = fields_.find(keyOf(finding.place, finding.field));
+        if (recorded != fields_.end())
+            place = recorded->second.value;
         add(place, finding.field, finding.message);
     }
 }
--- a/src/settings/internal/yamlcontext.h
+++ b/src/settings/internal/yamlcontext.h
@@ -14,46 +14,46 @@
 
 namespace saltvane::settings {
 
-/// What the readers of one YAML file share: its name, the findings, and where each field stood.
+/// State shared by the readers of one YAML file: its name, the findings, and the location of each field.
 class YamlContext {
 public:
     explicit YamlContext(std::string sourceName);
 
-    /// Place of a zero-based mark of the parser; a negative one is unknown.
+    /// Location for a zero-based mark of the parser; unknown if the mark is negative.
     [[nodiscard]] Place place(int line, int column) const;
 
-    /// Keeps the parsed document, which readers point into.
-    const YamlNode& keep(YamlNode document);
+    /// Stores the parsed document, which the readers point into.
+    const YamlNode& storeDocument(YamlNode document);
 
     void add(Place place, std::string field, std::string message);
 
-    /// Remembers where the value of `field` of the entry at `entry` stands.
-    void noteField(const Place& entry, const std::string& field, const Place& value);
-    /// Remembers that the field has its finding already.
-    void noteUnreadable(const Place& entry, const std::string& field);
+    /// Records the location of the value of `field`. `entry` is the location of the list entry that contains it.
+    void recordField(const Place& entry, const std::string& field, const Place& value);
+    /// Records that a finding about the field was added.
+    void recordInvalidField(const Place& entry, const std::string& field);
 
-    /// Takes findings about what was read. Those about unreadable fields, or fields within one, are dropped: they
-    /// have their finding already. The others get the place of the field's value.
-    void addChecked(const Findings& checked);
+    /// Adds the findings of a check of the content. Findings about invalid fields, or about fields within one, are
+    /// dropped, because these have a finding already. The others get the location of the field's value.
+    void addContentFindings(const Findings& checked);
 
-    /// All findings by place.
+    /// All findings, sorted by location.
     [[nodiscard]] Findings takeFindings();
     [[nodiscard]] bool hasFindings() const { return !findings_.isEmpty(); }
 
 private:
-    struct NotedField {
+    struct RecordedField {
         Place value;
-        bool isUnreadable = false;
+        bool isInvalid = false;
     };
     using FieldKey = std::pair<std::pair<int, int>, std::string>;
 
-    [[nodiscard]] bool isUnreadable(const Place& entry, std::string field) const;
+    [[nodiscard]] bool isInvalid(const Place& entry, std::string field) const;
     [[nodiscard]] static FieldKey keyOf(const Place& entry, const std::string& field);
 
     std::string sourceName_;
     YamlNode document_;
     Findings findings_;
-    std::map<FieldKey, NotedField> fields_;
+    std::map<FieldKey, RecordedField> fields_;
 };
 
 } // namespace saltvane::settings
--- a/src/settings/internal/yamlnode.cpp
+++ b/src/settings/internal/yamlnode.cpp
@@ -12,14 +12,14 @@
 namespace saltvane::settings {
 namespace {
 
-constexpr std::string_view PlainTag = "?"; // yaml-cpp's tag of a scalar without quotes or tag
+constexpr std::string_view PlainTag = "?"; // yaml-cpp's tag for a scalar without quotes and tag
 
-/// Builds the tree from the parser's events in one pass.
+/// Builds the tree from the events of the parser.
 class TreeBuilder : public YAML::EventHandler {
 public:
     TreeBuilder() { open_.emplace_back(); }
 
-    /// Null where the document was empty.
+    /// A Null node if the document is empty.
     YamlNode takeRoot()
     {
         std::vector<YamlNode>& documents = open_.front().items;
@@ -75,7 +75,7 @@
         append(std::move(node));
     }
 
-    std::vector<YamlNode> open_; ///< From a node that holds the root down to the innermost open one.
+    std::vector<YamlNode> open_; ///< Stack of open nodes. The first one is a container for the root.
 };
 
 } // namespace
@@ -87,7 +87,7 @@
     TreeBuilder document;
     TreeBuilder following;
     const bool hasDocument = parser.HandleNextDocument(document);
-    // Asked once only: for the text "," the parser gives empty documents without end.
+    // Called only once more: for the text "," the parser returns an endless sequence of empty documents.
     if (!hasDocument || parser.HandleNextDocument(following))
         return {};
     return document.takeRoot();
--- a/src/settings/internal/yamlnode.h
+++ b/src/settings/internal/yamlnode.h
@@ -11,7 +11,7 @@
 
 namespace saltvane::settings {
 
-/// One node of a parsed YAML document. Marks count from 0.
+/// One node of a parsed YAML document. Line and column count from 0.
 struct YamlNode {
     enum class Kind { Null, Scalar, Sequence, Mapping };
 
@@ -20,11 +20,12 @@
     int line = 0;
     int column = 0;
     std::string scalar;
-    std::vector<YamlNode> items; ///< Of a mapping: key and value in turn.
+    std::vector<YamlNode> items; ///< Of a sequence: its items. Of a mapping: keys and values alternately.
 };
 
-/// Parses a text's only document; null where there is none or another follows. Aliases are refused, so that a short
-/// text cannot stand for a huge tree. Throws YAML::Exception with the place of the first error.
+/// Parses a text that consists of one YAML document. Returns a Null node if there is no document or more than one.
+/// Aliases are rejected, so that a short text cannot expand to a huge tree. Throws YAML::Exception with the location of
+/// the first error.
 [[nodiscard]] YamlNode parseYaml(std::string_view text);
 
 } // namespace saltvane::settings
--- a/src/settings/internal/yamlreader.cpp
+++ b/src/settings/internal/yamlreader.cpp
@@ -23,12 +23,12 @@
     return number;
 }
 
-std::string rangeText(const std::string& least, const std::string& most)
+std::string rangeText(const std::string& minimum, const std::string& maximum)
 {
-    return "must be from " + least + " to " + most;
+    return "must be from " + minimum + " to " + maximum;
 }
 
-std::string inUnits(Duration value, Duration unit) { return std::to_string(value / unit); }
+std::string unitCountText(Duration value, Duration unit) { return std::to_string(value / unit); }
 
 template <typename T> Presence presenceFor(const std::optional<T>& fallback)
 {
@@ -40,7 +40,7 @@
 std::optional<YamlReader> YamlReader::parse(std::string_view text, YamlContext& context)
 {
     try {
-        const YamlNode& document = context.keep(parseYaml(text));
+        const YamlNode& document = context.storeDocument(parseYaml(text));
         if (document.kind == YamlNode::Kind::Mapping)
             return YamlReader(context, document, "", {});
         context.add(context.place(0, 0), "", "must be one YAML document that is a mapping");
@@ -55,7 +55,7 @@
 YamlReader::YamlReader(YamlContext& context, const YamlNode& node, std::string path, Place entry)
     : context_(&context)
     , path_(std::move(path))
-    , place_(placeOf(node))
+    , place_(locationOf(node))
     , entry_(std::move(entry))
 {
     readFields(node);
@@ -66,11 +66,11 @@
     for (size_t i = 0; i + 1 < node.items.size(); i += 2) {
         const YamlNode& key = node.items[i];
         if (key.kind != YamlNode::Kind::Scalar)
-            context_->add(placeOf(key), path_, "has a key that is no plain text");
+            context_->add(locationOf(key), path_, "has a key that is not a scalar");
         else if (find(key.scalar))
-            context_->add(placeOf(key), pathOf(key.scalar), "stands twice");
+            context_->add(locationOf(key), pathOf(key.scalar), "is listed twice");
         else
-            fields_.push_back({.key = key.scalar, .keyPlace = placeOf(key), .value = &node.items[i + 1]});
+            fields_.push_back({.key = key.scalar, .keyLocation = locationOf(key), .value = &node.items[i + 1]});
     }
 }
 
@@ -79,7 +79,7 @@
     return path_.empty() ? std::string(key) : path_ + "." + std::string(key);
 }
 
-Place YamlReader::placeOf(const YamlNode& node) const { return context_->place(node.line, node.column); }
+Place YamlReader::locationOf(const YamlNode& node) const { return context_->place(node.line, node.column); }
 
 YamlReader::Field* YamlReader::find(std::string_view key)
 {
@@ -94,29 +94,29 @@
         [key](const Field& field) { return field.key == key && field.value->kind != YamlNode::Kind::Null; });
 }
 
-void YamlReader::unreadable(std::string_view key, const Place& place, std::string message)
+void YamlReader::rejectField(std::string_view key, const Place& place, std::string message)
 {
-    unreadable_.emplace_back(key);
-    context_->noteUnreadable(entry_, pathOf(key));
+    invalidFields_.emplace_back(key);
+    context_->recordInvalidField(entry_, pathOf(key));
     context_->add(place, pathOf(key), std::move(message));
 }
 
-bool YamlReader::isUnreadable(std::string_view key) const
+bool YamlReader::isInvalid(std::string_view key) const
 {
-    return std::find(unreadable_.begin(), unreadable_.end(), key) != unreadable_.end();
+    return std::find(invalidFields_.begin(), invalidFields_.end(), key) != invalidFields_.end();
 }
 
-void YamlReader::fail(std::string_view key, std::string message)
+void YamlReader::addFinding(std::string_view key, std::string message)
 {
-    if (isUnreadable(key))
+    if (isInvalid(key))
         return;
     const Field* field = find(key);
-    unreadable(key, field ? placeOf(*field->value) : place_, std::move(message));
+    rejectField(key, field ? locationOf(*field->value) : place_, std::move(message));
 }
 
-void YamlReader::failItem(std::string_view key, const Place& place, std::string message)
+void YamlReader::addItemFinding(std::string_view key, const Place& place, std::string message)
 {
-    unreadable(key, place, std::move(message));
+    rejectField(key, place, std::move(message));
 }
 
 const YamlNode* YamlReader::value(std::string_view key, Presence presence)
@@ -125,13 +125,13 @@
     if (field)
         field->isRead = true;
     if (field && field->value->kind != YamlNode::Kind::Null) {
-        context_->noteField(entry_, pathOf(key), placeOf(*field->value));
+        context_->recordField(entry_, pathOf(key), locationOf(*field->value));
         return field->value;
     }
     if (field)
-        unreadable(key, field->keyPlace, "has no value");
+        rejectField(key, field->keyLocation, "has no value");
     else if (presence == Presence::Required)
-        unreadable(key, place_, "is missing");
+        rejectField(key, place_, "is missing");
     return nullptr;
 }
 
@@ -142,7 +142,7 @@
         return std::nullopt;
     if (node->kind == YamlNode::Kind::Scalar)
         return node->scalar;
-    unreadable(key, placeOf(*node), "must be a single value");
+    rejectField(key, locationOf(*node), "must be a single value");
     return std::nullopt;
 }
 
@@ -155,7 +155,7 @@
     const auto parsed = parseNumber<double>(*text);
     if (parsed && std::isfinite(*parsed) && field->value->isPlain)
         return parsed;
-    unreadable(key, placeOf(*field->value), "must be a number");
+    rejectField(key, locationOf(*field->value), "must be a number");
     return std::nullopt;
 }
 
@@ -166,7 +166,7 @@
         return nullptr;
     if (node->kind == YamlNode::Kind::Sequence)
         return node;
-    unreadable(key, placeOf(*node), "must be a list");
+    rejectField(key, locationOf(*node), "must be a list");
     return nullptr;
 }
 
@@ -178,20 +178,21 @@
 
 uint64_t YamlReader::integer(std::string_view key, IntegerRange range, std::optional<uint64_t> fallback)
 {
-    const uint64_t otherwise = fallback.value_or(range.least);
+    const uint64_t defaultValue = fallback.value_or(range.minimum);
     const auto found = scalar(key, presenceFor(fallback));
     if (!found)
-        return otherwise;
+        return defaultValue;
     const Field* field = find(key);
     const auto parsed = parseNumber<uint64_t>(*found);
     if (!parsed || !field->value->isPlain) {
-        unreadable(key, placeOf(*field->value), "must be a whole number");
-        return otherwise;
+        rejectField(key, locationOf(*field->value), "must be a whole number");
+        return defaultValue;
     }
-    if (*parsed >= range.least && *parsed <= range.most)
+    if (*parsed >= range.minimum && *parsed <= range.maximum)
         return *parsed;
-    unreadable(key, placeOf(*field->value), rangeText(std::to_string(range.least), std::to_string(range.most)));
-    return otherwise;
+    rejectField(
+        key, locationOf(*field->value), rangeText(std::to_string(range.minimum), std::to_string(range.maximum)));
+    return defaultValue;
 }
 
 double YamlReader::decimal(std::string_view key, std::optional<double> fallback)
@@ -202,17 +203,18 @@
 Duration YamlReader::duration(
     std::string_view key, Duration unit, std::optional<Duration> fallback, DurationRange range)
 {
-    const Duration otherwise = fallback.value_or(range.least);
+    const Duration defaultValue = fallback.value_or(range.minimum);
     const auto units = number(key, presenceFor(fallback));
     if (!units)
-        return otherwise;
+        return defaultValue;
     const double nanoseconds = *units * static_cast<double>(unit.count());
-    const bool isInRange = nanoseconds >= static_cast<double>(range.least.count())
-        && nanoseconds <= static_cast<double>(range.most.count());
+    const bool isInRange = nanoseconds >= static_cast<double>(range.minimum.count())
+        && nanoseconds <= static_cast<double>(range.maximum.count());
     if (isInRange)
         return Duration(std::llround(nanoseconds));
-    unreadable(key, placeOf(*find(key)->value), rangeText(inUnits(range.least, unit), inUnits(range.most, unit)));
-    return otherwise;
+    rejectField(key, locationOf(*find(key)->value),
+        rangeText(unitCountText(range.minimum, unit), unitCountText(range.maximum, unit)));
+    return defaultValue;
 }
 
 model::Address YamlReader::address(std::string_view key)
@@ -223,21 +225,21 @@
     const auto parsed = model::parseAddress(*found);
     if (parsed)
         return *parsed;
-    unreadable(key, placeOf(*find(key)->value), std::string(AddressRule));
+    rejectField(key, locationOf(*find(key)->value), std::string(AddressRule));
     return {};
 }
 
-std::vector<PlacedText> YamlReader::texts(std::string_view key, Presence presence)
+std::vector<LocatedText> YamlReader::texts(std::string_view key, Presence presence)
 {
-    std::vector<PlacedText> result;
+    std::vector<LocatedText> result;
     const auto items = sequence(key, presence);
     if (!items)
         return result;
     for (const YamlNode& item : items->items) {
         if (item.kind == YamlNode::Kind::Scalar)
-            result.push_back({.text = item.scalar, .place = placeOf(item)});
+            result.push_back({.text = item.scalar, .place = locationOf(item)});
         else
-            unreadable(key, placeOf(item), "must be a list of single values");
+            rejectField(key, locationOf(item), "must be a list of single values");
     }
     return result;
 }
@@ -249,7 +251,7 @@
         return std::nullopt;
     if (node->kind == YamlNode::Kind::Mapping)
         return YamlReader(*context_, *node, pathOf(key), entry_);
-    unreadable(key, placeOf(*node), "must be a mapping");
+    rejectField(key, locationOf(*node), "must be a mapping");
     return std::nullopt;
 }
 
@@ -260,20 +262,20 @@
     if (!items)
         return result;
     for (const YamlNode& item : items->items) {
-        const Place itemPlace = placeOf(item);
+        const Place itemLocation = locationOf(item);
         if (item.kind == YamlNode::Kind::Mapping)
-            result.push_back(YamlReader(*context_, item, pathOf(key), itemPlace));
+            result.push_back(YamlReader(*context_, item, pathOf(key), itemLocation));
         else
-            unreadable(key, itemPlace, "must be a list of mappings");
+            rejectField(key, itemLocation, "must be a list of mappings");
     }
     return result;
 }
 
-void YamlReader::finish()
+void YamlReader::reportUnknownKeys()
 {
     for (const Field& field : fields_) {
         if (!field.isRead)
-            context_->add(field.keyPlace, pathOf(field.key), "is no known key");
+            context_->add(field.keyLocation, pathOf(field.key), "is not a known key");
     }
 }
 
--- a/src/settings/routedhostsettings.h
+++ b/src/settings/routedhostsettings.h
@@ -20,59 +20,62 @@
 
 namespace saltvane::settings {
 
-/// Names of the headers that carry what a deployment's callers, targets and operators tell each other. The defaults
-/// are saltvane's own (docs/ROUTES.md); a platform that has others names them here.
+/// Names of the HTTP headers used between callers, targets, operators and saltvane (docs/ROUTES.md). A platform that
+/// already has headers for these purposes sets their names in the settings.
 struct HeaderNames {
-    std::string requestId = "Saltvane-Request-Id"; ///< Of one try of a caller; handed on and echoed by the target.
-    std::string deadline = "Saltvane-Deadline-Ms"; ///< Milliseconds left; handed on less what is used up.
-    std::string object = "Saltvane-Object"; ///< Equal for requests about one object; targets keep objects warm.
-    std::string clientKey = "Saltvane-Client-Key"; ///< Of a caller: a key of its client account; never handed on.
-    /// Told to targets: whose request it is. Where the plan names no accounts, callers may say so themselves; requests
-    /// of two accounts are never taken for the same.
+    /// Id of one attempt of a caller; forwarded, and echoed by the target.
+    std::string requestId = "Saltvane-Request-Id";
+    std::string deadline = "Saltvane-Deadline-Ms"; ///< Remaining milliseconds; forwarded after deducting the time used.
+    std::string object = "Saltvane-Object"; ///< Identifies the object of a request; targets keep objects warm.
+    std::string clientKey = "Saltvane-Client-Key"; ///< From a caller: a key of its client account; never forwarded.
+    /// Sent to targets: the client account of the request. If the plan has no accounts, callers may set it themselves.
+    /// Requests of two accounts are never treated as the same request.
     std::string clientAccount = "Saltvane-Client-Account";
-    std::string expectedTarget = "Saltvane-Expect-Target"; ///< Any other target answers 421.
-    std::string targetId = "Saltvane-Target"; ///< Of a target's answer to a probe: its id.
-    std::string load = "Saltvane-Load"; ///< Of a target: running, waiting and slots, joined by commas.
-    std::string notRun = "Saltvane-Not-Run"; ///< Of a target: it has not run the request.
-    /// Of a target: requests a second that it takes of all gateways together, as long as its answers say so.
+    std::string expectedTarget = "Saltvane-Expect-Target"; ///< A target with another id answers 421.
+    std::string targetId = "Saltvane-Target"; ///< From a target, in its response to a health probe: its id.
+    std::string load = "Saltvane-Load"; ///< From a target: running, waiting and slots, separated by commas.
+    std::string notRun = "Saltvane-Not-Run"; ///< From a target: it has not run the request.
+    /// From a target: requests per second that it accepts from all gateways together, for as long as its responses have
+    /// this header.
     std::string limit = "Saltvane-Limit";
-    std::string leaving = "Saltvane-Leaving"; ///< Of a target: 1, it leaves and wants no new work.
-    std::string planBase = "Saltvane-Plan-Base"; ///< Version that a new plan builds on.
+    std::string leaving = "Saltvane-Leaving"; ///< From a target: 1 if it is leaving and wants no new work.
+    std::string planBase = "Saltvane-Plan-Base"; ///< Version that a new plan is based on.
 };
 
-/// What all hosts together may spend on repeats of a service's requests.
+/// Limit on retries of a service's requests, over all hosts together.
 struct RetryLimit {
-    double ratio = 0.1; ///< Repeats per request.
-    double slack = 20; ///< Repeats in a window beyond that.
+    double ratio = 0.1; ///< Retries per request.
+    double slack = 20; ///< Additional retries per window.
 };
 
-/// Settings of a host that serves route plans: a gateway carries requests, a registry host holds the plan, hears the
-/// targets and answers look-ups. docs/SETTINGS.md
+/// Settings of a host that serves route plans (docs/SETTINGS.md). A gateway forwards requests; a registry host stores
+/// the plan, receives the reports of targets and answers look-ups.
 struct RoutedHostSettings {
     std::string deployment;
     bool isGateway = false;
     bool isRegistry = false;
     ZoneName zone;
     RegionName region;
-    std::map<ZoneName, RegionName> zones; ///< Of the whole deployment.
-    model::Address linkAddress; ///< By which other hosts reach this one; also its id.
-    model::Address linkListenAddress; ///< Where this host listens for them; differs where something stands in between.
+    std::map<ZoneName, RegionName> zones; ///< All zones of the deployment.
+    model::Address linkAddress; ///< Address at which other hosts reach this one; also its id.
+    model::Address
+        linkListenAddress; ///< Address that this host listens on; differs from linkAddress behind a proxy or NAT.
     std::vector<model::Address> seeds; ///< Link addresses of registry hosts.
-    model::Address frontAddress; ///< Gateway: callers.
-    model::Address readinessAddress; ///< Gateway: readiness checks.
-    model::Address controlAddress; ///< Registry: targets and operators.
-    model::Address directoryAddress; ///< Registry: callers' look-ups.
-    model::Address metricsAddress; ///< Port 0: none.
-    std::string dataFolder; ///< Registry.
-    bool isFirstStart = false; ///< Of the whole deployment, on empty disks.
+    model::Address frontAddress; ///< Gateway: for callers.
+    model::Address readinessAddress; ///< Gateway: for readiness checks.
+    model::Address controlAddress; ///< Registry: for targets and operators.
+    model::Address directoryAddress; ///< Registry: for look-ups of callers.
+    model::Address metricsAddress; ///< Port 0: no metrics endpoint.
+    std::string dataFolder; ///< Registry only.
+    bool isFirstStart = false; ///< First start of the whole deployment, on empty disks.
     std::string linkKey;
     HeaderNames headers;
     RetryLimit retries;
-    double shiftCap = 0.1; ///< Most of a region's requests that may change region within two seconds.
+    double shiftCap = 0.1; ///< Maximum fraction of a region's requests that may move to other regions within 2 s.
     Duration lookUpTtl = 2s;
-    Duration leaveLimit = 2500ms; ///< From the acknowledgement that a target leaves until it gets nothing more.
-    Duration planLimit = 2500ms; ///< From a plan's acknowledgement until it is in force everywhere.
-    double linkMegabits = 0; ///< Of this host's network link, a second; 0: unknown, and no limit.
+    Duration leaveLimit = 2500ms; ///< From acknowledging that a target leaves until it gets no more requests.
+    Duration planLimit = 2500ms; ///< From acknowledging a plan until it is in force on all hosts.
+    double linkMegabits = 0; ///< Capacity of this host's network link, in Mbit/s; 0: unknown, no limit.
     Limits limits;
 
     [[nodiscard]] HostId host() const { return HostId(toString(linkAddress)); }
@@ -81,7 +84,7 @@
 [[nodiscard]] Result<RoutedHostSettings, Findings> parseRoutedHostSettings(
     std::string_view text, std::string_view sourceName);
 
-/// Of either kind, by the roles that the file names.
+/// Settings of either kind, depending on the roles in the file.
 using AnyHostSettings = std::variant<HostSettings, RoutedHostSettings>;
 [[nodiscard]] Result<AnyHostSettings, Findings> loadAnyHostSettings(const std::string& path);
 
--- a/src/settings/routeplanformat.h
+++ b/src/settings/routeplanformat.h
@@ -13,12 +13,12 @@
 
 namespace saltvane::settings {
 
-/// Reads a route plan (JSON, docs/ROUTES.md) and checks it whole: all findings with their places. Unknown fields are
-/// ignored, so that a newer operators' tool can talk to an older host.
+/// Parses and checks a route plan (JSON, docs/ROUTES.md). Reports all findings with their locations. Unknown fields are
+/// ignored, so that a newer operator tool works with an older host.
 [[nodiscard]] Result<model::RoutePlan, Findings> parseRoutePlan(std::string_view text, const std::string& sourceName);
 
-/// The plan's text with its lists of routes and client accounts empty, which costs little to parse; the text itself
-/// where it has no list of routes.
+/// The plan's text with empty lists of routes and client accounts, which is cheap to parse. Returns the text unchanged
+/// if it has no list of routes.
 [[nodiscard]] std::string withoutLists(std::string_view plan);
 
 } // namespace saltvane::settings
--- a/src/settings/routeplanreader.h
+++ b/src/settings/routeplanreader.h
@@ -20,9 +20,10 @@
 
 namespace saltvane::settings {
 
-/// Reads one route plan after the other, with the same results as parseRoutePlan. Routes and client accounts whose text
-/// did not change are taken over from the plan before: a change costs what it changes, and a look over the text. Read
-/// whole, a plan of 19,000 routes takes 0.1 s of a core, which is a second of a host that has a tenth of one.
+/// Parses successive versions of a route plan, with the same results as parseRoutePlan(). Routes and client accounts
+/// whose text did not change are reused from the previous plan, so that an update costs one scan of the text and the
+/// parsing of what changed. Parsing a plan of 19,000 routes completely takes 0.1 s of a core: 1 s on a host that has a
+/// tenth of one.
 class RoutePlanReader {
 public:
     RoutePlanReader();
@@ -30,57 +31,57 @@
     RoutePlanReader(RoutePlanReader&&) noexcept;
     RoutePlanReader& operator=(RoutePlanReader&&) noexcept;
 
-    /// The client accounts alone; none where the text can't be taken apart or one of them is not as it should be.
+    /// Reads only the client accounts; no value if the text cannot be split or an account is invalid.
     [[nodiscard]] std::optional<std::vector<model::AccountRef>> readAccounts(std::string_view text);
     [[nodiscard]] Result<model::RoutePlan, Findings> read(std::string_view text, const std::string& sourceName);
-    /// Takes a plan apart to be read in parts ahead of read(), which then only looks it through. One at a time; the
-    /// text stays where it is until prepareSome() has told its end.
+    /// Starts reading a plan ahead of read(), which then only scans the text. One plan at a time; `text` must remain
+    /// valid until prepareSome() has returned true.
     void prepare(std::string_view text);
-    /// Reads so many of its new routes and accounts; true: nothing is left to be read ahead.
+    /// Parses up to `items` of the plan's new routes and accounts. Returns true when nothing is left to read ahead.
     [[nodiscard]] bool prepareSome(size_t items);
 
-    /// Of the last plan: routes that the one before did not have.
-    [[nodiscard]] size_t newRoutes() const { return routes_.fresh.size(); }
-    /// The same of client accounts.
-    [[nodiscard]] size_t newAccounts() const { return accounts_.fresh.size(); }
+    /// Number of routes in the last plan that the previous plan did not have.
+    [[nodiscard]] size_t newRoutes() const { return routes_.added.size(); }
+    /// The same for client accounts.
+    [[nodiscard]] size_t newAccounts() const { return accounts_.added.size(); }
 
 private:
     using TextDigest = std::pair<uint64_t, uint64_t>;
-    template <typename Ref> struct Known {
+    template <typename Ref> struct Cached {
         TextDigest digest;
         Ref item;
     };
-    /// A list of the plan whose items are known by their texts.
+    /// State of one list of the plan, whose items are cached by the digests of their texts.
     template <typename Ref> struct List {
-        std::vector<Known<Ref>> known; ///< Of the last plan that had no findings, in its order.
-        std::vector<Known<Ref>> read; ///< Of the plan that is being read.
-        std::vector<size_t> fresh; ///< Positions in it of items that are not known.
-        std::unordered_map<uint64_t, Known<Ref>> prepared; ///< Read ahead, by the first half of their digests.
+        std::vector<Cached<Ref>> cached; ///< Items of the last plan without findings, in its order.
+        std::vector<Cached<Ref>> read; ///< Items of the plan that is being read.
+        std::vector<size_t> added; ///< Indices into `read` of the items that were not cached.
+        std::unordered_map<uint64_t, Cached<Ref>> itemsReadAhead; ///< By the first half of the digest.
         [[nodiscard]] bool isSame() const
         {
-            return std::ranges::equal(read, known, {}, &Known<Ref>::item, &Known<Ref>::item);
+            return std::ranges::equal(read, cached, {}, &Cached<Ref>::item, &Cached<Ref>::item);
         }
     };
-    template <typename Ref> class Finder;
-    struct Preparation;
+    template <typename Ref> class CachedItemFinder;
+    struct ReadAheadState;
 
     [[nodiscard]] static TextDigest digestOf(std::string_view text);
-    template <typename Ref> [[nodiscard]] static std::vector<Ref> refsOf(std::span<const Known<Ref>> list);
-    /// `readItem` reads one whose text is not known, at its position.
+    template <typename Ref> [[nodiscard]] static std::vector<Ref> refsOf(std::span<const Cached<Ref>> list);
+    /// Fills `list` from `texts`. `readItem(json, index)` parses an item that is neither cached nor read ahead.
     template <typename Ref, typename ReadItem>
     static void readList(List<Ref>& list, std::span<const std::string_view> texts, const ReadItem& readItem);
-    /// None where anything is wrong.
+    /// Reads the plan item by item; no value if anything in it is invalid.
     [[nodiscard]] std::optional<model::RoutePlan> readParts(std::string_view text, const std::string& sourceName);
 
-    /// Reads ahead up to so many items from `next` on; gives how many are left of that number.
+    /// Reads ahead up to `items` items from index `next` on. Returns how many of that number remain.
     template <typename Ref, typename ReadItem>
-    static size_t prepareList(
+    static size_t readListAhead(
         List<Ref>& list, std::span<const std::string_view> texts, size_t& next, size_t items, const ReadItem& readItem);
 
-    std::unique_ptr<Preparation> preparation_;
+    std::unique_ptr<ReadAheadState> readAheadState_;
     List<model::RouteRef> routes_;
     List<model::AccountRef> accounts_;
-    std::vector<ServiceName> services_; ///< Of the last plan that had no findings.
+    std::vector<ServiceName> services_; ///< Services of the last plan without findings.
 };
 
 } // namespace saltvane::settings
--- a/src/settings/tests/bundletests.cpp
+++ b/src/settings/tests/bundletests.cpp
@@ -27,7 +27,7 @@
 
 TEST(BundleTest, ReadsEveryField)
 {
-    const auto result = parseBundle(GoodBundle, "bundle.yaml");
+    const auto result = parseBundle(ValidBundle, "bundle.yaml");
     ASSERT_TRUE(result) << toString(result.error().items().front());
     const model::Bundle& bundle = result.value();
     EXPECT_EQ(bundle.deployment, "test");
@@ -49,9 +49,9 @@
     EXPECT_EQ(service.maximumDeadline, 60s);
 }
 
-TEST(BundleTest, FiveMistakesOfAllKindsGiveFiveFindingsWithTheirPlaces)
+TEST(BundleTest, FiveDifferentErrorsGiveFiveFindingsWithTheirLocations)
 {
-    std::string text = changed(GoodBundle, "version: 7", "version: seven");
+    std::string text = changed(ValidBundle, "version: 7", "version: seven");
     text = changed(text, "zones: [n1, n2]", "zones: [n1, n1]");
     text = changed(text, "10.0.0.0/8", "10.0.0.1/8");
     text = changed(text, "{zone: n1, open: 0.5}", "{zone: n1, open: 1.5}");
@@ -61,7 +61,7 @@
             "19:26 services.zones.open"}));
 }
 
-TEST(BundleTest, EachMistakeGivesItsOneFinding)
+TEST(BundleTest, EachErrorGivesExactlyOneFinding)
 {
     const std::vector<BundleChange> changes {
         {"deployment: test\n", "", "1:1 deployment"},
@@ -90,12 +90,12 @@
         {"default_deadline_ms: 500", "entry_ttl_s: 1e300", "24:18 services.entry_ttl_s"},
     };
     for (const BundleChange& change : changes) {
-        const std::string text = changed(GoodBundle, change.from, change.to);
+        const std::string text = changed(ValidBundle, change.from, change.to);
         EXPECT_EQ(bundleFindings(text), (Summary {change.finding})) << change.from << " -> " << change.to;
     }
 }
 
-TEST(BundleTest, AFileThatCannotBeReadIsAFinding)
+TEST(BundleTest, UnreadableFileIsReportedAsAFinding)
 {
     const auto result = loadBundle(SALTVANE_SOURCE_DIR "/no-such-file.yaml");
     ASSERT_FALSE(result);
--- a/src/settings/tests/exampledeploymenttests.cpp
+++ b/src/settings/tests/exampledeploymenttests.cpp
@@ -24,7 +24,7 @@
     return text;
 }
 
-/// The committed example deployments under deployments/.
+/// Checks the example deployments in deployments/.
 class ExampleDeploymentTest : public testing::TestWithParam<const char*> {
 protected:
     [[nodiscard]] std::filesystem::path folder() const
@@ -54,7 +54,7 @@
     }
 };
 
-TEST_P(ExampleDeploymentTest, BundlesAreFreeOfFindingsAndNumbered)
+TEST_P(ExampleDeploymentTest, BundlesAreValidAndNumberedInSequence)
 {
     uint64_t version = 0;
     for (const std::string& file : filesIn("bundles")) {
@@ -67,7 +67,7 @@
     EXPECT_EQ(version, 2);
 }
 
-TEST_P(ExampleDeploymentTest, HostsAgreeWithEachOtherAndTheBundle)
+TEST_P(ExampleDeploymentTest, HostSettingsAreConsistentWithEachOtherAndTheBundle)
 {
     const auto bundle = loadBundle((folder() / "bundles/0001.yaml").string());
     ASSERT_TRUE(bundle);
--- a/src/settings/tests/hostsettingstests.cpp
+++ b/src/settings/tests/hostsettingstests.cpp
@@ -27,7 +27,7 @@
 
 TEST(HostSettingsTest, ReadsEveryField)
 {
-    const auto result = parseHostSettings(GoodHost, "host.yaml");
+    const auto result = parseHostSettings(ValidHost, "host.yaml");
     ASSERT_TRUE(result) << toString(result.error().items().front());
     const HostSettings& settings = result.value();
     EXPECT_EQ(settings.deployment, "test");
@@ -50,7 +50,7 @@
     EXPECT_EQ(settings.limits.headerTimeout, Limits {}.headerTimeout);
 }
 
-TEST(HostSettingsTest, FiveMistakesGiveFiveFindingsWithTheirPlaces)
+TEST(HostSettingsTest, FiveErrorsGiveFiveFindingsWithTheirLocations)
 {
     const std::string text = R"(deployment: test
 host: n1-1
@@ -67,7 +67,7 @@
         (Summary {"1:1 region", "4:16 roles", "5:16 entry_address", "8:51 control_hosts.port", "9:11 link_key"}));
 }
 
-TEST(HostSettingsTest, EachMistakeGivesItsOneFinding)
+TEST(HostSettingsTest, EachErrorGivesExactlyOneFinding)
 {
     const std::vector<HostChange> changes {
         {"host: n1-1\nzone", "host: n1-1\nhost: n1-1\nzone", "3:1 host"},
@@ -103,39 +103,39 @@
         {"limits:", "? [a]\n: b\nlimits:", "20:3 "},
     };
     for (const HostChange& change : changes) {
-        const std::string text = changed(GoodHost, change.from, change.to);
+        const std::string text = changed(ValidHost, change.from, change.to);
         EXPECT_EQ(hostFindings(text), (Summary {change.finding})) << change.from << " -> " << change.to;
     }
 }
 
-TEST(HostSettingsTest, AHostWithoutControlNeedsNoDataFolder)
+TEST(HostSettingsTest, HostWithoutControlRoleNeedsNoDataFolder)
 {
-    std::string text = changed(GoodHost, "[entry, control]", "[entry]");
+    std::string text = changed(ValidHost, "[entry, control]", "[entry]");
     text = changed(text, "data_folder: run/n1-1\n", "");
     EXPECT_EQ(hostFindings(text), (Summary {"10:3 control_hosts"}));
     text = changed(text, "  - {host: n1-1, link_address: \"127.0.0.1:18081\"}\n", "");
     EXPECT_EQ(hostFindings(text), Summary {});
 }
 
-TEST(HostSettingsTest, MessagesNeverQuoteSecrets)
+TEST(HostSettingsTest, MessagesNeverContainSecrets)
 {
-    const auto result = parseHostSettings(changed(GoodHost, "0123456789abcdef0123456789abcdef", "hush"), "host.yaml");
+    const auto result = parseHostSettings(changed(ValidHost, "0123456789abcdef0123456789abcdef", "hush"), "host.yaml");
     ASSERT_FALSE(result);
     EXPECT_EQ(toString(result.error().items().front()), "host.yaml:13:11: link_key: must have at least 32 bytes");
 }
 
-TEST(HostSettingsTest, UnparsableTextGivesOneFindingWithItsPlace)
+TEST(HostSettingsTest, UnparsableTextGivesOneFindingWithItsLocation)
 {
     EXPECT_EQ(hostFindings("deployment: test\nhost: [a, b\nzone: x"), (Summary {"3:5 "}));
     EXPECT_EQ(hostFindings(""), (Summary {"1:1 "}));
     EXPECT_EQ(hostFindings("- a"), (Summary {"1:1 "}));
-    EXPECT_EQ(hostFindings(","), (Summary {"1:1 "})); // endless documents to YAML::LoadAll
+    EXPECT_EQ(hostFindings(","), (Summary {"1:1 "})); // YAML::LoadAll() would return documents endlessly.
     EXPECT_EQ(hostFindings("host: &a x\nzone: *a"), (Summary {"2:7 "}));
     EXPECT_EQ(hostFindings("a: b\n---\nc: d"), (Summary {"1:1 "}));
     EXPECT_EQ(hostFindings(std::string(100000, '[')).size(), 1);
 }
 
-TEST(HostSettingsTest, AFileThatCannotBeReadIsAFinding)
+TEST(HostSettingsTest, UnreadableFileIsReportedAsAFinding)
 {
     for (const std::string path : {SALTVANE_SOURCE_DIR "/no-such-file.yaml", SALTVANE_SOURCE_DIR}) {
         const auto result = loadHostSettings(path);
--- a/src/settings/tests/mutationtests.cpp
+++ b/src/settings/tests/mutationtests.cpp
@@ -17,7 +17,7 @@
 constexpr int RoundsPerText = 4000;
 constexpr std::string_view Replacements = "\n \t:-,[]{}#&*!|>'\"%@`?~0a\x01\x7f\xff\xc3.";
 
-/// Damages texts the way editors and broken copies do.
+/// Corrupts texts as editing mistakes and incomplete copies do.
 class Mutator {
 public:
     std::string mutate(std::string text)
@@ -29,9 +29,9 @@
     }
 
 private:
-    size_t draw(size_t least, size_t most)
+    size_t draw(size_t minimum, size_t maximum)
     {
-        return boost::random::uniform_int_distribution<size_t>(least, most)(random_);
+        return boost::random::uniform_int_distribution<size_t>(minimum, maximum)(random_);
     }
 
     void mutateOnce(std::string& text)
@@ -59,8 +59,8 @@
     boost::random::mt19937 random_ {Seed};
 };
 
-/// Either a value, or findings that each have a place and a message.
-template <typename Parsed> bool isWhole(const Parsed& result)
+/// Whether the result is a value, or findings that all have a location and a message.
+template <typename Parsed> bool isValueOrLocatedFindings(const Parsed& result)
 {
     if (result)
         return true;
@@ -71,17 +71,17 @@
     return !result.error().isEmpty();
 }
 
-TEST(MutationTest, DamagedTextsAreParsedOrRefusedWithPlaces)
+TEST(MutationTest, CorruptedTextsAreParsedOrRejectedWithLocations)
 {
     Mutator mutator;
     int refused = 0;
-    for (const char* original : {GoodHost, GoodBundle}) {
+    for (const char* original : {ValidHost, ValidBundle}) {
         for (int round = 0; round < RoundsPerText; ++round) {
             const std::string text = mutator.mutate(original);
             const auto settings = parseHostSettings(text, "damaged.yaml");
             const auto bundle = parseBundle(text, "damaged.yaml");
-            ASSERT_TRUE(isWhole(settings)) << text;
-            ASSERT_TRUE(isWhole(bundle)) << text;
+            ASSERT_TRUE(isValueOrLocatedFindings(settings)) << text;
+            ASSERT_TRUE(isValueOrLocatedFindings(bundle)) << text;
             refused += settings || bundle ? 0 : 1;
         }
     }
--- a/src/settings/tests/routedhosttests.cpp
+++ b/src/settings/tests/routedhosttests.cpp
@@ -41,7 +41,7 @@
 
 } // namespace
 
-TEST(RoutedHostTest, ReadsAGateway)
+TEST(RoutedHostTest, ReadsGatewaySettings)
 {
     const Result<RoutedHostSettings, Findings> read = parseRoutedHostSettings(Gateway, "host.yaml");
     ASSERT_TRUE(read) << findingsOf(Gateway);
@@ -58,7 +58,7 @@
     EXPECT_FALSE(settings.isFirstStart);
 }
 
-TEST(RoutedHostTest, ReadsWhereItListensForLinksAndItsLongestHead)
+TEST(RoutedHostTest, ReadsLinkListenAddressAndHeaderLimit)
 {
     const std::string text = Gateway + "link_listen_address: \"10.0.0.2:7001\"\nheader_bytes: 2048\n";
     const Result<RoutedHostSettings, Findings> read = parseRoutedHostSettings(text, "host.yaml");
@@ -68,7 +68,7 @@
     EXPECT_EQ(read.value().limits.requestHeaderBytes, 2048U);
 }
 
-TEST(RoutedHostTest, FindsWhatIsWrongWithItsPlace)
+TEST(RoutedHostTest, ReportsErrorsWithTheirLocations)
 {
     EXPECT_NE(findingsOf(Gateway + "colour: red\n").find("host.yaml:16"), std::string::npos);
     EXPECT_NE(findingsOf(Gateway + "first_start: maybe\n").find("first_start"), std::string::npos);
--- a/src/settings/tests/routeplanreadertests.cpp
+++ b/src/settings/tests/routeplanreadertests.cpp
@@ -44,7 +44,7 @@
     return accounts;
 }
 
-/// What a plan says, or what is wrong with it.
+/// The content of a plan as text, or its findings.
 std::string describe(const Result<model::RoutePlan, Findings>& plan)
 {
     std::string text;
@@ -72,8 +72,8 @@
 
 } // namespace
 
-/// Guards against hosts that stand still while they read a large plan anew for each change of it.
-TEST(RoutePlanReaderTest, AChangeOfOneRouteReadsOneRoute)
+/// A host that parsed a large plan completely on each update would stall meanwhile.
+TEST(RoutePlanReaderTest, OnlyAChangedRouteIsParsed)
 {
     constexpr size_t Routes = 5000;
     RoutePlanReader reader;
@@ -92,7 +92,7 @@
     EXPECT_EQ(reader.newRoutes(), 1U);
 }
 
-TEST(RoutePlanReaderTest, APlanThatWasReadAheadIsReadByALookOverItsText)
+TEST(RoutePlanReaderTest, PlanThatWasReadAheadIsNotParsedAgain)
 {
     constexpr size_t Routes = 100;
     constexpr size_t Part = 30;
@@ -110,10 +110,10 @@
     EXPECT_EQ(reader.newRoutes(), Routes);
     EXPECT_EQ(describe(read), describe(parseRoutePlan(text, "plan")));
     reader.prepare(text);
-    EXPECT_TRUE(reader.prepareSome(1)); // All of it is known.
+    EXPECT_TRUE(reader.prepareSome(1)); // All items are cached.
 }
 
-TEST(RoutePlanReaderTest, AChangeOfOneAccountReadsOneAccount)
+TEST(RoutePlanReaderTest, OnlyAChangedAccountIsParsed)
 {
     constexpr size_t Accounts = 5000;
     RoutePlanReader reader;
@@ -128,7 +128,7 @@
     EXPECT_EQ(changed.value().accounts.at(77)->account.keys.back(), "another");
 }
 
-TEST(RoutePlanReaderTest, AnAccountThatTakesTheOthersPlaceIsFoundTwice)
+TEST(RoutePlanReaderTest, AccountListedTwiceIsFoundAmongCachedAccounts)
 {
     RoutePlanReader reader;
     Json plan = planOf(1);
@@ -140,25 +140,25 @@
     EXPECT_EQ(describe(refused), describe(parseRoutePlan(plan.dump(), "plan")));
 }
 
-TEST(RoutePlanReaderTest, FindingsOfAccountsHaveTheirPlacesAndTellNoKeys)
+TEST(RoutePlanReaderTest, FindingsOfAccountsHaveLocationsAndContainNoKeys)
 {
     Json plan = planOf(1);
     plan["client_accounts"]
         = {{{"name", "a"}, {"keys", {"secret-1", "secret-2"}}}, {{"name", "b"}, {"keys", {"secret-2"}}},
             {{"name", "a"}, {"keys", {""}}}, {{"name", ""}, {"keys", Json::array()}}};
     EXPECT_EQ(describe(parseRoutePlan(plan.dump(), "plan")),
-        "plan: client_accounts[1].keys: client_accounts[0] holds one of these keys, too\n"
+        "plan: client_accounts[1].keys: client_accounts[0] has one of these keys too\n"
         "plan: client_accounts[2].name: another account has this name: 'a'\n"
         "plan: client_accounts[2].keys: must not hold an empty key\n"
         "plan: client_accounts[3].name: must not be empty\n");
     plan["client_accounts"] = {{{"name", "a"}, {"keys", {"secret-1", 7}}, {"rate_per_s", -1}, {"rank", "high"}}};
     EXPECT_EQ(describe(parseRoutePlan(plan.dump(), "plan")),
-        "plan: client_accounts[0].keys: must hold names\n"
-        "plan: client_accounts[0].rate_per_s: must be a number from 0\n"
-        "plan: client_accounts[0].rank: must be a whole number from 0\n");
+        "plan: client_accounts[0].keys: must contain only strings\n"
+        "plan: client_accounts[0].rate_per_s: must be a number that is not negative\n"
+        "plan: client_accounts[0].rank: must be a whole number that is not negative\n");
 }
 
-TEST(RoutePlanReaderTest, ARefusedPlanChangesNothing)
+TEST(RoutePlanReaderTest, RejectedPlanLeavesTheCacheUnchanged)
 {
     RoutePlanReader reader;
     Json plan = planOf(10);
@@ -170,7 +170,7 @@
     EXPECT_EQ(reader.newRoutes(), 0U);
 }
 
-TEST(RoutePlanReaderTest, ARouteThatIsKnownIsCheckedAgainWhereServicesChange)
+TEST(RoutePlanReaderTest, CachedRouteIsCheckedAgainWhenServicesChange)
 {
     RoutePlanReader reader;
     Json plan = planOf(10);
@@ -181,10 +181,10 @@
     EXPECT_EQ(refused.error().items().size(), 5U);
 }
 
-/// Whatever the text: the same plan or the same findings as when it is read whole.
-TEST(RoutePlanReaderTest, ReadsChangedAndDamagedPlansAsTheyAreReadWhole)
+/// For any text, the reader returns the same plan or the same findings as parseRoutePlan().
+TEST(RoutePlanReaderTest, ChangedAndCorruptedPlansGiveTheResultsOfTheFullParser)
 {
-    std::mt19937 random(5); // NOLINT(cert-msc32-c,cert-msc51-cpp): the same each time.
+    std::mt19937 random(5); // NOLINT(cert-msc32-c,cert-msc51-cpp): reproducible on purpose.
     const auto draw = [&](size_t below) { return random() % below; };
     RoutePlanReader reader;
     Json plan = planOf(12);
@@ -223,14 +223,14 @@
             while (draw(8) != 0 && !reader.prepareSome(draw(5)))
                 continue;
         }
-        const Result<model::RoutePlan, Findings> given = reader.read(text, "plan");
-        read += given ? 1 : 0;
-        ASSERT_EQ(describe(given), describe(parseRoutePlan(text, "plan"))) << text;
+        const Result<model::RoutePlan, Findings> actual = reader.read(text, "plan");
+        read += actual ? 1 : 0;
+        ASSERT_EQ(describe(actual), describe(parseRoutePlan(text, "plan"))) << text;
     }
     EXPECT_GT(read, 500U);
 }
 
-TEST(RoutePlanReaderTest, WithoutItsRoutesAPlanKeepsTheRest)
+TEST(RoutePlanReaderTest, PlanWithoutListsKeepsAllOtherFields)
 {
     Json plan = planOf(3);
     Json rest = plan;
--- a/src/settings/tests/routeplantests.cpp
+++ b/src/settings/tests/routeplantests.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-const std::string Good = R"({"version": 7,
+const std::string ValidPlan = R"({"version": 7,
  "routes": [
   {"name": "a", "host": "h", "path_prefix": "/a/", "kind": "at_most_once", "timeout_ms": 4000, "objective_ms": 600.5,
    "rank": 1, "service": "s", "attempts": 2, "affinity": true, "permitted_regions": ["north"], "unknown": 1},
@@ -44,8 +44,8 @@
 
 TEST(RoutePlanTest, ReadsEveryField)
 {
-    const Result<model::RoutePlan, Findings> plan = parseRoutePlan(Good, "plan");
-    ASSERT_TRUE(plan) << findingsOf(Good);
+    const Result<model::RoutePlan, Findings> plan = parseRoutePlan(ValidPlan, "plan");
+    ASSERT_TRUE(plan) << findingsOf(ValidPlan);
     const model::Route& route = plan.value().routes.at(0)->route;
     EXPECT_EQ(plan.value().version.value, 7U);
     EXPECT_EQ(route.kind, model::RouteKind::AtMostOnce);
@@ -58,41 +58,43 @@
     EXPECT_EQ(plan.value().limits.bodyBytes, 2000U);
 }
 
-TEST(RoutePlanTest, FindsWhatIsWrongWithItsPlace)
+TEST(RoutePlanTest, ReportsErrorsWithTheirLocations)
 {
-    EXPECT_NE(findingsOf(replaced(Good, "\"service\": \"s\", \"attempts\"", "\"service\": \"x\", \"attempts\""))
+    EXPECT_NE(findingsOf(replaced(ValidPlan, "\"service\": \"s\", \"attempts\"", "\"service\": \"x\", \"attempts\""))
                   .find("routes[0].service"),
         std::string::npos);
-    EXPECT_NE(findingsOf(replaced(Good, "at_most_once", "once")).find("routes[0].kind"), std::string::npos);
-    EXPECT_NE(findingsOf(replaced(Good, "\"attempts\": 2", "\"attempts\": 0")).find("attempts"), std::string::npos);
-    EXPECT_NE(findingsOf(replaced(Good, "600.5", "64000")).find("objective_ms"), std::string::npos);
-    EXPECT_EQ(findingsOf(replaced(Good, "600.5", "63999")), "");
-    EXPECT_NE(findingsOf(replaced(Good, "\"weight\": 90", "\"weight\": 0")).find("sum to 0"), std::string::npos);
-    EXPECT_NE(findingsOf(replaced(Good, "\"version\": 7", "\"version\": \"7\"")).find("version"), std::string::npos);
-    EXPECT_NE(findingsOf(Good.substr(0, 200)).find("plan:"), std::string::npos);
+    EXPECT_NE(findingsOf(replaced(ValidPlan, "at_most_once", "once")).find("routes[0].kind"), std::string::npos);
+    EXPECT_NE(
+        findingsOf(replaced(ValidPlan, "\"attempts\": 2", "\"attempts\": 0")).find("attempts"), std::string::npos);
+    EXPECT_NE(findingsOf(replaced(ValidPlan, "600.5", "64000")).find("objective_ms"), std::string::npos);
+    EXPECT_EQ(findingsOf(replaced(ValidPlan, "600.5", "63999")), "");
+    EXPECT_NE(findingsOf(replaced(ValidPlan, "\"weight\": 90", "\"weight\": 0")).find("sum to 0"), std::string::npos);
+    EXPECT_NE(
+        findingsOf(replaced(ValidPlan, "\"version\": 7", "\"version\": \"7\"")).find("version"), std::string::npos);
+    EXPECT_NE(findingsOf(ValidPlan.substr(0, 200)).find("plan:"), std::string::npos);
 }
 
-TEST(RoutePlanTest, ASyntaxErrorHasItsLine)
+TEST(RoutePlanTest, SyntaxErrorIsReportedWithItsLine)
 {
     const std::string text = findingsOf("{\"version\": 7,\n \"routes\": ]}");
     EXPECT_NE(text.find("plan:2:"), std::string::npos) << text;
 }
 
-TEST(RoutePlanTest, AllFindingsComeAtOnce)
+TEST(RoutePlanTest, AllFindingsAreReportedAtOnce)
 {
-    std::string text = replaced(Good, "at_most_once", "once");
+    std::string text = replaced(ValidPlan, "at_most_once", "once");
     text = replaced(text, "\"timeout_ms\": 1500, ", "");
     const std::string all = findingsOf(text);
     EXPECT_NE(all.find("routes[0].kind"), std::string::npos);
     EXPECT_NE(all.find("routes[1].timeout_ms"), std::string::npos);
 }
 
-/// Damaged plans are refused or read, and never do harm.
-TEST(RoutePlanTest, DamagedPlansDoNoHarm)
+/// Every corrupted plan is either parsed or rejected with findings.
+TEST(RoutePlanTest, CorruptedPlansAreParsedOrRejected)
 {
     std::mt19937 random(7);
     for (int round = 0; round < 5000; ++round) {
-        std::string text = Good;
+        std::string text = ValidPlan;
         for (uint32_t change = random() % 4 + 1; change > 0; --change) {
             const size_t at = random() % text.size();
             switch (random() % 3) {
@@ -111,16 +113,17 @@
     }
 }
 
-// Found by the fuzzer: the exception left the reader and ended the process, on each host that was told the plan.
-TEST(RoutePlanTest, ANumberBeyondAllRangesIsAFinding)
+// A number out of range makes the JSON library throw. Uncaught, the exception ended the process of each host that
+// received the plan.
+TEST(RoutePlanTest, NumberBeyondTheRangeOfDoubleIsAFinding)
 {
     for (const char* text : {R"({"version":1e999})", R"({"version":1,"routes":[{"timeout_ms":15e3333333333}]})"})
         EXPECT_FALSE(parseRoutePlan(text, "plan")) << text;
 }
 
-// Found by the fuzzer: a time of over three hundred years overflowed, with a value that depends on the machine. Beside
-// it, whole numbers over 32 bits were cut: a route with 2^32 + 1 attempts had one.
-TEST(RoutePlanTest, ANumberThatDoesNotFitIsAFinding)
+// Durations of over three hundred years must not overflow (the resulting value depends on the machine), and whole
+// numbers must not be truncated to 32 bits: a route with 2^32 + 1 attempts would get one attempt.
+TEST(RoutePlanTest, NumberThatDoesNotFitItsFieldIsAFinding)
 {
     const auto planWith = [](const std::string& route, const std::string& service) {
         return R"({"version":1,"routes":[{"name":"r","host":"h","path_prefix":"/p/","kind":"repeatable","timeout_ms":1000,)"
--- a/src/settings/tests/sampletexts.h
+++ b/src/settings/tests/sampletexts.h
@@ -12,7 +12,7 @@
 
 namespace saltvane::settings {
 
-constexpr const char* GoodHost = R"(deployment: test
+constexpr const char* ValidHost = R"(deployment: test
 host: n1-1
 zone: n1
 region: north
@@ -36,7 +36,7 @@
   idle_timeout_s: 2.5
 )";
 
-constexpr const char* GoodBundle = R"(deployment: test
+constexpr const char* ValidBundle = R"(deployment: test
 version: 7
 objective: headroom
 delays: {between_zones_ms: 1.5, between_regions_ms: 12, to_clients_ms: 1}
@@ -72,7 +72,7 @@
     return result;
 }
 
-/// `text` with the first `from` replaced.
+/// `text` with the first occurrence of `from` replaced by `to`.
 inline std::string changed(std::string text, const std::string& from, const std::string& to)
 {
     const size_t start = text.find(from);
