--- a/src/model/controlmessages.h
+++ b/src/model/controlmessages.h
@@ -119,7 +119,7 @@
     std::string bytes;
     Duration age {}; ///< As in BundlePush.
     uint64_t pull = 0; ///< Number of the pull that this answers; 0: sent without a pull.
-    LogPosition base {}; ///< State used as the compression dictionary; position 0: none.
+    LogPosition base {}; ///< State that it was compressed against; position 0: none.
 };
 
 /// Requests the bundle or plan in force. Answered with BundlePush or the first BundlePart if the answering host has a
--- a/src/model/counters.h
+++ b/src/model/counters.h
@@ -56,7 +56,7 @@
     LinkBytes, ///< Bytes of frames queued for other hosts.
     BundleBytes, ///< The part of LinkBytes that carries plans and bundles to hosts that use them.
     RowMoves, ///< Ticks in which a route row moved.
-    RowMovesCapped, ///< Ticks in which the shift cap held a row back.
+    RowMovesCapped, ///< Ticks in which the shift cap limited the move of a route row.
     TargetsLostUnderRequests, ///< Runs that this host saw fail because their target ended.
     RequestsBlamed, ///< Requests that this host found to end the targets that run them.
     LimitedDispatches, ///< Requests sent to targets whose answers name a limit.
--- a/src/model/internal/addressprefix.cpp
+++ b/src/model/internal/addressprefix.cpp
@@ -21,10 +21,10 @@
 
 uint64_t readBigEndian(const unsigned char* bytes, size_t count)
 {
-    uint64_t number = 0;
+    uint64_t result = 0;
     for (size_t i = 0; i < count; ++i)
-        number = (number << 8) | bytes[i];
-    return number;
+        result = (result << 8) | bytes[i];
+    return result;
 }
 
 IpAddress ipv4(uint64_t number)
@@ -40,6 +40,7 @@
     return AllBits >> prefixBits;
 }
 
+/// Mask of the bits of a key that follow its first `length` bits.
 AddressKey suffixMaskOf(uint32_t length)
 {
     const uint32_t lowPrefixBits = length > WordBits ? length - WordBits : 0;
--- a/src/model/internal/prefixtable.h
+++ b/src/model/internal/prefixtable.h
@@ -43,8 +43,8 @@
 
     std::vector<AddressKey> starts_; ///< First key of each range, ascending; the first is 0.
     std::vector<RegionIndex> regions_; ///< Parallel to starts_.
-    std::vector<uint32_t>
-        buckets_; ///< By the first bits of a key: index of the range that contains the bucket's first key.
+    /// By the first bits of a key: index of the range that contains the bucket's first key.
+    std::vector<uint32_t> buckets_;
 };
 
 } // namespace saltvane::model
--- a/src/model/routeplan.h
+++ b/src/model/routeplan.h
@@ -94,8 +94,7 @@
     [[nodiscard]] const RoutedService* findService(const ServiceName& name) const;
 };
 
-/// Checks references, ranges and duplicates. Reports all findings in one pass; `source` is the name of the plan in
-/// them.
+/// Checks references, ranges and duplicates. Reports all findings in one pass, with `source` as the plan's name.
 [[nodiscard]] Findings checkRoutePlan(const RoutePlan& plan, const std::string& source);
 /// Which parts of a plan to check in addition to its services.
 struct PlanCheckScope {
--- a/src/model/suspectmessages.h
+++ b/src/model/suspectmessages.h
@@ -19,8 +19,7 @@
     uint64_t target = 0; ///< The target's incarnation, by incarnationHash().
     Duration sentAgo {};
     Duration endedAgo {};
-    /// Fraction of the recent runs of other requests, at the gateway that saw this one, that failed in the same way. 0
-    /// to 1.
+    /// Fraction, 0 to 1, of the recent runs of other requests that failed in the same way at the gateway that saw this.
     double usualShare = 0;
     auto operator<=>(const TargetEnd&) const = default;
 };
--- a/src/settings/internal/routedhostparser.cpp
+++ b/src/settings/internal/routedhostparser.cpp
@@ -120,8 +120,8 @@
             settings_.metricsAddress = root_.address("metrics_address");
     }
 
-    /// The port in a seed's address may be that of another service of the seed, so it is replaced by `seed_link_port`,
-    /// which is the same on all hosts.
+    /// Seeds may be listed with a port other than their link port. `seed_link_port`, the same on all hosts, replaces
+    /// it.
     void readSeeds()
     {
         const auto port = static_cast<uint16_t>(root_.integer("seed_link_port", PortRange, settings_.linkAddress.port));
--- a/src/settings/internal/yamlcontext.cpp
+++ b/src/settings/internal/yamlcontext.cpp
@@ -57,9 +57,9 @@
     return false;
 }
 
-void YamlContext::addContentFindings(const Findings& checked)
+void YamlContext::addContentFindings(const Findings& contentFindings)
 {
-    for (const Finding& finding : checked.items()) {
+    for (const Finding& finding : contentFindings.items()) {
         if (isInvalid(finding.place, finding.field))
             continue;
         Place place = finding.place.line > 0 ? finding.place : this->place(0, 0);
--- a/src/settings/internal/yamlcontext.h
+++ b/src/settings/internal/yamlcontext.h
@@ -34,7 +34,7 @@
 
     /// Adds the findings of a check of the content. Findings about invalid fields, or about fields within one, are
     /// dropped, because these have a finding already. The others get the location of the field's value.
-    void addContentFindings(const Findings& checked);
+    void addContentFindings(const Findings& contentFindings);
 
     /// All findings, sorted by location.
     [[nodiscard]] Findings takeFindings();
@@ -42,9 +42,10 @@
 
 private:
     struct RecordedField {
-        Place value;
+        Place value; ///< Location of the field's value.
         bool isInvalid = false;
     };
+    /// Line and column of the list entry, and the path of the field.
     using FieldKey = std::pair<std::pair<int, int>, std::string>;
 
     [[nodiscard]] bool isInvalid(const Place& entry, std::string field) const;
--- a/src/settings/internal/yamlreader.h
+++ b/src/settings/internal/yamlreader.h
@@ -82,7 +82,7 @@
     [[nodiscard]] std::string pathOf(std::string_view key) const;
     [[nodiscard]] Place locationOf(const YamlNode& node) const;
     Field* find(std::string_view key);
-    /// The value of a field; nullptr if it is absent or null, which adds a finding if it is null or required.
+    /// The value of a field; nullptr if it is absent or null. Adds a finding if it is null, or required and absent.
     const YamlNode* value(std::string_view key, Presence presence);
     std::optional<std::string> scalar(std::string_view key, Presence presence);
     std::optional<double> number(std::string_view key, Presence presence);
--- a/src/settings/routedhostsettings.h
+++ b/src/settings/routedhostsettings.h
@@ -58,8 +58,8 @@
     RegionName region;
     std::map<ZoneName, RegionName> zones; ///< All zones of the deployment.
     model::Address linkAddress; ///< Address at which other hosts reach this one; also its id.
-    model::Address
-        linkListenAddress; ///< Address that this host listens on; differs from linkAddress behind a proxy or NAT.
+    /// Address on which this host listens for links; differs from linkAddress if something is in between.
+    model::Address linkListenAddress;
     std::vector<model::Address> seeds; ///< Link addresses of registry hosts.
     model::Address frontAddress; ///< Gateway: for callers.
     model::Address readinessAddress; ///< Gateway: for readiness checks.
--- a/src/settings/tests/bundletests.cpp
+++ b/src/settings/tests/bundletests.cpp
@@ -51,11 +51,11 @@
 
 TEST(BundleTest, FiveDifferentErrorsGiveFiveFindingsWithTheirLocations)
 {
-    std::string text = changed(ValidBundle, "version: 7", "version: seven");
-    text = changed(text, "zones: [n1, n2]", "zones: [n1, n1]");
-    text = changed(text, "10.0.0.0/8", "10.0.0.1/8");
-    text = changed(text, "{zone: n1, open: 0.5}", "{zone: n1, open: 1.5}");
-    text = changed(text, "    shift_cap: {share: 0.2, window_s: 30}\n", "");
+    std::string text = replaceFirst(ValidBundle, "version: 7", "version: seven");
+    text = replaceFirst(text, "zones: [n1, n2]", "zones: [n1, n1]");
+    text = replaceFirst(text, "10.0.0.0/8", "10.0.0.1/8");
+    text = replaceFirst(text, "{zone: n1, open: 0.5}", "{zone: n1, open: 1.5}");
+    text = replaceFirst(text, "    shift_cap: {share: 0.2, window_s: 30}\n", "");
     EXPECT_EQ(bundleFindings(text),
         (Summary {"2:10 version", "6:31 regions.zones", "15:16 clients.blocks.prefix", "17:5 services.shift_cap",
             "19:26 services.zones.open"}));
@@ -90,7 +90,7 @@
         {"default_deadline_ms: 500", "entry_ttl_s: 1e300", "24:18 services.entry_ttl_s"},
     };
     for (const BundleChange& change : changes) {
-        const std::string text = changed(ValidBundle, change.from, change.to);
+        const std::string text = replaceFirst(ValidBundle, change.from, change.to);
         EXPECT_EQ(bundleFindings(text), (Summary {change.finding})) << change.from << " -> " << change.to;
     }
 }
--- a/src/settings/tests/hostsettingstests.cpp
+++ b/src/settings/tests/hostsettingstests.cpp
@@ -103,23 +103,24 @@
         {"limits:", "? [a]\n: b\nlimits:", "20:3 "},
     };
     for (const HostChange& change : changes) {
-        const std::string text = changed(ValidHost, change.from, change.to);
+        const std::string text = replaceFirst(ValidHost, change.from, change.to);
         EXPECT_EQ(hostFindings(text), (Summary {change.finding})) << change.from << " -> " << change.to;
     }
 }
 
 TEST(HostSettingsTest, HostWithoutControlRoleNeedsNoDataFolder)
 {
-    std::string text = changed(ValidHost, "[entry, control]", "[entry]");
-    text = changed(text, "data_folder: run/n1-1\n", "");
+    std::string text = replaceFirst(ValidHost, "[entry, control]", "[entry]");
+    text = replaceFirst(text, "data_folder: run/n1-1\n", "");
     EXPECT_EQ(hostFindings(text), (Summary {"10:3 control_hosts"}));
-    text = changed(text, "  - {host: n1-1, link_address: \"127.0.0.1:18081\"}\n", "");
+    text = replaceFirst(text, "  - {host: n1-1, link_address: \"127.0.0.1:18081\"}\n", "");
     EXPECT_EQ(hostFindings(text), Summary {});
 }
 
 TEST(HostSettingsTest, MessagesNeverContainSecrets)
 {
-    const auto result = parseHostSettings(changed(ValidHost, "0123456789abcdef0123456789abcdef", "hush"), "host.yaml");
+    const auto result
+        = parseHostSettings(replaceFirst(ValidHost, "0123456789abcdef0123456789abcdef", "hush"), "host.yaml");
     ASSERT_FALSE(result);
     EXPECT_EQ(toString(result.error().items().front()), "host.yaml:13:11: link_key: must have at least 32 bytes");
 }
--- a/src/settings/tests/routeplanreadertests.cpp
+++ b/src/settings/tests/routeplanreadertests.cpp
@@ -205,7 +205,7 @@
             plan["client_accounts"] = nullptr;
         plan["version"] = round;
         std::string text = draw(2) == 0 ? plan.dump() : plan.dump(1);
-        for (size_t damage = draw(3); damage > 0; --damage) {
+        for (size_t corruption = draw(3); corruption > 0; --corruption) {
             const size_t at = draw(text.size());
             switch (draw(3)) {
             case 0:
--- a/src/settings/tests/routeplantests.cpp
+++ b/src/settings/tests/routeplantests.cpp
@@ -22,7 +22,7 @@
               {"name": "t", "probe_path": "/health"}],
  "limits": {"header_bytes": 1000, "body_bytes": 2000, "header_timeout_ms": 3000, "idle_timeout_ms": 15000}})";
 
-std::string replaced(std::string text, const std::string& from, const std::string& to)
+std::string replaceFirst(std::string text, const std::string& from, const std::string& to)
 {
     const size_t at = text.find(from);
     EXPECT_NE(at, std::string::npos) << from;
@@ -60,17 +60,19 @@
 
 TEST(RoutePlanTest, ReportsErrorsWithTheirLocations)
 {
-    EXPECT_NE(findingsOf(replaced(ValidPlan, "\"service\": \"s\", \"attempts\"", "\"service\": \"x\", \"attempts\""))
-                  .find("routes[0].service"),
+    EXPECT_NE(
+        findingsOf(replaceFirst(ValidPlan, "\"service\": \"s\", \"attempts\"", "\"service\": \"x\", \"attempts\""))
+            .find("routes[0].service"),
         std::string::npos);
-    EXPECT_NE(findingsOf(replaced(ValidPlan, "at_most_once", "once")).find("routes[0].kind"), std::string::npos);
+    EXPECT_NE(findingsOf(replaceFirst(ValidPlan, "at_most_once", "once")).find("routes[0].kind"), std::string::npos);
+    EXPECT_NE(
+        findingsOf(replaceFirst(ValidPlan, "\"attempts\": 2", "\"attempts\": 0")).find("attempts"), std::string::npos);
+    EXPECT_NE(findingsOf(replaceFirst(ValidPlan, "600.5", "64000")).find("objective_ms"), std::string::npos);
+    EXPECT_EQ(findingsOf(replaceFirst(ValidPlan, "600.5", "63999")), "");
     EXPECT_NE(
-        findingsOf(replaced(ValidPlan, "\"attempts\": 2", "\"attempts\": 0")).find("attempts"), std::string::npos);
-    EXPECT_NE(findingsOf(replaced(ValidPlan, "600.5", "64000")).find("objective_ms"), std::string::npos);
-    EXPECT_EQ(findingsOf(replaced(ValidPlan, "600.5", "63999")), "");
-    EXPECT_NE(findingsOf(replaced(ValidPlan, "\"weight\": 90", "\"weight\": 0")).find("sum to 0"), std::string::npos);
+        findingsOf(replaceFirst(ValidPlan, "\"weight\": 90", "\"weight\": 0")).find("sum to 0"), std::string::npos);
     EXPECT_NE(
-        findingsOf(replaced(ValidPlan, "\"version\": 7", "\"version\": \"7\"")).find("version"), std::string::npos);
+        findingsOf(replaceFirst(ValidPlan, "\"version\": 7", "\"version\": \"7\"")).find("version"), std::string::npos);
     EXPECT_NE(findingsOf(ValidPlan.substr(0, 200)).find("plan:"), std::string::npos);
 }
 
@@ -82,8 +84,8 @@
 
 TEST(RoutePlanTest, AllFindingsAreReportedAtOnce)
 {
-    std::string text = replaced(ValidPlan, "at_most_once", "once");
-    text = replaced(text, "\"timeout_ms\": 1500, ", "");
+    std::string text = replaceFirst(ValidPlan, "at_most_once", "once");
+    text = replaceFirst(text, "\"timeout_ms\": 1500, ", "");
     const std::string all = findingsOf(text);
     EXPECT_NE(all.find("routes[0].kind"), std::string::npos);
     EXPECT_NE(all.find("routes[1].timeout_ms"), std::string::npos);
--- a/src/settings/tests/sampletexts.h
+++ b/src/settings/tests/sampletexts.h
@@ -73,7 +73,7 @@
 }
 
 /// `text` with the first occurrence of `from` replaced by `to`.
-inline std::string changed(std::string text, const std::string& from, const std::string& to)
+inline std::string replaceFirst(std::string text, const std::string& from, const std::string& to)
 {
     const size_t start = text.find(from);
     if (start != std::string::npos)
