--- a/src/base/finding.h
+++ b/src/base/finding.h
@@ -11,7 +11,7 @@
 
 namespace saltvane {
 
-/// Where a finding is in its source; line and column count from 1, 0 means unknown.
+/// Location of a finding in its source. Lines and columns count from 1; 0 means unknown.
 struct Place {
     std::string source;
     int line = 0;
@@ -19,20 +19,20 @@
     auto operator<=>(const Place&) const = default;
 };
 
-/// One thing that is wrong with an input.
+/// An error in an input.
 struct Finding {
     Place place;
     std::string field;
     std::string message;
 };
 
-/// Everything wrong with an input, collected so that one run reports all of it.
+/// All errors in an input, so that one run reports them together.
 class Findings {
 public:
     void add(Finding finding);
     [[nodiscard]] bool isEmpty() const { return items_.empty(); }
     [[nodiscard]] const std::vector<Finding>& items() const { return items_; }
-    /// Orders the findings by their place.
+    /// Stable: findings at the same location keep their order.
     void sortByPlace();
 
 private:
--- a/src/base/ids.h
+++ b/src/base/ids.h
@@ -15,7 +15,7 @@
 
 namespace saltvane {
 
-/// A name of one kind of entity, as operators write it. Kinds do not convert into each other.
+/// Strongly typed name, as operators write it. Names with different tags do not convert into each other.
 template <typename Tag> class Name {
 public:
     Name() = default;
@@ -46,32 +46,32 @@
 using ServiceName = Name<struct ServiceNameTag>;
 using TargetId = Name<struct TargetIdTag>;
 using OperatorName = Name<struct OperatorNameTag>;
-/// Identifies one request on every host it passes; told to the caller.
+/// Identifies one request on every host that it passes; returned to the caller.
 using RequestId = Name<struct RequestIdTag>;
 
-/// An unsigned number of one kind. Kinds do not convert into each other.
+/// Strongly typed unsigned number. Numbers with different tags do not convert into each other.
 template <typename Tag> struct Number {
     uint64_t value = 0;
     auto operator<=>(const Number&) const = default;
 };
 
-/// Grows with each start of a process; a message of an older incarnation is void.
+/// Increases with each start of a process; messages of an older incarnation are discarded.
 using Incarnation = Number<struct IncarnationTag>;
-/// Matches the frames of one forwarded request on one link direction.
+/// Identifies the frames of one forwarded request in one direction of a link.
 using CorrelationId = Number<struct CorrelationIdTag>;
 using LogTerm = Number<struct LogTermTag>;
 using LogIndex = Number<struct LogIndexTag>;
-/// The version operators give a bundle; orders nothing by itself, LogPosition does.
+/// The version that operators assign to a bundle. Bundles are ordered by LogPosition, not by their version.
 using BundleVersion = Number<struct BundleVersionTag>;
 
-/// Position of a committed change in the replicated log; hosts move only upwards.
+/// Position of a committed change in the replicated log; it never decreases on a host.
 struct LogPosition {
     LogTerm term;
     LogIndex index;
     auto operator<=>(const LogPosition&) const = default;
 };
 
-/// Rows of the compiled deployment's tables (model::Deployment); valid for one bundle only.
+/// Row index into a table of the compiled deployment (model::Deployment); valid for one bundle only.
 template <typename Tag> struct TableIndex {
     uint32_t value = 0;
     auto operator<=>(const TableIndex&) const = default;
--- a/src/base/logtext.cpp
+++ b/src/base/logtext.cpp
@@ -14,19 +14,19 @@
 {
     if (text.empty())
         return "-";
-    std::string clean(text);
-    for (char& character : clean) {
-        const bool isPlain = character > ' ' && character < '\x7f' && character != '"' && character != '=';
-        if (!isPlain)
+    std::string sanitized(text);
+    for (char& character : sanitized) {
+        const bool isAllowed = character > ' ' && character < '\x7f' && character != '"' && character != '=';
+        if (!isAllowed)
             character = '_';
     }
-    return clean;
+    return sanitized;
 }
 
 std::string decimalText(double number)
 {
-    constexpr size_t MostCharacters = 32;
-    std::array<char, MostCharacters> text {};
+    constexpr size_t MaxCharacters = 32;
+    std::array<char, MaxCharacters> text {};
     const auto written = std::to_chars(text.data(), text.data() + text.size(), number);
     return {text.data(), written.ptr};
 }
--- a/src/base/logtext.h
+++ b/src/base/logtext.h
@@ -15,10 +15,11 @@
 
 namespace saltvane {
 
-/// A value of a log line: whatever a caller chose to put into it, it stays one word. Empty becomes "-".
+/// Sanitizes a value for a key=value log line, so that untrusted text can't add fields or lines: whitespace, control
+/// and non-ASCII characters, '"' and '=' become '_'. An empty text becomes "-".
 [[nodiscard]] std::string logWord(std::string_view text);
 
-/// In the shortest form that reads back as the same number.
+/// The shortest decimal text that parses back to the same number.
 [[nodiscard]] std::string decimalText(double number);
 
 /// The text of one log line: key=value pairs in the order they were added.
@@ -29,7 +30,7 @@
     {
     }
 
-    /// Whatever the value holds, it stays one word.
+    /// The value is sanitized by logWord().
     LogText& add(std::string_view key, std::string_view value)
     {
         text_.append(" ").append(key).append("=").append(logWord(value));
@@ -41,9 +42,9 @@
     }
     LogText& addMilliseconds(std::string_view key, Duration value)
     {
-        // Stands for "never", or for as long.
-        constexpr int64_t Most = 999'999;
-        return add(key, std::min(std::chrono::round<std::chrono::milliseconds>(value).count(), Most));
+        // Also stands for "never".
+        constexpr int64_t MaxMilliseconds = 999'999;
+        return add(key, std::min(std::chrono::round<std::chrono::milliseconds>(value).count(), MaxMilliseconds));
     }
 
     [[nodiscard]] const std::string& text() const { return text_; }
--- a/src/base/monotonicclock.h
+++ b/src/base/monotonicclock.h
@@ -11,13 +11,14 @@
 
 namespace saltvane {
 
-/// For all decisions: it never steps, and counts the time that the host was suspended. The steady clock doesn't: a
-/// leader that slept for three seconds would wake with its lease of a third of a second, and tell a plan that was
-/// replaced. Adapters read it; cores are handed the time.
+/// The clock for all decisions: it never steps, and it includes the time during which the host was suspended.
+/// CLOCK_MONOTONIC excludes that time: a leader suspended for three seconds would resume with its lease of a third of a
+/// second still valid, and serve a plan that was replaced. Only adapters read the clock; cores receive the time as an
+/// argument.
 [[nodiscard]] inline Timestamp monotonicNow()
 {
     timespec now {};
-    (void)::clock_gettime(CLOCK_BOOTTIME, &now); // Fails on kernels before 2.6.39 only.
+    (void)::clock_gettime(CLOCK_BOOTTIME, &now); // Fails only on kernels before 2.6.39.
     return Timestamp(std::chrono::seconds(now.tv_sec) + std::chrono::nanoseconds(now.tv_nsec));
 }
 
--- a/src/base/result.h
+++ b/src/base/result.h
@@ -11,10 +11,10 @@
 
 namespace saltvane {
 
-/// A value or the error that kept it from being made.
+/// A value, or the error that prevented it.
 template <typename T, typename E> class Result {
 public:
-    Result(T value) // NOLINT(google-explicit-constructor): reads as a plain return
+    Result(T value) // NOLINT(google-explicit-constructor): allows `return value;`
         : state_(std::in_place_index<0>, std::move(value))
     {
     }
@@ -36,7 +36,7 @@
 /// Success without a value.
 struct Done { };
 
-/// Error of an operation outside the process, with the place it happened at.
+/// Error of an operation outside the process, with the path, address or library that it concerns.
 struct IoError {
     std::string place;
     std::string message;
--- a/src/base/tests/findingtests.cpp
+++ b/src/base/tests/findingtests.cpp
@@ -10,14 +10,14 @@
 namespace saltvane {
 namespace {
 
-TEST(FindingTest, TextNamesPlaceAndField)
+TEST(FindingTest, TextContainsLocationAndField)
 {
     const Finding finding {
         .place = {.source = "host.yaml", .line = 3, .column = 7}, .field = "zone", .message = "is missing"};
     EXPECT_EQ(toString(finding), "host.yaml:3:7: zone: is missing");
 }
 
-TEST(FindingTest, SortsByPlace)
+TEST(FindingTest, SortsByLocation)
 {
     Findings findings;
     findings.add({.place = {.source = "a", .line = 9, .column = 1}, .field = "late", .message = ""});
--- a/src/base/tests/monotonicclocktests.cpp
+++ b/src/base/tests/monotonicclocktests.cpp
@@ -8,14 +8,13 @@
 #include <ctime>
 #include <gtest/gtest.h>
 
-/// A host that was suspended for three seconds woke with beliefs as fresh as when it fell asleep: the steady clock
-/// stands still meanwhile, so that a leader's lease of 0.35 s went on, and it answered reads by a plan that others had
-/// replaced. Here the kernel's clocks have a stand-in (the linker puts it in place of clock_gettime), whose sleep the
-/// steady one doesn't count.
+/// Guards against a clock that stops while the host is suspended: after three seconds of suspension a leader's lease of
+/// 0.35 s was still valid, and it answered reads from a plan that others had replaced. The linker replaces
+/// clock_gettime (--wrap); the replacement adds the suspended time to CLOCK_BOOTTIME only, as the kernel does.
 namespace {
 
-constexpr time_t SleptSeconds = 3;
-bool hasSlept = false;
+constexpr time_t SuspendedSeconds = 3;
+bool hasBeenSuspended = false;
 
 } // namespace
 
@@ -25,22 +24,22 @@
 extern "C" int __wrap_clock_gettime(clockid_t clock, timespec* now) // NOLINT: the linker's name
 {
     const int result = __real_clock_gettime(clock, now);
-    if (hasSlept && clock == CLOCK_BOOTTIME)
-        now->tv_sec += SleptSeconds;
+    if (hasBeenSuspended && clock == CLOCK_BOOTTIME)
+        now->tv_sec += SuspendedSeconds;
     return result;
 }
 
 namespace saltvane {
 namespace {
 
-TEST(MonotonicClockTest, CountsTheTimeThatTheHostWasSuspended)
+TEST(MonotonicClockTest, CountsTimeWhileTheHostIsSuspended)
 {
     const Timestamp before = monotonicNow();
-    hasSlept = true;
-    const Duration slept = monotonicNow() - before;
-    hasSlept = false;
-    EXPECT_GE(slept, 3s);
-    EXPECT_LT(slept, 4s);
+    hasBeenSuspended = true;
+    const Duration elapsed = monotonicNow() - before;
+    hasBeenSuspended = false;
+    EXPECT_GE(elapsed, 3s);
+    EXPECT_LT(elapsed, 4s);
 }
 
 } // namespace
--- a/src/base/timetypes.h
+++ b/src/base/timetypes.h
@@ -11,7 +11,7 @@
 
 using Duration = std::chrono::nanoseconds;
 
-/// Tag of the host's monotonic clock. State machines never read it: the time is handed in.
+/// Tag type of the host's monotonic clock. State machines never read a clock: they receive the time as an argument.
 struct MonotonicClock {
     using rep = Duration::rep;
     using period = Duration::period;
--- a/src/registry/internal/accountlimits.cpp
+++ b/src/registry/internal/accountlimits.cpp
@@ -17,8 +17,8 @@
     ++version_;
     for (auto former = formerBegin; former != accounts_.end(); ++former)
         limits_.erase(model::limitIdOf((*former)->account.name));
-    for (auto later = newBegin; later != accounts.end(); ++later) {
-        const model::ClientAccount& account = (*later)->account;
+    for (auto added = newBegin; added != accounts.end(); ++added) {
+        const model::ClientAccount& account = (*added)->account;
         if (account.limit)
             limits_[model::limitIdOf(account.name)] = *account.limit;
     }
--- a/src/registry/internal/accountlimits.h
+++ b/src/registry/internal/accountlimits.h
@@ -15,14 +15,14 @@
 
 namespace saltvane::registry {
 
-/// The limits of the plan's client accounts, by what identifies them.
+/// The rate limits of the plan's client accounts, by limit id.
 class AccountLimits {
 public:
-    /// Takes the place of the accounts before; costs what differs.
+    /// Replaces the accounts. Costs in proportion to the accounts after the first that differs.
     void install(std::span<const model::AccountRef> accounts);
-    /// None where the account isn't known or has no limit.
+    /// None where the account is unknown or has no limit.
     [[nodiscard]] std::optional<model::RateLimit> find(const model::LimitId& id) const;
-    /// Grows with each change.
+    /// Increases with each change.
     [[nodiscard]] uint64_t version() const { return version_; }
 
 private:
--- a/src/registry/internal/calls.cpp
+++ b/src/registry/internal/calls.cpp
@@ -27,14 +27,14 @@
 constexpr std::string_view PlanPath = "/v1/plan";
 constexpr std::string_view EntryPath = "/v1/entry";
 constexpr std::string_view StatusPath = "/v1/status";
-constexpr std::string_view RetryAfterSeconds = "0.2"; ///< About the time of an election's first round.
+constexpr std::string_view RetryAfterSeconds = "0.2"; ///< About the duration of an election's first round.
 
 constexpr int StatusBadRequest = 400;
 constexpr int StatusRedirect = 307;
 constexpr int StatusUnavailable = 503;
 
-/// Texts of a stranger's report may hold bytes that are no text: they are left out.
-std::string dumped(const Json& json) { return json.dump(-1, ' ', false, Json::error_handler_t::ignore); }
+/// Texts from untrusted reports may contain invalid UTF-8: those bytes are omitted.
+std::string toJsonText(const Json& json) { return json.dump(-1, ' ', false, Json::error_handler_t::ignore); }
 
 BundleVersion parseVersion(std::string_view text)
 {
@@ -119,7 +119,7 @@
 
 requests::HttpRespond errorAnswer(requests::HttpHandle handle, int status, std::string_view message)
 {
-    return jsonAnswer(handle, status, dumped(Json {{"error", message}}));
+    return jsonAnswer(handle, status, toJsonText(Json {{"error", message}}));
 }
 
 requests::HttpRespond findingsAnswer(requests::HttpHandle handle, const std::vector<Finding>& findings)
@@ -127,10 +127,10 @@
     Json list = Json::array();
     for (const Finding& finding : findings)
         list.push_back(toString(finding));
-    return jsonAnswer(handle, StatusBadRequest, dumped(Json {{"error", "findings"}, {"findings", list}}));
+    return jsonAnswer(handle, StatusBadRequest, toJsonText(Json {{"error", "findings"}, {"findings", list}}));
 }
 
-requests::HttpRespond laterAnswer(requests::HttpHandle handle, std::string_view message)
+requests::HttpRespond unavailableAnswer(requests::HttpHandle handle, std::string_view message)
 {
     requests::HttpRespond answer = errorAnswer(handle, StatusUnavailable, message);
     answer.headers.push_back({.name = "Retry-After", .value = std::string(RetryAfterSeconds)});
@@ -139,7 +139,7 @@
 
 requests::HttpRespond redirectAnswer(requests::HttpHandle handle, const model::Address& address, std::string_view path)
 {
-    requests::HttpRespond answer = errorAnswer(handle, StatusRedirect, "another control host leads");
+    requests::HttpRespond answer = errorAnswer(handle, StatusRedirect, "another control host is the leader");
     answer.headers.push_back({.name = "Location", .value = "http://" + toString(address) + std::string(path)});
     return answer;
 }
--- a/src/registry/internal/calls.h
+++ b/src/registry/internal/calls.h
@@ -18,7 +18,7 @@
 #include <string_view>
 #include <variant>
 
-/// The registry's HTTP interface (docs/ROUTES.md): calls read into typed requests, outcomes written as answers.
+/// The registry's HTTP interface (docs/ROUTES.md): parses calls into typed requests and builds the responses.
 namespace saltvane::registry {
 
 struct LookUpCall {
@@ -44,18 +44,18 @@
 using Call = std::variant<LookUpCall, TargetHeartbeatCall, TargetLeaveCall, ReplacePlanCall, ReadPlanCall,
     EvacuationCall, StatusCall, UnknownCall>;
 
-/// By method, path and headers alone.
+/// Considers method, path and headers only; the body comes later.
 [[nodiscard]] Call readCall(const requests::HttpRequestStarted& request, const settings::HeaderNames& headers);
-/// The version that a plan's text states, without its checks; 0 where there is none.
+/// The version named in a plan's text, which is not validated; 0 where there is none.
 [[nodiscard]] BundleVersion statedVersion(std::string_view plan);
-/// The services that a plan's text names, without its checks.
+/// The services named in a plan's text, which is not validated.
 [[nodiscard]] std::set<ServiceName> statedServices(std::string_view plan);
 
 [[nodiscard]] requests::HttpRespond jsonAnswer(requests::HttpHandle handle, int status, std::string body);
 [[nodiscard]] requests::HttpRespond errorAnswer(requests::HttpHandle handle, int status, std::string_view message);
 [[nodiscard]] requests::HttpRespond findingsAnswer(requests::HttpHandle handle, const std::vector<Finding>& findings);
-/// 503 with the time after which the same call may succeed.
-[[nodiscard]] requests::HttpRespond laterAnswer(requests::HttpHandle handle, std::string_view message);
+/// 503 with a Retry-After header.
+[[nodiscard]] requests::HttpRespond unavailableAnswer(requests::HttpHandle handle, std::string_view message);
 [[nodiscard]] requests::HttpRespond redirectAnswer(
     requests::HttpHandle handle, const model::Address& address, std::string_view path);
 
--- a/src/registry/internal/creditpool.cpp
+++ b/src/registry/internal/creditpool.cpp
@@ -13,24 +13,24 @@
 
 namespace {
 
-/// A host with a share holds this many credits of a limit's burst at the least: small limits are shared by fewer hosts.
-constexpr double LeastBurstShare = 2;
-/// Limits without a burst: one request at a time has to fit.
-constexpr double LeastBurst = 1;
-/// Asks wait no longer than a round trip between far regions and its answers' work take.
-constexpr Duration LongestWait = 150ms;
-/// Where no host had any, none is asked again meanwhile.
-constexpr Duration DryPeriod = 100ms;
-/// A transfer that is not answered by then is counted as refused.
+/// Each holder's part of a limit's burst is at least this many credits: small limits are divided among fewer hosts.
+constexpr double MinBurstPerHolder = 2;
+/// A limit without a burst must admit at least one request at a time.
+constexpr double MinBurst = 1;
+/// A round trip between distant regions and the processing of the answers.
+constexpr Duration MaxPendingTime = 150ms;
+/// When no host had credits, none is asked again for this long.
+constexpr Duration ExhaustedBackoff = 100ms;
+/// A transfer that is not answered within it counts as refused.
 constexpr Duration TransferTimeout = 120ms;
-/// For this much of the own demand a host asks ahead, and keeps what it has before others.
-constexpr Duration DemandAhead = 250ms;
-constexpr double DemandMemorySeconds = 1;
-/// Credits a second; limits far below it don't have callers wait for days.
-constexpr double LeastShareForPromise = 0.01;
-constexpr Duration LeastRetryAfter = 100ms;
-constexpr Duration MostRetryAfter = 2s;
-/// Of the table of holdings, looked through for those that are full.
+/// A host requests credits ahead for this much of its own demand, and reserves as much before it grants any to others.
+constexpr Duration DemandLookahead = 250ms;
+constexpr double DemandTimeConstantSeconds = 1;
+/// Credits per second: bounds the retry times of very low limits, which would be days.
+constexpr double MinRateForRetryAfter = 0.01;
+constexpr Duration MinRetryAfter = 100ms;
+constexpr Duration MaxRetryAfter = 2s;
+/// Buckets of limitStates_ that one tick scans for states to erase.
 constexpr size_t BucketsPerTick = 4;
 
 uint64_t scoreOf(const HostId& host, const model::LimitId& id)
@@ -49,7 +49,7 @@
 
 void CreditPool::setHolders(std::vector<HostId> holders, Duration proofAge, Timestamp now)
 {
-    if (proofAge < LeaseTime)
+    if (proofAge < LeaseDuration)
         provenAt_ = now - proofAge;
     size_t changes = 0;
     for (HostId& holder : holders) {
@@ -57,14 +57,15 @@
         known->second = now;
         changes += isNew ? 1 : 0;
     }
-    changes += std::erase_if(holders_, [&](const auto& item) { return now - item.second > LeaseTime; });
+    changes += std::erase_if(holders_, [&](const auto& item) { return now - item.second > LeaseDuration; });
     holdersVersion_ += changes > 0 ? 1 : 0;
 }
 
-bool CreditPool::isLeased(Timestamp now) const
+bool CreditPool::hasLease(Timestamp now) const
 {
-    constexpr double UsedPart = 0.8; // The others count from when they heard of a change, on clocks of their own.
-    return provenAt_ && toSeconds(now - *provenAt_) < toSeconds(LeaseTime) * UsedPart;
+    // The other hosts measure the lease on their own clocks, from when they learned of a change.
+    constexpr double UsedLeaseFraction = 0.8;
+    return provenAt_ && toSeconds(now - *provenAt_) < toSeconds(LeaseDuration) * UsedLeaseFraction;
 }
 
 std::optional<model::RateLimit> CreditPool::limitOf(const model::LimitId& id) const
@@ -73,58 +74,58 @@
     return ofAccount ? ofAccount : targetLimits_.find(id);
 }
 
-CreditPool::Holding* CreditPool::holdingOf(const model::LimitId& id, Timestamp now)
+CreditPool::LimitState* CreditPool::findState(const model::LimitId& id, Timestamp now)
 {
     const std::optional<model::RateLimit> limit = limitOf(id);
-    if (!limit || !isLeased(now))
+    if (!limit || !hasLease(now))
         return nullptr;
-    const auto [found, isNew] = holdings_.try_emplace(id);
-    Holding& holding = found->second;
+    const auto [found, isNew] = limitStates_.try_emplace(id);
+    LimitState& state = found->second;
     if (isNew)
-        holding.filledAt = startedAt_; // As full as it can be since this host started with none.
+        state.refilledAt = startedAt_; // The most it can have: this host started without credits.
     if (const uint64_t version = limits_.version() + targetLimits_.version() + holdersVersion_;
-        holding.shareAsOf != version) {
+        state.shareVersion != version) {
         if (!isNew)
-            fill(holding, now);
-        updateShare(holding, id, *limit);
-        holding.shareAsOf = version;
+            refill(state, now);
+        updateShare(state, id, *limit);
+        state.shareVersion = version;
     }
-    fill(holding, now);
-    return &holding;
+    refill(state, now);
+    return &state;
 }
 
-void CreditPool::updateShare(Holding& holding, const model::LimitId& id, const model::RateLimit& limit) const
+void CreditPool::updateShare(LimitState& state, const model::LimitId& id, const model::RateLimit& limit) const
 {
-    const double burst = std::max(limit.burst, LeastBurst);
-    const auto wanted = static_cast<size_t>(std::max(1.0, std::floor(burst / LeastBurstShare)));
-    const size_t count = std::min(holders_.size(), wanted);
-    holding.holders.clear();
+    const double burst = std::max(limit.burst, MinBurst);
+    const auto maxHolders = static_cast<size_t>(std::max(1.0, std::floor(burst / MinBurstPerHolder)));
+    const size_t count = std::min(holders_.size(), maxHolders);
+    state.holders.clear();
     for (const auto& [host, seenAt] : holders_)
-        holding.holders.push_back(host);
+        state.holders.push_back(host);
     if (count < holders_.size()) {
         std::ranges::sort(
-            holding.holders, std::ranges::greater {}, [&](const HostId& host) { return scoreOf(host, id); });
-        holding.holders.resize(count);
+            state.holders, std::ranges::greater {}, [&](const HostId& host) { return scoreOf(host, id); });
+        state.holders.resize(count);
     }
-    holding.isHolder = std::ranges::find(holding.holders, self_) != holding.holders.end();
-    holding.usualShare = limit.perSecond / static_cast<double>(count);
-    const double part = holding.isHolder ? 1 / static_cast<double>(count) : 0;
-    holding.share = {.perSecond = limit.perSecond * part, .burst = burst * part};
-    holding.credits = std::min(holding.credits, holding.share.burst);
+    state.isHolder = std::ranges::find(state.holders, self_) != state.holders.end();
+    state.ratePerHolder = limit.perSecond / static_cast<double>(count);
+    const double fraction = state.isHolder ? 1 / static_cast<double>(count) : 0;
+    state.share = {.perSecond = limit.perSecond * fraction, .burst = burst * fraction};
+    state.credits = std::min(state.credits, state.share.burst);
 }
 
-void CreditPool::fill(Holding& holding, Timestamp now) const
+void CreditPool::refill(LimitState& state, Timestamp now) const
 {
-    const double seconds = toSeconds(now - holding.filledAt);
-    holding.filledAt = now;
-    holding.credits = std::min(holding.share.burst, holding.credits + holding.share.perSecond * seconds);
+    const double seconds = toSeconds(now - state.refilledAt);
+    state.refilledAt = now;
+    state.credits = std::min(state.share.burst, state.credits + state.share.perSecond * seconds);
 }
 
-void CreditPool::noteDemand(Holding& holding, uint32_t credits, Timestamp now) const
+void CreditPool::recordDemand(LimitState& state, uint32_t credits, Timestamp now) const
 {
-    holding.demand *= std::exp(-toSeconds(now - holding.demandAt) / DemandMemorySeconds);
-    holding.demand += credits / DemandMemorySeconds;
-    holding.demandAt = now;
+    state.demand *= std::exp(-toSeconds(now - state.demandUpdatedAt) / DemandTimeConstantSeconds);
+    state.demand += credits / DemandTimeConstantSeconds;
+    state.demandUpdatedAt = now;
 }
 
 bool CreditPool::isPeer(const HostId& host) const
@@ -136,62 +137,62 @@
 {
     const bool isTransfer = isPeer(from);
     for (const model::LimitCreditAsk& ask : request.asks)
-        isTransfer ? answerPeer(from, ask, now) : answerGateway(from, ask, now);
+        isTransfer ? handlePeerRequest(from, ask, now) : handleGatewayRequest(from, ask, now);
 }
 
-void CreditPool::answerPeer(const HostId& from, const model::LimitCreditAsk& ask, Timestamp now)
+void CreditPool::handlePeerRequest(const HostId& from, const model::LimitCreditAsk& ask, Timestamp now)
 {
-    Holding* holding = holdingOf(ask.limit, now);
-    uint32_t given = 0;
-    if (holding != nullptr) {
-        const double kept = holding->demand * toSeconds(DemandAhead)
-            * std::exp(-toSeconds(now - holding->demandAt) / DemandMemorySeconds);
-        given = static_cast<uint32_t>(
-            std::clamp(std::floor(holding->credits - kept), 0.0, static_cast<double>(ask.credits)));
-        holding->credits -= given;
+    LimitState* state = findState(ask.limit, now);
+    uint32_t granted = 0;
+    if (state != nullptr) {
+        const double reserved = state->demand * toSeconds(DemandLookahead)
+            * std::exp(-toSeconds(now - state->demandUpdatedAt) / DemandTimeConstantSeconds);
+        granted = static_cast<uint32_t>(
+            std::clamp(std::floor(state->credits - reserved), 0.0, static_cast<double>(ask.credits)));
+        state->credits -= granted;
     }
-    answer(from, {.ask = ask.ask, .credits = given});
+    answer(from, {.ask = ask.ask, .credits = granted});
 }
 
-void CreditPool::answerGateway(const HostId& from, const model::LimitCreditAsk& ask, Timestamp now)
+void CreditPool::handleGatewayRequest(const HostId& from, const model::LimitCreditAsk& ask, Timestamp now)
 {
-    Holding* holding = holdingOf(ask.limit, now);
-    if (holding == nullptr || ask.credits == 0)
+    LimitState* state = findState(ask.limit, now);
+    if (state == nullptr || ask.credits == 0)
         return answer(from, {.ask = ask.ask});
-    noteDemand(*holding, ask.credits, now);
-    if (holding->waiting.empty() && holding->credits >= ask.credits) {
-        holding->credits -= ask.credits;
+    recordDemand(*state, ask.credits, now);
+    if (state->pending.empty() && state->credits >= ask.credits) {
+        state->credits -= ask.credits;
         return answer(from, {.ask = ask.ask, .credits = ask.credits});
     }
-    if (now < holding->dryUntil)
-        return refuse(*holding, from, ask, now);
-    holding->waiting.push_back({.from = from, .ask = ask, .since = now});
-    waitingLimits_.insert(ask.limit);
-    if (holding->transfersAsked == 0 && !askPeers(ask.limit, *holding, now))
-        refuseWaiting(ask.limit, *holding, now);
+    if (now < state->exhaustedUntil)
+        return refuse(*state, from, ask, now);
+    state->pending.push_back({.from = from, .ask = ask, .receivedAt = now});
+    pendingLimits_.insert(ask.limit);
+    if (state->pendingTransfers == 0 && !requestFromPeers(ask.limit, *state, now))
+        refusePending(ask.limit, *state, now);
 }
 
-bool CreditPool::askPeers(const model::LimitId& id, Holding& holding, Timestamp now)
+bool CreditPool::requestFromPeers(const model::LimitId& id, LimitState& state, Timestamp now)
 {
-    double needed = holding.isHolder ? holding.demand * toSeconds(DemandAhead) : 0;
-    for (const Waiting& waiting : holding.waiting)
-        needed += waiting.ask.credits;
-    while (holding.askedUpTo != Reach::All) {
-        holding.askedUpTo = holding.askedUpTo == Reach::Nobody ? Reach::Region : Reach::All;
-        const bool isNear = holding.askedUpTo == Reach::Region;
-        std::vector<HostId> asked;
+    double needed = state.isHolder ? state.demand * toSeconds(DemandLookahead) : 0;
+    for (const PendingRequest& pending : state.pending)
+        needed += pending.ask.credits;
+    while (state.requestedFrom != Reach::All) {
+        state.requestedFrom = state.requestedFrom == Reach::Nobody ? Reach::Region : Reach::All;
+        const bool isSameRegion = state.requestedFrom == Reach::Region;
+        std::vector<HostId> requestedPeers;
         for (const Peer& peer : peers_) {
-            if (peer.isNear == isNear && std::ranges::find(holding.holders, peer.host) != holding.holders.end())
-                asked.push_back(peer.host);
+            if (peer.isSameRegion == isSameRegion && std::ranges::find(state.holders, peer.host) != state.holders.end())
+                requestedPeers.push_back(peer.host);
         }
-        const auto each
-            = static_cast<uint32_t>(std::ceil(needed / static_cast<double>(std::max<size_t>(asked.size(), 1))));
-        for (const HostId& peer : asked) {
-            transfers_.emplace(++lastTransfer_, Transfer {.id = id, .askedAt = now});
-            requests_[peer].asks.push_back({.ask = lastTransfer_, .limit = id, .credits = each});
+        const auto creditsPerPeer = static_cast<uint32_t>(
+            std::ceil(needed / static_cast<double>(std::max<size_t>(requestedPeers.size(), 1))));
+        for (const HostId& peer : requestedPeers) {
+            transfers_.emplace(++lastTransfer_, Transfer {.id = id, .requestedAt = now});
+            requests_[peer].asks.push_back({.ask = lastTransfer_, .limit = id, .credits = creditsPerPeer});
         }
-        holding.transfersAsked = asked.size();
-        if (!asked.empty())
+        state.pendingTransfers = requestedPeers.size();
+        if (!requestedPeers.empty())
             return true;
     }
     return false;
@@ -202,61 +203,61 @@
     for (const model::LimitCreditAnswer& answer : reply.answers) {
         const auto found = transfers_.find(answer.ask);
         if (found == transfers_.end())
-            continue; // Too late: these credits are lost.
+            continue; // The answer came after the timeout: its credits are lost.
         const model::LimitId id = found->second.id;
         transfers_.erase(found);
-        if (Holding* holding = holdingOf(id, now)) {
-            holding->credits += answer.credits;
-            serveWaiting(id, *holding);
-            holding->credits = std::min(holding->credits, holding->share.burst);
-            noteTransferEnded(id, *holding, now);
+        if (LimitState* state = findState(id, now)) {
+            state->credits += answer.credits;
+            servePending(id, *state);
+            state->credits = std::min(state->credits, state->share.burst);
+            onTransferCompleted(id, *state, now);
         }
     }
 }
 
-void CreditPool::noteTransferEnded(const model::LimitId& id, Holding& holding, Timestamp now)
+void CreditPool::onTransferCompleted(const model::LimitId& id, LimitState& state, Timestamp now)
 {
-    if (holding.transfersAsked > 0)
-        --holding.transfersAsked;
-    if (holding.transfersAsked > 0 || holding.waiting.empty())
+    if (state.pendingTransfers > 0)
+        --state.pendingTransfers;
+    if (state.pendingTransfers > 0 || state.pending.empty())
         return;
-    if (!askPeers(id, holding, now))
-        refuseWaiting(id, holding, now);
+    if (!requestFromPeers(id, state, now))
+        refusePending(id, state, now);
 }
 
-void CreditPool::serveWaiting(const model::LimitId& id, Holding& holding)
+void CreditPool::servePending(const model::LimitId& id, LimitState& state)
 {
-    while (!holding.waiting.empty() && holding.credits >= holding.waiting.front().ask.credits) {
-        const Waiting& first = holding.waiting.front();
-        holding.credits -= first.ask.credits;
+    while (!state.pending.empty() && state.credits >= state.pending.front().ask.credits) {
+        const PendingRequest& first = state.pending.front();
+        state.credits -= first.ask.credits;
         answer(first.from, {.ask = first.ask.ask, .credits = first.ask.credits});
-        holding.waiting.pop_front();
+        state.pending.pop_front();
     }
-    if (holding.waiting.empty())
-        noteQuenched(id, holding);
+    if (state.pending.empty())
+        onPendingCleared(id, state);
 }
 
-void CreditPool::noteQuenched(const model::LimitId& id, Holding& holding)
+void CreditPool::onPendingCleared(const model::LimitId& id, LimitState& state)
 {
-    holding.askedUpTo = Reach::Nobody;
-    waitingLimits_.erase(id);
+    state.requestedFrom = Reach::Nobody;
+    pendingLimits_.erase(id);
 }
 
-void CreditPool::refuseWaiting(const model::LimitId& id, Holding& holding, Timestamp now)
+void CreditPool::refusePending(const model::LimitId& id, LimitState& state, Timestamp now)
 {
-    holding.dryUntil = now + DryPeriod;
-    for (const Waiting& waiting : holding.waiting)
-        refuse(holding, waiting.from, waiting.ask, now);
-    holding.waiting.clear();
-    noteQuenched(id, holding);
+    state.exhaustedUntil = now + ExhaustedBackoff;
+    for (const PendingRequest& pending : state.pending)
+        refuse(state, pending.from, pending.ask, now);
+    state.pending.clear();
+    onPendingCleared(id, state);
 }
 
-/// Each caller that is refused is told another time, as far apart as credits come, so that they don't return as one.
-void CreditPool::refuse(Holding& holding, const HostId& to, const model::LimitCreditAsk& ask, Timestamp now)
+/// Spaces the retry times of refused callers by the time one credit takes, so that they don't retry all at once.
+void CreditPool::refuse(LimitState& state, const HostId& to, const model::LimitCreditAsk& ask, Timestamp now)
 {
-    const Duration perCredit = fromSeconds(1 / std::max(holding.usualShare, LeastShareForPromise));
-    holding.promisedUntil = std::min(std::max(holding.promisedUntil, now) + perCredit, now + MostRetryAfter);
-    answer(to, {.ask = ask.ask, .retryAfter = std::max(holding.promisedUntil - now, LeastRetryAfter)});
+    const Duration perCredit = fromSeconds(1 / std::max(state.ratePerHolder, MinRateForRetryAfter));
+    state.lastRetryAt = std::min(std::max(state.lastRetryAt, now) + perCredit, now + MaxRetryAfter);
+    answer(to, {.ask = ask.ask, .retryAfter = std::max(state.lastRetryAt - now, MinRetryAfter)});
 }
 
 void CreditPool::answer(const HostId& to, const model::LimitCreditAnswer& answer)
@@ -266,51 +267,51 @@
 
 void CreditPool::tick(Timestamp now)
 {
-    while (!transfers_.empty() && transfers_.begin()->second.askedAt + TransferTimeout <= now) {
+    while (!transfers_.empty() && transfers_.begin()->second.requestedAt + TransferTimeout <= now) {
         const model::LimitId id = transfers_.begin()->second.id;
         transfers_.erase(transfers_.begin());
-        if (Holding* holding = holdingOf(id, now))
-            noteTransferEnded(id, *holding, now);
+        if (LimitState* state = findState(id, now))
+            onTransferCompleted(id, *state, now);
     }
-    const std::vector<model::LimitId> ids(waitingLimits_.begin(), waitingLimits_.end());
+    const std::vector<model::LimitId> ids(pendingLimits_.begin(), pendingLimits_.end());
     for (const model::LimitId& id : ids) {
-        Holding* holding = holdingOf(id, now);
-        if (holding == nullptr) { // It lost its limit, or itself: whoever waits asks again.
-            dropWaiting(id);
+        LimitState* state = findState(id, now);
+        if (state == nullptr) { // The limit was removed, or this host has no lease: gateways request again.
+            dropPending(id);
             continue;
         }
-        serveWaiting(id, *holding);
-        if (!holding->waiting.empty() && now - holding->waiting.front().since >= LongestWait)
-            refuseWaiting(id, *holding, now);
+        servePending(id, *state);
+        if (!state->pending.empty() && now - state->pending.front().receivedAt >= MaxPendingTime)
+            refusePending(id, *state, now);
     }
-    forgetIdle(now);
+    eraseFull(now);
     targetLimits_.expire(now);
 }
 
-void CreditPool::dropWaiting(const model::LimitId& id)
+void CreditPool::dropPending(const model::LimitId& id)
 {
-    Holding& holding = holdings_.at(id);
-    for (const Waiting& waiting : holding.waiting)
-        answer(waiting.from, {.ask = waiting.ask.ask});
-    holding.waiting.clear();
-    noteQuenched(id, holding);
+    LimitState& state = limitStates_.at(id);
+    for (const PendingRequest& pending : state.pending)
+        answer(pending.from, {.ask = pending.ask.ask});
+    state.pending.clear();
+    onPendingCleared(id, state);
 }
 
-/// What is full is made anew as full when it is asked for again.
-void CreditPool::forgetIdle(Timestamp now)
+/// A state with a full burst can be erased: it is created full again on the next request.
+void CreditPool::eraseFull(Timestamp now)
 {
-    std::vector<model::LimitId> idle;
+    std::vector<model::LimitId> full;
     for (size_t i = 0; i < BucketsPerTick; ++i) {
-        nextBucket_ = (nextBucket_ + 1) % holdings_.bucket_count();
-        for (auto item = holdings_.begin(nextBucket_); item != holdings_.end(nextBucket_); ++item) {
-            const Holding& holding = item->second;
-            const double credits = holding.credits + holding.share.perSecond * toSeconds(now - holding.filledAt);
-            if (holding.waiting.empty() && holding.transfersAsked == 0 && credits >= holding.share.burst)
-                idle.push_back(item->first);
+        nextBucket_ = (nextBucket_ + 1) % limitStates_.bucket_count();
+        for (auto item = limitStates_.begin(nextBucket_); item != limitStates_.end(nextBucket_); ++item) {
+            const LimitState& state = item->second;
+            const double credits = state.credits + state.share.perSecond * toSeconds(now - state.refilledAt);
+            if (state.pending.empty() && state.pendingTransfers == 0 && credits >= state.share.burst)
+                full.push_back(item->first);
         }
     }
-    for (const model::LimitId& id : idle)
-        holdings_.erase(id);
+    for (const model::LimitId& id : full)
+        limitStates_.erase(id);
 }
 
 std::vector<model::Outgoing> CreditPool::takeOutgoing()
--- a/src/registry/internal/creditpool.h
+++ b/src/registry/internal/creditpool.h
@@ -18,95 +18,97 @@
 
 namespace saltvane::registry {
 
-/// This host's share of the limits of client accounts and targets. Gateways ask for a credit for each request; a host
-/// that has none left asks the others. A credit is taken off before it is sent, so that what is lost, delayed or cut
-/// off on the way makes less of a limit and never more. docs/design/0016-client-accounts.md, 0018-target-limits.md
+/// This host's share of the rate limits of client accounts and targets. Gateways request a credit for each request; a
+/// host that has none left requests credits from the other registry hosts. A credit is deducted before it is sent, so
+/// that lost or delayed messages can lower the effective limit but never raise it.
+/// docs/design/0016-client-accounts.md, 0018-target-limits.md
 class CreditPool {
 public:
     struct Peer {
         HostId host;
-        bool isNear = false; ///< In this host's region.
+        bool isSameRegion = false;
     };
     CreditPool(HostId self, Timestamp startedAt);
 
-    /// A host that left the group may not have heard of it: for so long after its last proof that it is in the group it
-    /// gives credits, and its share is given to nobody else meanwhile.
-    static constexpr Duration LeaseTime = 60s;
+    /// A host that was removed from the group may not know it yet: it grants credits for this long after its last proof
+    /// of membership, and its share isn't reassigned before.
+    static constexpr Duration LeaseDuration = 60s;
 
-    /// The hosts of the group that holds the shares, this one among them or not, by a proof of this age.
+    /// The registry hosts among which limits are divided; may include this host. `proofAge`: of the proof that the
+    /// group is current.
     void setHolders(std::vector<HostId> holders, Duration proofAge, Timestamp now);
-    /// Other registry hosts that are heard.
+    /// The other registry hosts that are live.
     void setPeers(std::vector<Peer> peers) { peers_ = std::move(peers); }
     [[nodiscard]] AccountLimits& limits() { return limits_; }
     [[nodiscard]] TargetLimits& targetLimits() { return targetLimits_; }
 
     void handle(const HostId& from, const model::LimitCreditRequest& request, Timestamp now);
     void handle(const HostId& from, const model::LimitCreditReply& reply, Timestamp now);
-    /// Ends asks that waited long enough.
+    /// Refuses requests that have been pending for too long, and gives up transfers that are not answered.
     void tick(Timestamp now);
     [[nodiscard]] std::vector<model::Outgoing> takeOutgoing();
 
 private:
     enum class Reach { Nobody, Region, All };
-    struct Waiting {
+    struct PendingRequest {
         HostId from;
         model::LimitCreditAsk ask;
-        Timestamp since;
+        Timestamp receivedAt;
     };
-    /// What this host holds of one limit.
-    struct Holding {
+    /// This host's share and credits of one limit.
+    struct LimitState {
         model::RateLimit share;
-        uint64_t shareAsOf = 0; ///< Of holders and limits.
-        std::vector<HostId> holders; ///< Of this id.
-        bool isHolder = false; ///< Whether this host is among them.
-        double usualShare = 0; ///< Credits a second of each of them.
+        uint64_t shareVersion = 0; ///< Version of holders and limits that `share` is computed from.
+        std::vector<HostId> holders; ///< Hosts with a share of this limit.
+        bool isHolder = false; ///< Whether this host is one of them.
+        double ratePerHolder = 0; ///< Credits per second.
         double credits = 0;
-        Timestamp filledAt;
-        double demand = 0; ///< Credits asked for by gateways, a second, lately.
-        Timestamp demandAt;
-        std::deque<Waiting> waiting;
-        size_t transfersAsked = 0; ///< Not answered yet.
-        Reach askedUpTo = Reach::Nobody; ///< Of the other holders, for those that wait.
-        Timestamp dryUntil; ///< No other host had any.
-        Timestamp promisedUntil; ///< Callers that were refused have been told to return at times up to it.
+        Timestamp refilledAt;
+        double demand = 0; ///< Credits per second requested by gateways, decaying exponentially.
+        Timestamp demandUpdatedAt;
+        std::deque<PendingRequest> pending;
+        size_t pendingTransfers = 0;
+        Reach requestedFrom = Reach::Nobody; ///< The holders asked so far for the pending requests.
+        Timestamp exhaustedUntil; ///< No other host had credits: requests are refused until then.
+        Timestamp lastRetryAt; ///< The latest retry time given to a refused caller.
     };
     struct Transfer {
         model::LimitId id;
-        Timestamp askedAt;
+        Timestamp requestedAt;
     };
 
     [[nodiscard]] std::optional<model::RateLimit> limitOf(const model::LimitId& id) const;
-    [[nodiscard]] Holding* holdingOf(const model::LimitId& id, Timestamp now);
-    void updateShare(Holding& holding, const model::LimitId& id, const model::RateLimit& limit) const;
-    void fill(Holding& holding, Timestamp now) const;
-    void noteDemand(Holding& holding, uint32_t credits, Timestamp now) const;
-    [[nodiscard]] bool isLeased(Timestamp now) const;
+    [[nodiscard]] LimitState* findState(const model::LimitId& id, Timestamp now);
+    void updateShare(LimitState& state, const model::LimitId& id, const model::RateLimit& limit) const;
+    void refill(LimitState& state, Timestamp now) const;
+    void recordDemand(LimitState& state, uint32_t credits, Timestamp now) const;
+    [[nodiscard]] bool hasLease(Timestamp now) const;
     [[nodiscard]] bool isPeer(const HostId& host) const;
-    void answerPeer(const HostId& from, const model::LimitCreditAsk& ask, Timestamp now);
-    void answerGateway(const HostId& from, const model::LimitCreditAsk& ask, Timestamp now);
-    void serveWaiting(const model::LimitId& id, Holding& holding);
-    /// Asks the other holders, those of its region first; false: there is none left to ask.
-    [[nodiscard]] bool askPeers(const model::LimitId& id, Holding& holding, Timestamp now);
-    void refuseWaiting(const model::LimitId& id, Holding& holding, Timestamp now);
-    void refuse(Holding& holding, const HostId& to, const model::LimitCreditAsk& ask, Timestamp now);
+    void handlePeerRequest(const HostId& from, const model::LimitCreditAsk& ask, Timestamp now);
+    void handleGatewayRequest(const HostId& from, const model::LimitCreditAsk& ask, Timestamp now);
+    void servePending(const model::LimitId& id, LimitState& state);
+    /// Requests credits from the other holders, those of this region first; false: all have been asked.
+    [[nodiscard]] bool requestFromPeers(const model::LimitId& id, LimitState& state, Timestamp now);
+    void refusePending(const model::LimitId& id, LimitState& state, Timestamp now);
+    void refuse(LimitState& state, const HostId& to, const model::LimitCreditAsk& ask, Timestamp now);
     void answer(const HostId& to, const model::LimitCreditAnswer& answer);
-    void noteTransferEnded(const model::LimitId& id, Holding& holding, Timestamp now);
-    /// Nobody waits any more.
-    void noteQuenched(const model::LimitId& id, Holding& holding);
-    void dropWaiting(const model::LimitId& id);
-    void forgetIdle(Timestamp now);
+    void onTransferCompleted(const model::LimitId& id, LimitState& state, Timestamp now);
+    /// No request is pending any more.
+    void onPendingCleared(const model::LimitId& id, LimitState& state);
+    void dropPending(const model::LimitId& id);
+    void eraseFull(Timestamp now);
 
     HostId self_;
     Timestamp startedAt_;
-    std::map<HostId, Timestamp> holders_; ///< When they were last in the group.
-    std::optional<Timestamp> provenAt_; ///< That holders_ is as the group is.
+    std::map<HostId, Timestamp> holders_; ///< With the time when each was last in the group.
+    std::optional<Timestamp> provenAt_; ///< When holders_ was last proven current.
     uint64_t holdersVersion_ = 0;
     std::vector<Peer> peers_;
     AccountLimits limits_;
     TargetLimits targetLimits_;
-    std::unordered_map<model::LimitId, Holding> holdings_;
-    std::set<model::LimitId> waitingLimits_; ///< With asks that wait.
-    std::map<uint64_t, Transfer> transfers_; ///< By number, which is by age.
+    std::unordered_map<model::LimitId, LimitState> limitStates_;
+    std::set<model::LimitId> pendingLimits_; ///< Limits with pending requests.
+    std::map<uint64_t, Transfer> transfers_; ///< By number, which is also the order of requests.
     uint64_t lastTransfer_ = 0;
     size_t nextBucket_ = 0;
     std::unordered_map<HostId, model::LimitCreditRequest> requests_;
--- a/src/registry/internal/loadboard.cpp
+++ b/src/registry/internal/loadboard.cpp
@@ -11,16 +11,16 @@
 
 namespace {
 
-/// Three reports of a gateway of another region, which come each 1.2 s: requests of one that is gone end with it.
-constexpr Duration Memory = 3600ms;
+/// Three report intervals (1.2 s) of a gateway in another region. A disconnected gateway's requests no longer count.
+constexpr Duration LoadReportTimeout = 3600ms;
 
-/// Whether a gateway would choose otherwise by the new sum: one request more or less changes nothing where a target
-/// works on many. Where it works on few each counts. All sums each time would be 12 bytes a target and 300 ms, a sixth
-/// of a link of 2.6 Mbit/s with 1,356 targets.
-bool differs(uint32_t sum, uint32_t told)
+/// Whether the new sum could change a gateway's choice: one request more or less matters only to a target with few in
+/// flight. Sending all sums each time would cost 12 bytes per target every 300 ms: a sixth of a link of 2.6 Mbit/s with
+/// 1,356 targets.
+bool isSignificantChange(uint32_t sum, uint32_t published)
 {
-    const uint32_t difference = sum > told ? sum - told : told - sum;
-    return difference > told / 4;
+    const uint32_t difference = sum > published ? sum - published : published - sum;
+    return difference > published / 4;
 }
 
 } // namespace
@@ -33,28 +33,28 @@
             sum.inFlight += loads.inFlight[i];
         else
             sum.inFlight -= std::min(sum.inFlight, loads.inFlight[i]);
-        if (!sum.isTouched)
-            touched_.push_back(loads.targets[i]);
-        sum.isTouched = true;
+        if (!sum.isDirty)
+            dirtyTargets_.push_back(loads.targets[i]);
+        sum.isDirty = true;
     }
 }
 
-void LoadBoard::note(const HostId& gateway, const model::TargetLoads& loads, Timestamp now)
+void LoadBoard::record(const HostId& gateway, const model::TargetLoads& loads, Timestamp now)
 {
     const auto [found, isNew] = gateways_.try_emplace(gateway);
     if (!isNew)
         apply(found->second.loads, false);
     apply(loads, true);
-    found->second = {.loads = loads, .heardAt = now};
-    heard_.emplace_back(now, gateway);
+    found->second = {.loads = loads, .receivedAt = now};
+    arrivals_.emplace_back(now, gateway);
 }
 
 void LoadBoard::expire(Timestamp now)
 {
-    for (; !heard_.empty() && now - heard_.front().first > Memory; heard_.pop_front()) {
-        const auto found = gateways_.find(heard_.front().second);
-        if (found == gateways_.end() || found->second.heardAt != heard_.front().first)
-            continue; // Heard of since.
+    for (; !arrivals_.empty() && now - arrivals_.front().first > LoadReportTimeout; arrivals_.pop_front()) {
+        const auto found = gateways_.find(arrivals_.front().second);
+        if (found == gateways_.end() || found->second.receivedAt != arrivals_.front().first)
+            continue; // It has sent a newer report.
         apply(found->second.loads, false);
         gateways_.erase(found);
     }
@@ -63,29 +63,29 @@
 model::TargetLoads LoadBoard::takeChanges()
 {
     model::TargetLoads changes {.isChange = true};
-    for (const uint64_t target : touched_) {
+    for (const uint64_t target : dirtyTargets_) {
         Sum& sum = sums_[target];
-        sum.isTouched = false;
-        if (differs(sum.inFlight, sum.told)) {
-            sum.told = sum.inFlight;
+        sum.isDirty = false;
+        if (isSignificantChange(sum.inFlight, sum.published)) {
+            sum.published = sum.inFlight;
             changes.targets.push_back(target);
-            changes.inFlight.push_back(sum.told);
+            changes.inFlight.push_back(sum.published);
         }
-        if (sum.inFlight == 0 && sum.told == 0)
+        if (sum.inFlight == 0 && sum.published == 0)
             sums_.erase(target);
     }
-    touched_.clear();
+    dirtyTargets_.clear();
     return changes;
 }
 
-model::TargetLoads LoadBoard::told() const
+model::TargetLoads LoadBoard::published() const
 {
     model::TargetLoads all;
     for (const auto& [target, sum] : sums_) {
-        if (sum.told == 0)
+        if (sum.published == 0)
             continue;
         all.targets.push_back(target);
-        all.inFlight.push_back(sum.told);
+        all.inFlight.push_back(sum.published);
     }
     return all;
 }
--- a/src/registry/internal/loadboard.h
+++ b/src/registry/internal/loadboard.h
@@ -14,35 +14,36 @@
 
 namespace saltvane::registry {
 
-/// What each gateway has in flight on each target, as it last told, and the sums over all gateways. A gateway's word
-/// costs as much as it names targets.
+/// The requests that each gateway last reported in flight on each target, and their sums over all gateways. A report
+/// costs in proportion to the targets that it names.
 class LoadBoard {
 public:
-    void note(const HostId& gateway, const model::TargetLoads& loads, Timestamp now);
-    /// Forgets gateways that are not heard any more.
+    void record(const HostId& gateway, const model::TargetLoads& loads, Timestamp now);
+    /// Removes gateways whose last report is too old.
     void expire(Timestamp now);
-    /// Sums that differ enough from what was told before, which is what the gateways go by until they hear another.
+    /// Sums that differ significantly from the published ones, which gateways use until they receive others. They count
+    /// as published from now on.
     [[nodiscard]] model::TargetLoads takeChanges();
-    /// All sums as told, for a gateway that has heard of none.
-    [[nodiscard]] model::TargetLoads told() const;
+    /// All published sums, for a gateway that has received none.
+    [[nodiscard]] model::TargetLoads published() const;
 
 private:
     struct Entry {
         model::TargetLoads loads;
-        Timestamp heardAt;
+        Timestamp receivedAt;
     };
     struct Sum {
         uint32_t inFlight = 0;
-        uint32_t told = 0;
-        bool isTouched = false; ///< Since the last takeChanges().
+        uint32_t published = 0;
+        bool isDirty = false; ///< Since the last takeChanges().
     };
-    /// Adds to the sums what a gateway tells, or takes it off.
+    /// Adds a gateway's report to the sums, or subtracts it.
     void apply(const model::TargetLoads& loads, bool isAdded);
 
     std::unordered_map<HostId, Entry> gateways_;
     std::unordered_map<uint64_t, Sum> sums_;
-    std::vector<uint64_t> touched_;
-    std::deque<std::pair<Timestamp, HostId>> heard_; ///< Words in the order they came.
+    std::vector<uint64_t> dirtyTargets_;
+    std::deque<std::pair<Timestamp, HostId>> arrivals_; ///< Reports in the order received.
 };
 
 } // namespace saltvane::registry
--- a/src/registry/internal/lookups.cpp
+++ b/src/registry/internal/lookups.cpp
@@ -12,29 +12,29 @@
 
 namespace {
 
-/// Three heartbeats and some: a gateway that is gone leaves the answers within about a second.
-constexpr Duration FreshFor = 1100ms;
-/// The same for gateways of other regions, which send heartbeats each 1.2 s. Gateways that were heard of less lately
-/// are also better than none.
-constexpr Duration FarFreshFor = 4s;
-constexpr size_t MostAddresses = 64;
+/// Over three heartbeat intervals of 0.3 s: a failed gateway disappears from the answers after about a second.
+constexpr Duration SameRegionTimeout = 1100ms;
+/// Over three heartbeat intervals of gateways in other regions, 1.2 s each. Gateways of this region whose last
+/// heartbeat is that old are still returned where no gateway is within its timeout.
+constexpr Duration OtherRegionTimeout = 4s;
+constexpr size_t MaxAddresses = 64;
 
-int nearnessOf(const model::HostRecord& record, std::string_view zone, std::string_view region)
+int proximityOf(const model::HostRecord& record, std::string_view zone, std::string_view region)
 {
     if (record.zone.value() == zone)
         return 2;
     return record.region.value() == region ? 1 : 0;
 }
 
-std::vector<const membership::RosterEntry*> serving(
+std::vector<const membership::RosterEntry*> servingGateways(
     const membership::IHostRoster& roster, const RegionName& ownRegion, Timestamp now)
 {
-    std::vector<const membership::RosterEntry*> entries = roster.heardWithin(FarFreshFor, now);
+    std::vector<const membership::RosterEntry*> entries = roster.heardWithin(OtherRegionTimeout, now);
     std::erase_if(entries, [](const membership::RosterEntry* entry) {
         return entry->record.isControl || entry->record.state != model::HostState::Serving;
     });
     const auto isFresh = [&](const membership::RosterEntry* entry) {
-        return now - entry->heardAt <= (entry->record.region == ownRegion ? FreshFor : FarFreshFor);
+        return now - entry->heardAt <= (entry->record.region == ownRegion ? SameRegionTimeout : OtherRegionTimeout);
     };
     if (std::ranges::any_of(entries, isFresh))
         std::erase_if(entries, [&](const membership::RosterEntry* entry) { return !isFresh(entry); });
@@ -44,26 +44,26 @@
 int hexDigit(char c)
 {
     int digit = -1;
-    constexpr int Hex = 16;
-    std::from_chars(&c, &c + 1, digit, Hex);
+    constexpr int HexBase = 16;
+    std::from_chars(&c, &c + 1, digit, HexBase);
     return digit;
 }
 
-std::string unescape(std::string_view text)
+std::string percentDecode(std::string_view text)
 {
-    constexpr int Hex = 16;
-    std::string plain;
+    constexpr int HexBase = 16;
+    std::string decoded;
     for (size_t i = 0; i < text.size(); ++i) {
         const bool isEscape
             = text[i] == '%' && i + 2 < text.size() && hexDigit(text[i + 1]) >= 0 && hexDigit(text[i + 2]) >= 0;
         if (isEscape) {
-            plain.push_back(static_cast<char>(hexDigit(text[i + 1]) * Hex + hexDigit(text[i + 2])));
+            decoded.push_back(static_cast<char>(hexDigit(text[i + 1]) * HexBase + hexDigit(text[i + 2])));
             i += 2;
         } else {
-            plain.push_back(text[i]);
+            decoded.push_back(text[i]);
         }
     }
-    return plain;
+    return decoded;
 }
 
 } // namespace
@@ -71,13 +71,13 @@
 std::vector<model::Address> gatewaysFor(
     const membership::IHostRoster& roster, const RegionName& ownRegion, const Origin& caller, Timestamp now)
 {
-    const std::vector<const membership::RosterEntry*> entries = serving(roster, ownRegion, now);
-    int nearest = 0;
+    const std::vector<const membership::RosterEntry*> entries = servingGateways(roster, ownRegion, now);
+    int bestProximity = 0;
     for (const membership::RosterEntry* entry : entries)
-        nearest = std::max(nearest, nearnessOf(entry->record, caller.zone, caller.region));
+        bestProximity = std::max(bestProximity, proximityOf(entry->record, caller.zone, caller.region));
     std::vector<model::Address> addresses;
     for (const membership::RosterEntry* entry : entries) {
-        if (nearnessOf(entry->record, caller.zone, caller.region) == nearest && addresses.size() < MostAddresses)
+        if (proximityOf(entry->record, caller.zone, caller.region) == bestProximity && addresses.size() < MaxAddresses)
             addresses.push_back(entry->record.entryAddress);
     }
     return addresses;
@@ -94,7 +94,7 @@
         rest.remove_prefix(std::min(rest.size(), item.size() + 1));
         const size_t equals = item.find('=');
         if (item.substr(0, equals) == field && equals != std::string_view::npos)
-            return unescape(item.substr(equals + 1));
+            return percentDecode(item.substr(equals + 1));
     }
     return {};
 }
--- a/src/registry/internal/neargateways.h
+++ b/src/registry/internal/nearestgateways.h
@@ -13,11 +13,11 @@
 
 namespace saltvane::registry {
 
-/// The gateways that hear sums of loads from this registry host: those to which it is the nearest one that lives.
-/// Worked out anew only where a host came or went.
-class NearGateways {
+/// The gateways that receive load sums from this registry host: those to which it is the nearest live registry host.
+/// Recomputed only when a registry host or gateway appears or disappears.
+class NearestGateways {
 public:
-    explicit NearGateways(Gateway self);
+    explicit NearestGateways(Gateway self);
 
     [[nodiscard]] const std::vector<HostId>& update(
         std::span<const Gateway> registryHosts, std::span<const Gateway> gateways);
@@ -28,7 +28,7 @@
     Gateway self_;
     std::vector<Gateway> registryHosts_;
     std::vector<Gateway> gateways_;
-    std::vector<HostId> near_;
+    std::vector<HostId> nearest_;
 };
 
 } // namespace saltvane::registry
--- a/src/registry/internal/orders.h
+++ b/src/registry/internal/ordertracker.h
@@ -16,40 +16,39 @@
 
 namespace saltvane::registry {
 
-/// What an order came to.
-struct OrderDone {
+struct OrderCommitted {
     BundleVersion version;
 };
 struct OrderRefused {
     control::ControlError error;
 };
-/// Another control host leads; the caller should ask there.
-struct OrderElsewhere {
+/// Another control host is the leader; the caller should send the order there.
+struct OrderRedirected {
     HostId leader;
 };
-/// Nobody took it in time; the same order may be sent again.
-struct OrderUnanswered {
+/// No leader accepted the order in time; it may be sent again.
+struct OrderTimedOut {
     std::string reason;
 };
-using OrderOutcome = std::variant<OrderDone, OrderRefused, OrderElsewhere, OrderUnanswered>;
+using OrderOutcome = std::variant<OrderCommitted, OrderRefused, OrderRedirected, OrderTimedOut>;
 
 struct OrderAnswer {
     requests::HttpHandle handle;
     OrderOutcome outcome;
 };
 
-/// Orders of operators and targets on their way through the replicated log. While no leader is known an order waits a
-/// little, so that callers need not find out about each election.
-class Orders {
+/// Tracks orders of operators and targets until the replicated log has committed or refused them. While no leader is
+/// known an order waits for up to MaxWaitForLeader, so that callers don't notice short elections.
+class OrderTracker {
 public:
-    explicit Orders(control::IControlReplica& replica);
+    explicit OrderTracker(control::IControlReplica& replica);
 
     void submit(requests::HttpHandle handle, control::Command command, Timestamp now);
-    /// The caller is gone; the order itself goes on.
-    void forget(requests::HttpHandle handle);
-    /// Gathers what the replica answered.
+    /// The caller has disconnected: the order gets no answer, but stays submitted to the log.
+    void detachCaller(requests::HttpHandle handle);
+    /// Collects the replica's answers.
     void tick(Timestamp now);
-    /// Tries again what waits for a leader.
+    /// Submits the orders that wait for a leader again.
     void retryWaiting(Timestamp now);
     [[nodiscard]] std::vector<OrderAnswer> takeAnswers();
     [[nodiscard]] bool isEmpty() const { return submitted_.empty() && waiting_.empty(); }
@@ -58,11 +57,11 @@
     struct Order {
         requests::HttpHandle handle;
         control::Command command;
-        Timestamp since;
+        Timestamp submittedAt;
     };
 
-    void put(Order order, Timestamp now);
-    void settle(Order order, const Result<control::BundleRecord, control::ControlError>& result, Timestamp now);
+    void submitToReplica(Order order, Timestamp now);
+    void complete(Order order, const Result<control::BundleRecord, control::ControlError>& result, Timestamp now);
 
     control::IControlReplica& replica_;
     std::map<control::SubmissionId, Order> submitted_;
--- a/src/registry/internal/planqueue.cpp
+++ b/src/registry/internal/planqueue.cpp
@@ -12,37 +12,37 @@
 
 namespace {
 
-/// Routes and client accounts read in one tick: some 6 ms of a core.
+/// Routes and client accounts parsed in one tick: about 6 ms of a core.
 constexpr size_t ItemsPerTick = 800;
 
 } // namespace
 
-void PlanQueue::forget(requests::HttpHandle handle)
+void PlanQueue::remove(requests::HttpHandle handle)
 {
     const auto found = std::ranges::find(entries_, handle, &Entry::handle);
     if (found == entries_.end())
         return;
     if (found == entries_.begin())
-        isFirstStarted_ = false;
+        isFirstBeingPrepared_ = false;
     entries_.erase(found);
 }
 
-std::optional<PlanQueue::Entry> PlanQueue::takeRead()
+std::optional<PlanQueue::Entry> PlanQueue::popPrepared()
 {
     if (entries_.empty())
         return std::nullopt;
-    if (!std::exchange(isFirstStarted_, true))
+    if (!std::exchange(isFirstBeingPrepared_, true))
         reader_.prepare(entries_.front().order.content);
     if (!reader_.prepareSome(ItemsPerTick))
         return std::nullopt;
-    return takeUnread();
+    return popUnprepared();
 }
 
-std::optional<PlanQueue::Entry> PlanQueue::takeUnread()
+std::optional<PlanQueue::Entry> PlanQueue::popUnprepared()
 {
     if (entries_.empty())
         return std::nullopt;
-    isFirstStarted_ = false;
+    isFirstBeingPrepared_ = false;
     Entry first = std::move(entries_.front());
     entries_.pop_front();
     return first;
--- a/src/registry/internal/refusedreports.cpp
+++ b/src/registry/internal/refusedreports.cpp
@@ -14,15 +14,15 @@
 std::optional<host::LogLine> RefusedReports::note(std::string_view path, const Findings& findings, Timestamp now)
 {
     if (now < nextLineAt_) {
-        ++leftOut_;
+        ++suppressedLines_;
         return std::nullopt;
     }
-    nextLineAt_ = now + LinePeriod;
+    nextLineAt_ = now + LogInterval;
     const std::string first = findings.isEmpty() ? std::string {} : toString(findings.items().front());
     LogText text("target_report_refused");
-    text.add("path", path.substr(0, LongestText));
-    text.add("findings", findings.items().size()).add("first", std::string_view(first).substr(0, LongestText));
-    text.add("left_out", std::exchange(leftOut_, 0));
+    text.add("path", path.substr(0, MaxTextLength));
+    text.add("findings", findings.items().size()).add("first", std::string_view(first).substr(0, MaxTextLength));
+    text.add("left_out", std::exchange(suppressedLines_, 0));
     return host::LogLine {.severity = host::LogSeverity::Warning, .module = "registry", .text = text.text()};
 }
 
--- a/src/registry/internal/refusedreports.h
+++ b/src/registry/internal/refusedreports.h
@@ -13,18 +13,18 @@
 
 namespace saltvane::registry {
 
-/// Log lines of targets' reports that were refused: one a second at the most, whoever sends how many.
+/// Rate-limits the log lines about refused reports of targets to one a second, however many are refused.
 class RefusedReports {
 public:
-    /// The line to write; none where one was written lately.
+    /// The line to write; none where one was written within the last second.
     [[nodiscard]] std::optional<host::LogLine> note(std::string_view path, const Findings& findings, Timestamp now);
 
 private:
-    static constexpr Duration LinePeriod = 1s;
-    static constexpr size_t LongestText = 160; ///< Of what a stranger may put into a line.
+    static constexpr Duration LogInterval = 1s;
+    static constexpr size_t MaxTextLength = 160; ///< Of untrusted text in a line.
 
     Timestamp nextLineAt_ {};
-    uint64_t leftOut_ = 0;
+    uint64_t suppressedLines_ = 0;
 };
 
 } // namespace saltvane::registry
--- a/src/registry/internal/registrycalls.cpp
+++ b/src/registry/internal/registrycalls.cpp
@@ -10,7 +10,7 @@
 #include <nlohmann/json.hpp>
 #include <utility>
 
-/// How RegistryCore carries out the calls of callers, targets and operators.
+/// The part of RegistryCore that handles HTTP calls of callers, targets and operators.
 namespace saltvane::registry {
 
 namespace {
@@ -19,8 +19,8 @@
 constexpr int StatusBadRequest = 400;
 constexpr int StatusNotFound = 404;
 constexpr int StatusConflict = 412;
-/// Of a host's memory, for bodies of calls, orders and plans that are read: 16 MB of 256.
-constexpr uint64_t PartForCalls = 16;
+/// Share of a host's memory for bodies of calls, orders and plans being sent: 16 MB of 256.
+constexpr uint64_t CallMemoryDivisor = 16;
 
 } // namespace
 
@@ -30,7 +30,7 @@
     const std::vector<model::Address> addresses = gatewaysFor(*roster_, settings_.region, caller, now);
     counters_->add(addresses.empty() ? model::Counter::LookUpsRefused : model::Counter::LookUps);
     if (addresses.empty())
-        return answer(laterAnswer(handle, "no gateway is known"));
+        return answer(unavailableAnswer(handle, "no gateway is known"));
     nlohmann::json hosts = nlohmann::json::array();
     for (const model::Address& address : addresses)
         hosts.push_back(toString(address));
@@ -43,37 +43,37 @@
     Result<model::TargetRecord, Findings> heartbeat = readTargetHeartbeat(call.target, open.body);
     if (!heartbeat)
         return refuseReport(handle, open, heartbeat.error(), now);
-    if (!isServiceNamed(heartbeat.value())) {
+    if (!isServiceInPlan(heartbeat.value())) {
         Findings findings;
-        findings.add(
-            {.place = {.source = "heartbeat"}, .field = "service", .message = "the plan names no such service"});
+        findings.add({.place = {.source = "heartbeat"}, .field = "service", .message = "is not a service of the plan"});
         return refuseReport(handle, open, findings, now);
     }
     counters_->add(model::Counter::Announcements);
-    const model::TargetIncarnation start {.target = call.target, .incarnation = heartbeat.value().incarnation};
-    const bool isBound = isRetired(start);
-    const bool mustRetire = heartbeat.value().isLeaving && !isBound;
-    heartbeat.value().isLeaving = heartbeat.value().isLeaving || isBound;
+    const model::TargetIncarnation targetIncarnation {
+        .target = call.target, .incarnation = heartbeat.value().incarnation};
+    const bool isAlreadyRetired = isRetired(targetIncarnation);
+    const bool mustRetire = heartbeat.value().isLeaving && !isAlreadyRetired;
+    heartbeat.value().isLeaving = heartbeat.value().isLeaving || isAlreadyRetired;
     if (!targets_.note(std::move(heartbeat.value()), now))
         counters_->add(model::Counter::StaleMessages);
     if (mustRetire)
-        return retire(handle, start, now);
+        return retire(handle, targetIncarnation, now);
     answer(jsonAnswer(handle, StatusOk, "{}"));
 }
 
 void RegistryCore::run(requests::HttpHandle handle, const TargetLeaveCall& call, OpenCall& open, Timestamp now)
 {
-    const Result<Incarnation, Findings> told = readTargetLeave(call.target, open.body);
-    if (!told)
-        return refuseReport(handle, open, told.error(), now);
-    // A leave that doesn't tell the start is of the one that is known.
+    const Result<Incarnation, Findings> leavingIncarnation = readTargetLeave(call.target, open.body);
+    if (!leavingIncarnation)
+        return refuseReport(handle, open, leavingIncarnation.error(), now);
+    // Without an incarnation the call refers to the known one.
     const Incarnation known = targets_.incarnationOf(call.target);
-    const model::TargetIncarnation start {
-        .target = call.target, .incarnation = told.value().value == 0 ? known : told.value()};
-    targets_.remove(start);
-    if (isRetired(start))
+    const model::TargetIncarnation targetIncarnation {.target = call.target,
+        .incarnation = leavingIncarnation.value().value == 0 ? known : leavingIncarnation.value()};
+    targets_.remove(targetIncarnation);
+    if (isRetired(targetIncarnation))
         return answer(jsonAnswer(handle, StatusOk, "{}"));
-    retire(handle, start, now);
+    retire(handle, targetIncarnation, now);
 }
 
 void RegistryCore::refuseReport(
@@ -85,22 +85,23 @@
     answer(findingsAnswer(handle, findings.items()));
 }
 
-bool RegistryCore::isServiceNamed(const model::TargetRecord& record)
+bool RegistryCore::isServiceInPlan(const model::TargetRecord& record)
 {
     const control::RoutingState& routing = replica_->routing();
     if (routing.planVersion.value == 0)
-        return true; // Targets may come before the first plan.
-    if (servicesAsOf_ != routing.planPosition) {
-        servicesAsOf_ = routing.planPosition;
+        return true; // Targets may report before the first plan.
+    if (servicesPosition_ != routing.planPosition) {
+        servicesPosition_ = routing.planPosition;
         services_ = statedServices(routing.planContent);
     }
-    // One that a newer plan has dropped still has to be heard when it leaves.
+    // A target whose service was removed by a newer plan must still be able to leave.
     return services_.contains(record.service) || targets_.isKnown(record.target, record.service);
 }
 
-void RegistryCore::retire(requests::HttpHandle handle, const model::TargetIncarnation& start, Timestamp now)
+void RegistryCore::retire(requests::HttpHandle handle, const model::TargetIncarnation& targetIncarnation, Timestamp now)
 {
-    orders_.submit(handle, control::RetireTarget {.target = start.target, .incarnation = start.incarnation}, now);
+    orders_.submit(handle,
+        control::RetireTarget {.target = targetIncarnation.target, .incarnation = targetIncarnation.incarnation}, now);
 }
 
 void RegistryCore::run(requests::HttpHandle handle, const ReplacePlanCall& call, OpenCall& open, Timestamp now)
@@ -109,14 +110,15 @@
         "event=plan_order base=" + std::to_string(call.base.value) + " bytes=" + std::to_string(open.body.size()));
     planQueue_.add({.handle = handle,
         .order = {.base = call.base, .version = statedVersion(open.body), .content = std::move(open.body)}});
-    submitReadPlan(now);
+    submitPreparedPlan(now);
 }
 
-void RegistryCore::submitReadPlan(Timestamp now)
+void RegistryCore::submitPreparedPlan(Timestamp now)
 {
-    // Who doesn't lead only tells who does.
-    if (std::optional<PlanQueue::Entry> read = replica_->isLeader() ? planQueue_.takeRead() : planQueue_.takeUnread())
-        orders_.submit(read->handle, std::move(read->order), now);
+    // A host that isn't the leader doesn't check plans: it only redirects to the leader.
+    if (std::optional<PlanQueue::Entry> prepared
+        = replica_->isLeader() ? planQueue_.popPrepared() : planQueue_.popUnprepared())
+        orders_.submit(prepared->handle, std::move(prepared->order), now);
 }
 
 void RegistryCore::run(requests::HttpHandle handle, ReadPlanCall /*call*/, OpenCall& /*open*/, Timestamp now)
@@ -124,7 +126,7 @@
     const control::RoutingState& routing = replica_->routing();
     if (!replica_->isCurrent(now) || routing.planContent.empty()) {
         counters_->add(model::Counter::NotCurrentAnswers);
-        return answer(laterAnswer(handle, "no plan, or no proof that it is the newest"));
+        return answer(unavailableAnswer(handle, "no plan, or no proof that it is current"));
     }
     answerWithPlan(handle);
 }
@@ -141,24 +143,24 @@
 
 void RegistryCore::run(requests::HttpHandle handle, UnknownCall /*call*/, OpenCall& /*open*/, Timestamp /*now*/)
 {
-    answer(errorAnswer(handle, StatusNotFound, "no such call"));
+    answer(errorAnswer(handle, StatusNotFound, "unknown path or method"));
 }
 
-bool RegistryCore::mayHold(requests::HttpHandle handle, uint64_t bytes)
+bool RegistryCore::reserveCallBytes(requests::HttpHandle handle, uint64_t bytes)
 {
-    if (callBytes_ + bytes > settings_.limits.memoryBytes / PartForCalls) {
+    if (callBytes_ + bytes > settings_.limits.memoryBytes / CallMemoryDivisor) {
         log(host::LogSeverity::Warning, "event=call_refused held_bytes=" + std::to_string(callBytes_));
-        answer(laterAnswer(handle, "too many calls at once"));
+        answer(unavailableAnswer(handle, "too many concurrent calls"));
         return false;
     }
     callBytes_ += bytes;
     return true;
 }
 
-void RegistryCore::endCall(requests::HttpHandle handle)
+void RegistryCore::closeCall(requests::HttpHandle handle)
 {
     if (const auto call = calls_.extract(handle); !call.empty())
-        callBytes_ -= call.mapped().heldBytes;
+        callBytes_ -= call.mapped().reservedBytes;
     if (const auto answered = planAnswers_.extract(handle); !answered.empty())
         callBytes_ -= answered.mapped();
 }
@@ -166,7 +168,7 @@
 void RegistryCore::answerWithPlan(requests::HttpHandle handle)
 {
     const std::string& plan = replica_->routing().planContent;
-    if (!mayHold(handle, plan.size()))
+    if (!reserveCallBytes(handle, plan.size()))
         return;
     answer(jsonAnswer(handle, StatusOk, plan));
     planAnswers_.emplace(handle, plan.size());
@@ -186,20 +188,20 @@
 
 void RegistryCore::answer(requests::HttpRespond respond)
 {
-    endCall(respond.handle);
+    closeCall(respond.handle);
     actions_.emplace_back(requests::Action(std::move(respond)));
 }
 
 requests::HttpRespond RegistryCore::answerOf(const OrderAnswer& order, const OpenCall& open) const
 {
-    if (std::holds_alternative<OrderDone>(order.outcome))
+    if (std::holds_alternative<OrderCommitted>(order.outcome))
         return jsonAnswer(order.handle, StatusOk, "{}");
-    if (const auto* unanswered = std::get_if<OrderUnanswered>(&order.outcome))
-        return laterAnswer(order.handle, unanswered->reason);
-    if (const auto* elsewhere = std::get_if<OrderElsewhere>(&order.outcome)) {
-        const membership::RosterEntry* leader = roster_->find(elsewhere->leader);
+    if (const auto* timedOut = std::get_if<OrderTimedOut>(&order.outcome))
+        return unavailableAnswer(order.handle, timedOut->reason);
+    if (const auto* redirected = std::get_if<OrderRedirected>(&order.outcome)) {
+        const membership::RosterEntry* leader = roster_->find(redirected->leader);
         if (leader == nullptr)
-            return laterAnswer(order.handle, "the control leader's address is not known yet");
+            return unavailableAnswer(order.handle, "the control leader's address is unknown");
         return redirectAnswer(order.handle, leader->record.entryAddress, open.path);
     }
     const control::ControlError& error = std::get<OrderRefused>(order.outcome).error;
--- a/src/registry/internal/registrycore.cpp
+++ b/src/registry/internal/registrycore.cpp
@@ -14,27 +14,28 @@
 
 namespace {
 
-/// The replicated log's timers need no finer steps.
+/// Fine enough for the replicated log's timers.
 constexpr Duration RegistryTick = 20ms;
-/// Six round trips between far regions (70 ms): nothing is served after a loss of all hosts until a leader stands.
+/// Six round trips between distant regions (70 ms). Short, since after a loss of all hosts nothing is served until a
+/// leader is elected.
 constexpr Duration ElectionTimeout = 450ms;
 constexpr Duration LeaderHeartbeat = 90ms;
-constexpr Duration LeaderLease = 350ms; ///< Under the election timeout.
-/// A planned stop waits so long for answers and messages on their way.
+constexpr Duration LeaderLease = 350ms; ///< Shorter than the election timeout.
+/// A planned stop waits this long for answers and messages in flight.
 constexpr Duration StopDelay = 300ms;
-constexpr Duration LongestStop = 2s;
-/// Of the newest retired targets, told to a gateway that starts.
-constexpr size_t RetiredTold = 512;
-constexpr size_t LargestBody = 4 * 1024 * 1024;
-/// Bytes that a report of a target or an order of few words has at the most: never refused for what others hold.
-constexpr size_t SmallBody = 4 * 1024;
+constexpr Duration MaxStopDuration = 2s;
+/// Newest retired targets that are sent to a newly connected gateway.
+constexpr size_t MaxRetiredSent = 512;
+constexpr size_t MaxBodyBytes = 4 * 1024 * 1024;
+/// Upper bound of targets' reports and short orders: up to it, a body is not refused for the memory of other calls.
+constexpr size_t SmallBodyBytes = 4 * 1024;
 
 constexpr int StatusTooLarge = 413;
 
-/// Decisions of the log need no wall clock here: it only dates entries for people.
+/// The log uses the wall clock only to date entries for operators, which a registry doesn't need.
 int64_t noWallClock() { return 0; }
 
-/// Checks plans as they are ordered, each against the one before.
+/// Checks each ordered plan. The reader reuses what is unchanged since the previous one.
 class PlanChecker {
 public:
     explicit PlanChecker(std::shared_ptr<settings::RoutePlanReader> reader)
@@ -57,7 +58,7 @@
 Result<model::Bundle, Findings> refuseBundle(std::string_view /*content*/)
 {
     Findings findings;
-    findings.add({.place = {}, .field = "", .message = "a registry takes route plans, not bundles"});
+    findings.add({.place = {}, .field = "", .message = "a registry accepts route plans, not bundles"});
     return findings;
 }
 
@@ -82,10 +83,10 @@
     , planQueue_(*planReader_)
     , roster_(membership::makeHostRoster(
           {.self = recordOf(settings_, incarnation_), .seeds = host::hostIdsOf(settings_.seeds)}))
-    , holder_(control::makeBundleHolder({.self = self_, .counters = counters_.get()}))
+    , bundleReplica_(control::makeBundleHolder({.self = self_, .counters = counters_.get()}))
     , targets_(settings_.zones)
     , orders_(*replica_)
-    , nearGateways_({.host = self_, .zone = settings_.zone, .region = settings_.region})
+    , nearestGateways_({.host = self_, .zone = settings_.zone, .region = settings_.region})
     , recalled_(options.softState.targets.targets)
     , recalledVerdicts_(options.softState.suspects.requests)
 {
@@ -95,8 +96,9 @@
 
 void RegistryCore::handle(host::Event event, Timestamp now)
 {
-    std::visit([&](auto&& one) { accept(std::forward<decltype(one)>(one), now); }, std::move(event));
-    settle(now);
+    std::visit(
+        [&](auto&& typedEvent) { accept(std::forward<decltype(typedEvent)>(typedEvent), now); }, std::move(event));
+    collectOutputs(now);
 }
 
 void RegistryCore::tick(Timestamp now)
@@ -104,9 +106,9 @@
     replica_->tick(now);
     replica_->setJoinHosts(roster_->controlHosts());
     roster_->tick(now);
-    submitReadPlan(now);
+    submitPreparedPlan(now);
     orders_.retryWaiting(now);
-    noteLeader(now);
+    logLeaderChange(now);
     distribute(now);
     recallVerdicts(now);
     recallTargets(now);
@@ -116,10 +118,10 @@
     suspects_.tick(now);
     updateCredits(now);
     updateLinks();
-    settle(now);
-    const bool isStopDue
-        = stopAt_ && now >= *stopAt_ && ((orders_.isEmpty() && planQueue_.isEmpty()) || now >= *stopAt_ + LongestStop);
-    if (isStopDue)
+    collectOutputs(now);
+    const bool isTimeToStop = stopAt_ && now >= *stopAt_
+        && ((orders_.isEmpty() && planQueue_.isEmpty()) || now >= *stopAt_ + MaxStopDuration);
+    if (isTimeToStop)
         actions_.emplace_back(host::StopFinished {});
 }
 
@@ -127,7 +129,7 @@
 
 void RegistryCore::accept(requests::HttpEvent event, Timestamp now)
 {
-    std::visit([&](const auto& one) { accept(one, now); }, event);
+    std::visit([&](const auto& typedEvent) { accept(typedEvent, now); }, event);
 }
 
 void RegistryCore::accept(const requests::HttpRequestStarted& request, Timestamp now)
@@ -135,12 +137,12 @@
     OpenCall& open = calls_[request.handle];
     open = {.call = readCall(request, settings_.headers), .path = request.path};
     if (request.bodyLength == 0)
-        runWhole(request.handle, open, now);
+        runCall(request.handle, open, now);
 }
 
-void RegistryCore::runWhole(requests::HttpHandle handle, OpenCall& open, Timestamp now)
+void RegistryCore::runCall(requests::HttpHandle handle, OpenCall& open, Timestamp now)
 {
-    // Of a copy: the answer ends the open call.
+    // Visits a copy, since the answer erases the open call.
     std::visit([&](const auto& call) { run(handle, call, open, now); }, Call(open.call));
 }
 
@@ -150,55 +152,55 @@
     if (found == calls_.end())
         return;
     OpenCall& open = found->second;
-    if (open.body.size() + body.bytes.size() > LargestBody)
-        return answer(errorAnswer(body.handle, StatusTooLarge, "the body is too large"));
-    const bool isSmall = open.body.size() + body.bytes.size() <= SmallBody;
-    if (!isSmall && !mayHold(body.handle, body.bytes.size()))
+    if (open.body.size() + body.bytes.size() > MaxBodyBytes)
+        return answer(errorAnswer(body.handle, StatusTooLarge, "the request body is too large"));
+    const bool isSmall = open.body.size() + body.bytes.size() <= SmallBodyBytes;
+    if (!isSmall && !reserveCallBytes(body.handle, body.bytes.size()))
         return;
     open.body += body.bytes;
-    open.heldBytes += isSmall ? 0 : body.bytes.size();
+    open.reservedBytes += isSmall ? 0 : body.bytes.size();
     actions_.emplace_back(
         requests::Action(requests::HttpRequestWindow {.handle = body.handle, .bytes = body.bytes.size()}));
     if (body.isLast)
-        runWhole(body.handle, open, now);
+        runCall(body.handle, open, now);
 }
 
 void RegistryCore::accept(const requests::HttpRequestAborted& aborted, Timestamp /*now*/)
 {
-    endCall(aborted.handle);
-    planQueue_.forget(aborted.handle);
-    orders_.forget(aborted.handle);
+    closeCall(aborted.handle);
+    planQueue_.remove(aborted.handle);
+    orders_.detachCaller(aborted.handle);
 }
 
-void RegistryCore::accept(const requests::HttpResponseDone& done, Timestamp /*now*/) { endCall(done.handle); }
+void RegistryCore::accept(const requests::HttpResponseDone& done, Timestamp /*now*/) { closeCall(done.handle); }
 
 void RegistryCore::accept(const model::Delivery& delivery, Timestamp now)
 {
     if (const auto* loads = std::get_if<model::TargetLoads>(&delivery.message))
-        return loads_.note(delivery.from, *loads, now);
+        return loads_.record(delivery.from, *loads, now);
     if (const auto* suspects = std::get_if<model::SuspectReport>(&delivery.message))
-        return suspects_.note(suspects->requests, now);
-    if (const auto* asked = std::get_if<model::LimitCreditRequest>(&delivery.message))
-        return credits_ ? credits_->handle(delivery.from, *asked, now) : void();
-    if (const auto* given = std::get_if<model::LimitCreditReply>(&delivery.message))
-        return credits_ ? credits_->handle(delivery.from, *given, now) : void();
+        return suspects_.record(suspects->requests, now);
+    if (const auto* creditRequest = std::get_if<model::LimitCreditRequest>(&delivery.message))
+        return credits_ ? credits_->handle(delivery.from, *creditRequest, now) : void();
+    if (const auto* creditReply = std::get_if<model::LimitCreditReply>(&delivery.message))
+        return credits_ ? credits_->handle(delivery.from, *creditReply, now) : void();
     if (const auto* backpressure = std::get_if<model::BackpressureReport>(&delivery.message))
         return accept(*backpressure, delivery.from, now);
     if (const auto* leaving = std::get_if<model::TargetReport>(&delivery.message))
         return accept(*leaving, delivery.from, now);
     const bool isGatewayReport = std::holds_alternative<model::Heartbeat>(delivery.message);
     roster_->handle(delivery, now);
-    holder_->handle(delivery, now);
+    bundleReplica_->handle(delivery, now);
     replica_->handle(delivery, now);
     if (!isGatewayReport || std::get<model::Heartbeat>(delivery.message).record.isControl)
         return;
-    if (!toldAll_.insert(delivery.from).second)
+    if (!syncedGateways_.insert(delivery.from).second)
         return;
-    gatewaysAt_.reset(); // Orders from now on go to it, too.
+    gatewaysUpdatedAt_.reset(); // Includes it in gateways() at once.
     model::TargetReport report = makeReport();
     const control::RoutingState& routing = replica_->routing();
     const auto& retired = routing.retiredTargets.inOrder();
-    const size_t skipped = retired.size() - std::min(retired.size(), RetiredTold);
+    const size_t skipped = retired.size() - std::min(retired.size(), MaxRetiredSent);
     report.retired.assign(retired.begin() + static_cast<ptrdiff_t>(skipped), retired.end());
     report.targets = targets_.all(gateways(now), now);
     send({{.to = delivery.from, .message = std::move(report)}});
@@ -207,8 +209,8 @@
 
 void RegistryCore::accept(const host::LinkUp& up, Timestamp now)
 {
-    toldAll_.erase(up.host);
-    toldLoads_.erase(up.host);
+    syncedGateways_.erase(up.host);
+    loadSyncedGateways_.erase(up.host);
     roster_->noteLinkUp(up.host, up.incarnation);
     replica_->noteLinkUp(up.host, up.incarnation);
     recallVerdicts(now);
@@ -218,8 +220,8 @@
 
 void RegistryCore::accept(const host::LinkDown& down, Timestamp /*now*/)
 {
-    toldAll_.erase(down.host);
-    toldLoads_.erase(down.host);
+    syncedGateways_.erase(down.host);
+    loadSyncedGateways_.erase(down.host);
     log(host::LogSeverity::Warning, "event=peer_lost peer=" + down.host.value());
 }
 
@@ -246,9 +248,9 @@
     stopAt_ = now + StopDelay;
 }
 
-void RegistryCore::settle(Timestamp now)
+void RegistryCore::collectOutputs(Timestamp now)
 {
-    noteOrders(now);
+    applyOrders(now);
     releaseRecalled(now);
     orders_.tick(now);
     answerOrders();
@@ -258,18 +260,18 @@
         actions_.emplace_back(std::move(write));
     send(replica_->takeOutgoing());
     send(roster_->takeOutgoing());
-    send(holder_->takeOutgoing());
+    send(bundleReplica_->takeOutgoing());
     if (credits_)
         send(credits_->takeOutgoing());
 }
 
 void RegistryCore::updateLinks()
 {
-    if (std::optional<host::LinksWanted> wanted = links_.update(roster_->controlHosts()))
-        actions_.emplace_back(*std::move(wanted));
+    if (std::optional<host::LinksWanted> links = links_.update(roster_->controlHosts()))
+        actions_.emplace_back(*std::move(links));
 }
 
-void RegistryCore::noteLeader(Timestamp now)
+void RegistryCore::logLeaderChange(Timestamp now)
 {
     if (replica_->leaderHost() == leader_)
         return;
@@ -287,8 +289,8 @@
 
 void RegistryCore::send(std::vector<model::Outgoing> outgoing)
 {
-    for (model::Outgoing& one : outgoing)
-        actions_.emplace_back(requests::Action(std::move(one)));
+    for (model::Outgoing& message : outgoing)
+        actions_.emplace_back(requests::Action(std::move(message)));
 }
 
 host::HostStatus RegistryCore::status(Timestamp now) const
--- a/src/registry/internal/registrycore.h
+++ b/src/registry/internal/registrycore.h
@@ -11,8 +11,8 @@
 #include "registry/internal/calls.h"
 #include "registry/internal/creditpool.h"
 #include "registry/internal/loadboard.h"
-#include "registry/internal/neargateways.h"
-#include "registry/internal/orders.h"
+#include "registry/internal/nearestgateways.h"
+#include "registry/internal/ordertracker.h"
 #include "registry/internal/planqueue.h"
 #include "registry/internal/refusedreports.h"
 #include "registry/internal/suspectrelay.h"
@@ -27,13 +27,13 @@
 
 namespace saltvane::registry {
 
-/// A registry host without I/O.
+/// The logic of a registry host, without I/O.
 class RegistryCore final : public host::IHostCore {
 public:
     struct Parts {
-        std::unique_ptr<model::Counters> counters; ///< The replica adds to them.
+        std::unique_ptr<model::Counters> counters; ///< Also incremented by the replica.
         std::unique_ptr<control::IControlReplica> replica;
-        std::shared_ptr<settings::RoutePlanReader> planReader; ///< By which the replica checks plans.
+        std::shared_ptr<settings::RoutePlanReader> planReader; ///< Also used by the replica to check plans.
     };
     RegistryCore(const RegistryOptions& options, Parts parts);
 
@@ -45,12 +45,12 @@
     [[nodiscard]] Duration tickPeriod() const override;
 
 private:
-    /// A call whose body comes in, or whose order is on its way.
+    /// A call whose body is being received, or whose order is pending.
     struct OpenCall {
         Call call;
         std::string path;
         std::string body;
-        uint64_t heldBytes = 0; ///< Of its body, also once an order holds it.
+        uint64_t reservedBytes = 0; ///< For its body, also after an order has taken it over.
     };
 
     void accept(requests::HttpEvent event, Timestamp now);
@@ -68,7 +68,7 @@
     void accept(host::StopRequested stop, Timestamp now);
     void accept(const host::SeedsChanged& changed, Timestamp now);
 
-    void runWhole(requests::HttpHandle handle, OpenCall& open, Timestamp now);
+    void runCall(requests::HttpHandle handle, OpenCall& open, Timestamp now);
     void run(requests::HttpHandle handle, const LookUpCall& call, OpenCall& open, Timestamp now);
     void run(requests::HttpHandle handle, const TargetHeartbeatCall& call, OpenCall& open, Timestamp now);
     void run(requests::HttpHandle handle, const TargetLeaveCall& call, OpenCall& open, Timestamp now);
@@ -78,54 +78,58 @@
     void run(requests::HttpHandle handle, StatusCall call, OpenCall& open, Timestamp now);
     void run(requests::HttpHandle handle, UnknownCall call, OpenCall& open, Timestamp now);
 
-    /// Gives the plan that was read to the end to the log.
-    void submitReadPlan(Timestamp now);
+    /// Submits a completely parsed plan to the log.
+    void submitPreparedPlan(Timestamp now);
     void refuseReport(requests::HttpHandle handle, const OpenCall& open, const Findings& findings, Timestamp now);
-    /// Whether the plan in force knows a target's service: a report of another one is not of this deployment.
-    [[nodiscard]] bool isServiceNamed(const model::TargetRecord& record);
-    void retire(requests::HttpHandle handle, const model::TargetIncarnation& start, Timestamp now);
+    /// Whether the target's service is in the plan in force; otherwise the target doesn't belong to this deployment.
+    [[nodiscard]] bool isServiceInPlan(const model::TargetRecord& record);
+    void retire(requests::HttpHandle handle, const model::TargetIncarnation& targetIncarnation, Timestamp now);
     void answer(requests::HttpRespond respond);
     void answerOrders();
     [[nodiscard]] requests::HttpRespond answerOf(const OrderAnswer& order, const OpenCall& open) const;
-    /// False: what calls under way hold is as much as may be held; this one was refused.
-    [[nodiscard]] bool mayHold(requests::HttpHandle handle, uint64_t bytes);
-    void endCall(requests::HttpHandle handle);
+    /// False: the memory limit for open calls is reached, and the call has been refused.
+    [[nodiscard]] bool reserveCallBytes(requests::HttpHandle handle, uint64_t bytes);
+    void closeCall(requests::HttpHandle handle);
     void answerWithPlan(requests::HttpHandle handle);
     [[nodiscard]] std::string statusText(Timestamp now) const;
-    [[nodiscard]] bool isRetired(const model::TargetIncarnation& start) const { return retired_.contains(start); }
-    /// Takes up what the log retired since the last call.
-    [[nodiscard]] std::vector<model::TargetIncarnation> noteRetired();
+    [[nodiscard]] bool isRetired(const model::TargetIncarnation& targetIncarnation) const
+    {
+        return retired_.contains(targetIncarnation);
+    }
+    /// The incarnations that the log retired since the last call. Adds them to retired_.
+    [[nodiscard]] std::vector<model::TargetIncarnation> takeNewlyRetired();
 
-    void settle(Timestamp now);
-    void noteOrders(Timestamp now);
+    /// Applies what the log committed, and moves the outputs of all components to actions_.
+    void collectOutputs(Timestamp now);
+    void applyOrders(Timestamp now);
     void distribute(Timestamp now);
     void reportTargets(Timestamp now);
-    void tellGateways(const model::Message& message);
-    /// Once the log is proven: what was recalled of targets is told where no order contradicts it.
+    void sendToGateways(const model::Message& message);
+    /// Once the log is proven current: lets recalled targets be reported, except where an order contradicts them.
     void releaseRecalled(Timestamp now);
     void recallTargets(Timestamp now);
     void recallVerdicts(Timestamp now);
     void writeSoftState(Timestamp now);
     void reportLoads(Timestamp now);
-    /// Passes on what is new of requests that end targets.
+    /// Forwards new information about requests under which targets fail.
     void reportSuspects(Timestamp now);
-    /// Targets that said to a gateway that they leave.
+    /// Targets that announced to a gateway that they leave.
     void accept(const model::TargetReport& report, const HostId& from, Timestamp now);
     void accept(const model::BackpressureReport& report, const HostId& from, Timestamp now);
     void relayFromGateway(const model::Message& message, const HostId& from, Timestamp now);
-    /// Passes on what gateways tell of the limits of targets.
+    /// Forwards changes of targets' limits that gateways reported.
     void reportLimits(Timestamp now);
-    /// The same, all of it.
+    /// Sends all limits of targets in force.
     void sendLimits(const HostId& host, Timestamp now);
-    /// Limits of the plan's client accounts, and who holds them.
+    /// Updates the limits of the plan's client accounts, and the hosts among which they are divided.
     void updateCredits(Timestamp now);
     void sendVerdicts(const HostId& host, Timestamp now);
     [[nodiscard]] model::TargetReport makeReport() const;
-    /// Gateways heard of lately, as of some moments ago.
+    /// Gateways with a recent heartbeat; the result is cached for ReportInterval.
     [[nodiscard]] std::span<const Gateway> gateways(Timestamp now) const;
-    [[nodiscard]] std::vector<Gateway> livingRegistryHosts(Timestamp now) const;
+    [[nodiscard]] std::vector<Gateway> liveRegistryHosts(Timestamp now) const;
     void updateLinks();
-    void noteLeader(Timestamp now);
+    void logLeaderChange(Timestamp now);
     void log(host::LogSeverity severity, std::string text);
     void send(std::vector<model::Outgoing> outgoing);
 
@@ -137,41 +141,42 @@
     std::shared_ptr<settings::RoutePlanReader> planReader_;
     PlanQueue planQueue_;
     std::unique_ptr<membership::IHostRoster> roster_;
-    std::unique_ptr<control::IBundleHolder> holder_;
+    std::unique_ptr<control::IBundleHolder> bundleReplica_;
     TargetBook targets_;
-    Orders orders_;
+    OrderTracker orders_;
     std::unordered_map<requests::HttpHandle, OpenCall> calls_;
-    std::unordered_map<requests::HttpHandle, uint64_t> planAnswers_; ///< On their way to slow readers; bytes.
-    uint64_t callBytes_ = 0; ///< Held by calls and by these answers.
-    /// As of ordersSeen_. Bounded as the log's: what it has forgotten, no host is asked for any more.
+    std::unordered_map<requests::HttpHandle, uint64_t> planAnswers_; ///< Bytes of plans being sent to callers.
+    uint64_t callBytes_ = 0; ///< Reserved by open calls and by planAnswers_.
+    /// As of appliedOrdersPosition_. Same capacity as in the log, whose older entries no host needs any more.
     membership::RetiredTargets retired_ {control::RoutingState::KeptRetiredTargets};
-    std::set<ZoneName> evacuated_; ///< As of ordersSeen_.
-    std::optional<model::TargetIncarnation> lastRetired_; ///< The newest order in the log that was noted.
-    std::set<ServiceName> services_; ///< Of the plan at servicesAsOf_.
-    LogPosition servicesAsOf_;
+    std::set<ZoneName> evacuated_; ///< As of appliedOrdersPosition_.
+    std::optional<model::TargetIncarnation> lastRetired_; ///< The newest one in the log that was applied.
+    std::set<ServiceName> services_; ///< Services of the plan at servicesPosition_.
+    LogPosition servicesPosition_;
     RefusedReports refusedReports_;
-    LogPosition ordersSeen_;
-    std::set<HostId> toldAll_; ///< Gateways that have every target, or it is on its way on a link that stands.
+    LogPosition appliedOrdersPosition_;
+    std::set<HostId> syncedGateways_; ///< Gateways that were sent all targets on their present link.
     Timestamp nextReportAt_ {};
     LoadBoard loads_;
-    NearGateways nearGateways_;
+    NearestGateways nearestGateways_;
     SuspectRelay suspects_;
-    std::optional<CreditPool> credits_; ///< From the first tick on.
+    std::optional<CreditPool> credits_; ///< Created by the first tick.
     settings::RoutePlanReader accountReader_;
     Timestamp nextHoldersAt_ {};
-    LogPosition accountsAsOf_; ///< Of the plan that the limits are of.
-    std::set<HostId> toldLoads_; ///< Gateways that hear sums from this host, and have heard all of them.
+    LogPosition accountsPosition_; ///< Of the plan that the account limits come from.
+    std::set<HostId>
+        loadSyncedGateways_; ///< Gateways that receive load sums from this host, and were sent all of them.
     Timestamp nextLoadsAt_ {};
-    mutable std::vector<Gateway> gateways_; ///< As of gatewaysAt_.
-    mutable std::optional<Timestamp> gatewaysAt_;
+    mutable std::vector<Gateway> gateways_; ///< As of gatewaysUpdatedAt_.
+    mutable std::optional<Timestamp> gatewaysUpdatedAt_;
     HostId leader_;
     host::RoutedLinks links_;
-    std::vector<model::TargetRecord> recalled_; ///< Soft state of the start before, until it is taken up.
-    std::vector<model::SuspectRequest> recalledVerdicts_; ///< The same.
+    std::vector<model::TargetRecord> recalled_; ///< Soft state of the previous run, until it is applied.
+    std::vector<model::SuspectRequest> recalledVerdicts_; ///< Likewise.
     bool isRecallReleased_ = false;
-    /// Changes of targets, orders and verdicts as of the last look at them.
-    std::tuple<uint64_t, LogPosition, uint64_t> softStateSeen_;
-    uint64_t softStateWritten_ = 0; ///< Hash of what the disk holds; 0: nothing of this start.
+    /// Versions of targets, orders and verdicts that writeSoftState() last considered.
+    std::tuple<uint64_t, LogPosition, uint64_t> softStateVersion_;
+    uint64_t writtenSoftStateHash_ = 0; ///< 0: nothing written in this run.
     Timestamp nextSoftStateAt_ {};
     std::vector<host::Action> actions_;
     std::optional<Timestamp> stopAt_;
--- a/src/registry/internal/registryreports.cpp
+++ b/src/registry/internal/registryreports.cpp
@@ -7,56 +7,56 @@
 
 #include <algorithm>
 
-/// What RegistryCore tells the gateways: the plan, orders, targets and loads.
+/// The part of RegistryCore that distributes the plan, orders, targets, loads, suspects and limits.
 namespace saltvane::registry {
 
 namespace {
 
-/// Reports of targets are gathered for so long.
-constexpr Duration ReportPeriod = 100ms;
-/// Registry hosts that hold parts of the limits, and those that are heard, are looked through this often.
-constexpr Duration HoldersPeriod = 200ms;
-/// Loads of all gateways are told this often.
-constexpr Duration LoadPeriod = 300ms;
-/// A registry host that is silent for so long serves nobody.
-constexpr Duration LivingFor = 1s;
-/// Gateways heard of within it are sent plans as they change, and count where targets and loads are shared out.
-constexpr Duration GatewayMemory = 4s;
+/// Changes of targets are batched for this long.
+constexpr Duration ReportInterval = 100ms;
+/// How often the hosts that share the limits, and the live registry hosts, are updated.
+constexpr Duration HoldersInterval = 200ms;
+/// How often load sums are sent.
+constexpr Duration LoadInterval = 300ms;
+/// A registry host without a heartbeat for this long serves no gateway.
+constexpr Duration LivenessTimeout = 1s;
+/// Gateways with a heartbeat within it are sent plans, and are considered in the assignment of slow starts and loads.
+constexpr Duration GatewayTimeout = 4s;
 
 } // namespace
 
-void RegistryCore::noteOrders(Timestamp now)
+void RegistryCore::applyOrders(Timestamp now)
 {
     const control::RoutingState& routing = replica_->routing();
-    if (routing.planVersion.value != 0 && (!holder_->isReady() || holder_->age(now) > tickPeriod()))
+    if (routing.planVersion.value != 0 && (!bundleReplica_->isReady() || bundleReplica_->age(now) > tickPeriod()))
         distribute(now);
-    if (routing.ordersPosition == ordersSeen_)
+    if (routing.ordersPosition == appliedOrdersPosition_)
         return;
-    ordersSeen_ = routing.ordersPosition;
-    // Their targets may have turned slow meanwhile: gateways wait for word of them.
+    appliedOrdersPosition_ = routing.ordersPosition;
+    // Targets of a formerly evacuated zone may be in a slow start by now: gateways wait for their next report.
     for (const ZoneName& zone : evacuated_) {
         if (!routing.evacuatedZones.contains(zone))
-            targets_.wantWordOf(zone, now);
+            targets_.awaitReportsOf(zone, now);
     }
     evacuated_ = {routing.evacuatedZones.begin(), routing.evacuatedZones.end()};
     model::TargetReport report = makeReport();
-    report.retired = noteRetired();
-    tellGateways(report);
+    report.retired = takeNewlyRetired();
+    sendToGateways(report);
 }
 
-std::vector<model::TargetIncarnation> RegistryCore::noteRetired()
+std::vector<model::TargetIncarnation> RegistryCore::takeNewlyRetired()
 {
     const auto& inOrder = replica_->routing().retiredTargets.inOrder();
     const auto known = std::find(inOrder.rbegin(), inOrder.rend(), lastRetired_);
-    // Oldest first: of those that are too many to keep, the oldest is to be forgotten.
+    // Oldest first, so that retired_ drops the oldest when it is full.
     std::vector<model::TargetIncarnation> retired(known.base(), inOrder.end());
     if (!inOrder.empty())
         lastRetired_ = inOrder.back();
-    for (model::TargetIncarnation& start : retired) {
-        // An order that doesn't tell the start binds the one that is known now.
-        if (start.incarnation.value == 0)
-            start.incarnation = targets_.incarnationOf(start.target);
-        retired_.note(start);
+    for (model::TargetIncarnation& targetIncarnation : retired) {
+        // An order without an incarnation refers to the one that is known now.
+        if (targetIncarnation.incarnation.value == 0)
+            targetIncarnation.incarnation = targets_.incarnationOf(targetIncarnation.target);
+        retired_.note(targetIncarnation);
     }
     return retired;
 }
@@ -68,7 +68,7 @@
         for (const Gateway& gateway : gateways(now))
             receivers.push_back(gateway.host);
     }
-    holder_->setPeers({}, receivers, now);
+    bundleReplica_->setPeers({}, receivers, now);
     const control::RoutingState& routing = replica_->routing();
     std::optional<control::IBundleHolder::ControlView> view;
     if (routing.planVersion.value != 0 && replica_->proofAge(now) != Duration::max()) {
@@ -77,9 +77,9 @@
             .content = routing.planContent,
             .proofAge = replica_->proofAge(now)};
     }
-    holder_->setControlView(view, now);
-    holder_->tick(now);
-    (void)holder_->takeInstalled(); // This host serves no requests by it.
+    bundleReplica_->setControlView(view, now);
+    bundleReplica_->tick(now);
+    (void)bundleReplica_->takeInstalled(); // A registry host routes no requests by the plan.
 }
 
 model::TargetReport RegistryCore::makeReport() const
@@ -93,98 +93,98 @@
 {
     if (now < nextReportAt_)
         return;
-    nextReportAt_ = now + ReportPeriod;
+    nextReportAt_ = now + ReportInterval;
     model::TargetReport report = makeReport();
     report.targets = targets_.takeNews(gateways(now), now);
     if (!report.targets.empty())
-        tellGateways(report);
+        sendToGateways(report);
 }
 
-/// Also gateways that have said nothing for long: their links stand, and what they miss now nothing would repeat.
-void RegistryCore::tellGateways(const model::Message& message)
+/// Includes gateways without recent heartbeats: as long as their link is up, nothing would repeat a missed message.
+void RegistryCore::sendToGateways(const model::Message& message)
 {
-    for (const HostId& gateway : toldAll_)
+    for (const HostId& gateway : syncedGateways_)
         send({{.to = gateway, .message = message}});
 }
 
-std::vector<Gateway> RegistryCore::livingRegistryHosts(Timestamp now) const
+std::vector<Gateway> RegistryCore::liveRegistryHosts(Timestamp now) const
 {
-    std::vector<Gateway> living;
-    for (const membership::RosterEntry* entry : roster_->heardWithin(LivingFor, now)) {
+    std::vector<Gateway> live;
+    for (const membership::RosterEntry* entry : roster_->heardWithin(LivenessTimeout, now)) {
         const model::HostRecord& record = entry->record;
         if (record.isControl)
-            living.push_back({.host = record.host, .zone = record.zone, .region = record.region});
+            live.push_back({.host = record.host, .zone = record.zone, .region = record.region});
     }
-    return living;
+    return live;
 }
 
 void RegistryCore::reportLoads(Timestamp now)
 {
     if (now < nextLoadsAt_)
         return;
-    nextLoadsAt_ = now + LoadPeriod;
+    nextLoadsAt_ = now + LoadInterval;
     loads_.expire(now);
-    const std::vector<HostId>& near = nearGateways_.update(livingRegistryHosts(now), gateways(now));
+    const std::vector<HostId>& near = nearestGateways_.update(liveRegistryHosts(now), gateways(now));
     const model::TargetLoads changes = loads_.takeChanges();
-    std::set<HostId> told;
+    std::set<HostId> sent;
     for (const HostId& gateway : near) {
-        const bool isNew = !toldLoads_.contains(gateway);
-        send({{.to = gateway, .message = isNew ? loads_.told() : changes}});
-        told.insert(gateway);
+        const bool isNew = !loadSyncedGateways_.contains(gateway);
+        send({{.to = gateway, .message = isNew ? loads_.published() : changes}});
+        sent.insert(gateway);
     }
-    toldLoads_ = std::move(told);
+    loadSyncedGateways_ = std::move(sent);
 }
 
 void RegistryCore::reportSuspects(Timestamp now)
 {
-    const SuspectRelay::News news = suspects_.takeNews(now);
-    if (!news.verdicts.requests.empty()) {
+    const SuspectRelay::Updates updates = suspects_.takeUpdates(now);
+    if (!updates.verdicts.requests.empty()) {
         log(host::LogSeverity::Warning,
-            "event=verdicts_told count=" + std::to_string(news.verdicts.requests.size())
-                + " first=" + model::toString(news.verdicts.requests.front().digest)
+            "event=verdicts_told count=" + std::to_string(updates.verdicts.requests.size())
+                + " first=" + model::toString(updates.verdicts.requests.front().digest)
                 + " blamed=" + std::to_string(suspects_.blamedCount()));
-        tellGateways(news.verdicts);
+        sendToGateways(updates.verdicts);
     }
-    if (!news.rest.requests.empty()) {
-        for (const HostId& gateway : nearGateways_.update(livingRegistryHosts(now), gateways(now)))
-            send({{.to = gateway, .message = news.rest}});
+    if (!updates.unconfirmed.requests.empty()) {
+        for (const HostId& gateway : nearestGateways_.update(liveRegistryHosts(now), gateways(now)))
+            send({{.to = gateway, .message = updates.unconfirmed}});
     }
-    for (const model::SuspectReport& report : {news.verdicts, news.rest}) {
+    for (const model::SuspectReport& report : {updates.verdicts, updates.unconfirmed}) {
         if (report.requests.empty())
             continue;
-        for (const Gateway& host : livingRegistryHosts(now))
+        for (const Gateway& host : liveRegistryHosts(now))
             send({{.to = host.host, .message = report}});
     }
 }
 
 void RegistryCore::accept(const model::TargetReport& report, const HostId& from, Timestamp now)
 {
-    for (const model::TargetIncarnation& start : report.retired)
-        targets_.noteLeaving(start);
+    for (const model::TargetIncarnation& targetIncarnation : report.retired)
+        targets_.noteLeaving(targetIncarnation);
     relayFromGateway(report, from, now);
 }
 
-/// Gateways tell the registry hosts near them: these pass it on to the others, which don't.
+/// A gateway reports to the registry hosts nearest to it; these forward the report to the others, which don't.
 void RegistryCore::accept(const model::BackpressureReport& report, const HostId& from, Timestamp now)
 {
     if (!credits_)
         return;
-    model::BackpressureReport newer;
+    model::BackpressureReport newerNotices;
     for (const model::BackpressureNotice& notice : report.notices) {
-        if (const auto known = credits_->targetLimits().note(notice, now))
-            newer.notices.push_back(*known);
+        if (const auto known = credits_->targetLimits().record(notice, now))
+            newerNotices.notices.push_back(*known);
     }
-    // A gateway that missed the end of a limit would ask for credits that nobody has.
-    if (!newer.notices.empty())
-        send({{.to = from, .message = std::move(newer)}});
+    // A gateway that missed the end of a limit would request credits that no host has.
+    if (!newerNotices.notices.empty())
+        send({{.to = from, .message = std::move(newerNotices)}});
     relayFromGateway(report, from, now);
 }
 
 void RegistryCore::relayFromGateway(const model::Message& message, const HostId& from, Timestamp now)
 {
-    if (!toldAll_.contains(from))
+    if (!syncedGateways_.contains(from))
         return;
-    for (const Gateway& host : livingRegistryHosts(now))
+    for (const Gateway& host : liveRegistryHosts(now))
         send({{.to = host.host, .message = message}});
 }
 
@@ -192,10 +192,10 @@
 {
     if (!credits_)
         return;
-    const model::BackpressureReport report {.notices = credits_->targetLimits().takeNews(now)};
+    const model::BackpressureReport report {.notices = credits_->targetLimits().takeUpdates(now)};
     if (report.notices.empty())
         return;
-    for (const HostId& gateway : nearGateways_.update(livingRegistryHosts(now), gateways(now)))
+    for (const HostId& gateway : nearestGateways_.update(liveRegistryHosts(now), gateways(now)))
         send({{.to = gateway, .message = report}});
 }
 
@@ -212,8 +212,8 @@
     if (!credits_)
         credits_.emplace(self_, now);
     const control::RoutingState& routing = replica_->routing();
-    if (routing.planPosition != accountsAsOf_ && routing.planVersion.value != 0) {
-        accountsAsOf_ = routing.planPosition;
+    if (routing.planPosition != accountsPosition_ && routing.planVersion.value != 0) {
+        accountsPosition_ = routing.planPosition;
         if (const auto accounts = accountReader_.readAccounts(routing.planContent))
             credits_->limits().install(*accounts);
         else
@@ -223,7 +223,7 @@
     credits_->tick(now);
     if (now < nextHoldersAt_)
         return;
-    nextHoldersAt_ = now + HoldersPeriod;
+    nextHoldersAt_ = now + HoldersInterval;
     std::vector<HostId> holders;
     for (const control::ReplicaInfo& replica : replica_->replicas()) {
         if (replica.isVoter)
@@ -231,12 +231,12 @@
     }
     credits_->setHolders(std::move(holders), replica_->proofAge(now), now);
     std::vector<CreditPool::Peer> peers;
-    for (const Gateway& host : livingRegistryHosts(now))
-        peers.push_back({.host = host.host, .isNear = host.region == settings_.region});
+    for (const Gateway& host : liveRegistryHosts(now))
+        peers.push_back({.host = host.host, .isSameRegion = host.region == settings_.region});
     credits_->setPeers(std::move(peers));
 }
 
-/// Before anything else is said on a new link: a gateway that starts hears them before it hears of any target.
+/// The first messages on a new link, so that a starting gateway has the verdicts before it knows any target.
 void RegistryCore::sendVerdicts(const HostId& host, Timestamp now)
 {
     for (model::SuspectReport& report : suspects_.verdicts(now))
@@ -245,11 +245,11 @@
 
 std::span<const Gateway> RegistryCore::gateways(Timestamp now) const
 {
-    if (gatewaysAt_ && now - *gatewaysAt_ < ReportPeriod)
+    if (gatewaysUpdatedAt_ && now - *gatewaysUpdatedAt_ < ReportInterval)
         return gateways_;
-    gatewaysAt_ = now;
+    gatewaysUpdatedAt_ = now;
     gateways_.clear();
-    for (const membership::RosterEntry* entry : roster_->heardWithin(GatewayMemory, now)) {
+    for (const membership::RosterEntry* entry : roster_->heardWithin(GatewayTimeout, now)) {
         const model::HostRecord& record = entry->record;
         if (!record.isControl)
             gateways_.push_back({.host = record.host, .zone = record.zone, .region = record.region});
--- a/src/registry/internal/softstate.cpp
+++ b/src/registry/internal/softstate.cpp
@@ -8,20 +8,20 @@
 #include <utility>
 #include <xxhash.h>
 
-/// How RegistryCore keeps its targets over a restart. Targets report each 1 to 2 s: gateways that start with all
-/// registry hosts would know of them that much later than of the plan, and refuse what could be served. What is
-/// recalled is a hint: a target is asked with its id, so that a stranger at its address runs nothing; it is told only
-/// once the log is proven; and it is forgotten unless the target reports within the silence limit.
-/// docs/design/0011-common-restart.md
+/// The part of RegistryCore that recalls targets after a restart. Targets report every 1 to 2 s: when all registry
+/// hosts and gateways restart, gateways would learn of the targets that much later than of the plan, and refuse
+/// requests that could be served. Recalled targets are only hints: requests to a target carry its id, so that another
+/// process at its address doesn't run them; recalled targets are sent only once the log is proven current; and they
+/// expire unless the target reports within model::TargetSilenceLimit. docs/design/0011-common-restart.md
 namespace saltvane::registry {
 
 namespace {
 
-/// At most one write of some syncs in it; what a crash loses is targets that changed within it.
-constexpr Duration SoftStatePeriod = 1s;
+/// At most one write, of a few syncs, in this time. A crash loses the changes of targets within it.
+constexpr Duration SoftStateInterval = 1s;
 
-/// What would be told otherwise after a restart: not when the target last reported.
-uint64_t meaningOf(std::span<const model::TargetRecord> records)
+/// Covers what matters after a restart; excludes the time of the last report, which changes all the time.
+uint64_t contentHash(std::span<const model::TargetRecord> records)
 {
     uint64_t hash = 1;
     for (const model::TargetRecord& record : records) {
@@ -45,13 +45,13 @@
     log(host::LogSeverity::Info, "event=targets_recalled count=" + std::to_string(records.size()));
 }
 
-/// Not bound to any order: a verdict is as good as when it was written.
+/// Needs no proof of the log: orders don't affect verdicts.
 void RegistryCore::recallVerdicts(Timestamp now)
 {
     if (recalledVerdicts_.empty())
         return;
     const std::vector<model::SuspectRequest> verdicts = std::exchange(recalledVerdicts_, {});
-    suspects_.note(verdicts, now);
+    suspects_.record(verdicts, now);
     log(host::LogSeverity::Info, "event=verdicts_recalled count=" + std::to_string(verdicts.size()));
 }
 
@@ -69,21 +69,21 @@
     const bool isFirstTick = nextSoftStateAt_ == Timestamp {};
     if (now < nextSoftStateAt_)
         return;
-    nextSoftStateAt_ = now + SoftStatePeriod;
-    if (isFirstTick) // Its disk has other work while the host starts.
+    nextSoftStateAt_ = now + SoftStateInterval;
+    if (isFirstTick) // The disk is busy while the host starts.
         return;
-    // All targets are gone through only where something about one of them, or a zone, changed.
-    const std::tuple seen(targets_.changes(), ordersSeen_, suspects_.verdictChanges());
-    if (std::exchange(softStateSeen_, seen) == seen)
+    // Iterates over all targets only if a target, an order or a verdict changed.
+    const std::tuple version(targets_.changes(), appliedOrdersPosition_, suspects_.verdictChanges());
+    if (std::exchange(softStateVersion_, version) == version)
         return;
     host::SoftState state;
     state.targets.targets = targets_.recallable(evacuated_);
     for (const model::SuspectReport& report : suspects_.verdicts(now))
         state.suspects.requests.insert(state.suspects.requests.end(), report.requests.begin(), report.requests.end());
-    const uint64_t meaning = meaningOf(state.targets.targets) + suspects_.verdictChanges();
-    if (meaning == softStateWritten_)
+    const uint64_t hash = contentHash(state.targets.targets) + suspects_.verdictChanges();
+    if (hash == writtenSoftStateHash_)
         return;
-    softStateWritten_ = meaning;
+    writtenSoftStateHash_ = hash;
     actions_.emplace_back(host::SoftStateWrite {.state = std::move(state)});
 }
 
--- a/src/registry/internal/suspectrelay.cpp
+++ b/src/registry/internal/suspectrelay.cpp
@@ -11,29 +11,30 @@
 
 namespace {
 
-/// 200 bytes each at the most.
-constexpr size_t MostInAReport = 256;
-constexpr size_t EndsToPassOn = 2;
+/// A request takes at most 200 bytes; a report must fit in a frame.
+constexpr size_t MaxRequestsPerReport = 256;
+constexpr size_t MinFailuresToForward = 2;
 
 } // namespace
 
 SuspectRelay::SuspectRelay()
     : table_(membership::SuspectTable::Limits {})
-    , outbox_({.perSecond = ToldPerSecond, .burst = MostToldAtOnce})
+    , outbox_({.perSecond = ForwardedPerSecond, .burst = ForwardBurst})
 {
 }
 
-void SuspectRelay::note(std::span<const model::SuspectRequest> told, Timestamp now)
+void SuspectRelay::record(std::span<const model::SuspectRequest> reported, Timestamp now)
 {
-    for (const model::SuspectRequest& one : told) {
-        if (!table_.merge(one, now))
+    for (const model::SuspectRequest& reportedRequest : reported) {
+        if (!table_.merge(reportedRequest, now))
             continue;
-        const bool isRepeated = table_.isBlamed(one.digest) || table_.endsInARow(one.digest) >= EndsToPassOn;
+        const bool isRepeated = table_.isBlamed(reportedRequest.digest)
+            || table_.endsInARow(reportedRequest.digest) >= MinFailuresToForward;
         if (isRepeated)
-            passedOn_.insert(one.digest);
-        // Those who heard of its ends hear that they are void.
-        if (isRepeated || passedOn_.contains(one.digest))
-            outbox_.add(one.digest, table_);
+            forwarded_.insert(reportedRequest.digest);
+        // Receivers of its failures must also learn that they are void.
+        if (isRepeated || forwarded_.contains(reportedRequest.digest))
+            outbox_.add(reportedRequest.digest, table_);
     }
     for (const model::RequestDigest& digest : table_.takeExplained())
         outbox_.add(digest, table_);
@@ -42,29 +43,29 @@
 void SuspectRelay::tick(Timestamp now)
 {
     table_.expire(now);
-    if (passedOn_.size() > table_.size())
-        std::erase_if(passedOn_, [&](const model::RequestDigest& digest) { return !table_.wordOf(digest, now); });
+    if (forwarded_.size() > table_.size())
+        std::erase_if(forwarded_, [&](const model::RequestDigest& digest) { return !table_.wordOf(digest, now); });
 }
 
-SuspectRelay::News SuspectRelay::takeNews(Timestamp now)
+SuspectRelay::Updates SuspectRelay::takeUpdates(Timestamp now)
 {
-    News news;
+    Updates updates;
     if (outbox_.isEmpty())
-        return news;
-    for (model::SuspectRequest& word : outbox_.take(table_, now)) {
-        model::SuspectReport& report = word.isBlamed ? news.verdicts : news.rest;
-        report.requests.push_back(std::move(word));
+        return updates;
+    for (model::SuspectRequest& request : outbox_.take(table_, now)) {
+        model::SuspectReport& report = request.isBlamed ? updates.verdicts : updates.unconfirmed;
+        report.requests.push_back(std::move(request));
     }
-    return news;
+    return updates;
 }
 
 std::vector<model::SuspectReport> SuspectRelay::verdicts(Timestamp now) const
 {
     std::vector<model::SuspectReport> reports;
-    for (model::SuspectRequest& word : table_.blamed(now)) {
-        if (reports.empty() || reports.back().requests.size() >= MostInAReport)
+    for (model::SuspectRequest& request : table_.blamed(now)) {
+        if (reports.empty() || reports.back().requests.size() >= MaxRequestsPerReport)
             reports.emplace_back();
-        reports.back().requests.push_back(std::move(word));
+        reports.back().requests.push_back(std::move(request));
     }
     return reports;
 }
--- a/src/registry/internal/suspectrelay.h
+++ b/src/registry/internal/suspectrelay.h
@@ -15,34 +15,36 @@
 
 namespace saltvane::registry {
 
-/// Requests under which targets ended, as gateways and other registry hosts tell, and what is to be passed on. Of a
-/// first end nobody else hears: a wave that ends 400 targets with nine requests each would fill gateways' links of
-/// 2.6 Mbit/s for six seconds with what no gateway needs.
+/// Collects the requests that were in flight when targets failed, as gateways and other registry hosts report them, and
+/// selects what to forward. The first failure under a request is not forwarded: if 400 targets failed at once with nine
+/// requests each, forwarding all of them would fill the gateways' links of 2.6 Mbit/s for six seconds with information
+/// that no gateway needs.
 class SuspectRelay {
 public:
     SuspectRelay();
 
-    void note(std::span<const model::SuspectRequest> told, Timestamp now);
+    void record(std::span<const model::SuspectRequest> reported, Timestamp now);
     void tick(Timestamp now);
 
-    struct News {
+    struct Updates {
         model::SuspectReport verdicts; ///< For all hosts: requests that are blamed.
-        model::SuspectReport rest; ///< For registry hosts, and the gateways nearest to this one.
+        model::SuspectReport unconfirmed; ///< For registry hosts, and the gateways to which this host is the nearest.
     };
-    [[nodiscard]] News takeNews(Timestamp now);
-    /// For a host that may know nothing: all verdicts, in reports small enough for a frame.
+    [[nodiscard]] Updates takeUpdates(Timestamp now);
+    /// All verdicts, for a newly connected host, in reports that fit in a frame.
     [[nodiscard]] std::vector<model::SuspectReport> verdicts(Timestamp now) const;
     [[nodiscard]] size_t blamedCount() const { return table_.blamedCount(); }
-    /// Grows with each verdict and each one that is void.
+    /// Increases with each verdict that is reached or voided.
     [[nodiscard]] uint64_t verdictChanges() const { return table_.verdictChanges(); }
 
 private:
-    static constexpr double ToldPerSecond = 200; ///< Of 40 gateways with a few each, or one wave's over seconds.
-    static constexpr double MostToldAtOnce = 100;
+    static constexpr double ForwardedPerSecond
+        = 200; ///< Some from each of 40 gateways, or those of a mass failure over seconds.
+    static constexpr double ForwardBurst = 100;
 
     membership::SuspectTable table_;
     membership::SuspectOutbox outbox_;
-    std::unordered_set<model::RequestDigest> passedOn_;
+    std::unordered_set<model::RequestDigest> forwarded_;
 };
 
 } // namespace saltvane::registry
--- a/src/registry/internal/targetbook.cpp
+++ b/src/registry/internal/targetbook.cpp
@@ -12,16 +12,16 @@
 
 namespace {
 
-/// Against whatever a gateway may have missed. Links lose nothing while they stand, and a link that stands again starts
-/// with all targets, so this is rare: all targets to all gateways is most of what control sends.
-constexpr Duration RepeatPeriod = 30s;
+/// Repeats records that a gateway may have missed. Open links lose nothing, and a new link starts with all targets, so
+/// this can be rare: sending all targets to all gateways is most of the control traffic.
+constexpr Duration ResendInterval = 30s;
 
 uint64_t pairHash(std::string_view left, std::string_view right)
 {
     return XXH64(left.data(), left.size(), XXH64(right.data(), right.size(), 0));
 }
 
-model::TargetIncarnation startOf(const model::TargetRecord& record)
+model::TargetIncarnation targetIncarnationOf(const model::TargetRecord& record)
 {
     return {.target = record.target, .incarnation = record.incarnation};
 }
@@ -37,50 +37,50 @@
 {
     const auto found = entries_.find(record.target);
     if (found == entries_.end() || found->second.record.incarnation < record.incarnation)
-        return noteStart(std::move(record), now);
+        return addIncarnation(std::move(record), now);
     Entry& entry = found->second;
     if (record.incarnation < entry.record.incarnation || record.sequence <= entry.record.sequence)
         return false;
-    noteReport(entry, std::move(record), now);
+    updateEntry(entry, std::move(record), now);
     return true;
 }
 
-bool TargetBook::noteStart(model::TargetRecord record, Timestamp now)
+bool TargetBook::addIncarnation(model::TargetRecord record, Timestamp now)
 {
-    if (displaced_.contains(startOf(record), now) || isAddressOfLater(record))
+    if (displaced_.contains(targetIncarnationOf(record), now) || isAddressOfNewerIncarnation(record))
         return false;
     displaceOthersAt(record, now);
     if (const auto former = entries_.find(record.target); former != entries_.end())
         erase(former->second);
     Entry& entry = add(std::move(record), now);
-    entry.wordAt = now;
-    addNews(entry);
+    entry.reportedAt = now;
+    queueUpdate(entry);
     return true;
 }
 
-void TargetBook::noteReport(Entry& entry, model::TargetRecord record, Timestamp now)
+void TargetBook::updateEntry(Entry& entry, model::TargetRecord record, Timestamp now)
 {
     record.isLeaving = record.isLeaving || entry.record.isLeaving;
-    // Where it called another registry host in between, gateways may know more of it from there.
-    const bool isBack = record.sequence > entry.record.sequence + 1;
+    // The target reported to another registry host in between, from which gateways may have newer information.
+    const bool hasMissedReports = record.sequence > entry.record.sequence + 1;
     const bool isSlow = record.slowStartLeft > Duration::zero() || entry.record.slowStartLeft > Duration::zero();
-    const bool isMoved = record.address != entry.record.address;
+    const bool hasMoved = record.address != entry.record.address;
     const bool isChanged = entry.record.isRecalled || record.isLeaving != entry.record.isLeaving
-        || record.slots != entry.record.slots || isMoved;
-    const bool isAwaited = isWordWanted(entry);
-    const bool isNews = isSlow || isChanged || isBack || isAwaited;
+        || record.slots != entry.record.slots || hasMoved;
+    const bool isAwaited = isAwaitingReport(entry);
+    const bool needsUpdate = isSlow || isChanged || hasMissedReports || isAwaited;
     if (isSlow || isChanged || isAwaited)
         ++changes_;
-    if (isMoved) {
+    if (hasMoved) {
         displaceOthersAt(record, now);
         byAddress_.erase(entry.record.address);
         byAddress_.insert_or_assign(record.address, &entry);
     }
     entry.record = std::move(record);
-    entry.wordAt = now;
-    noteHeard(entry, now);
-    if (isNews)
-        addNews(entry);
+    entry.reportedAt = now;
+    markReceived(entry, now);
+    if (needsUpdate)
+        queueUpdate(entry);
 }
 
 TargetBook::Entry& TargetBook::add(model::TargetRecord record, Timestamp now)
@@ -89,7 +89,7 @@
     Entry& entry = entries_[record.target];
     byAddress_.insert_or_assign(record.address, &entry);
     entry.record = std::move(record);
-    noteHeard(entry, now);
+    markReceived(entry, now);
     return entry;
 }
 
@@ -101,24 +101,24 @@
     entries_.erase(entries_.find(entry.record.target));
 }
 
-void TargetBook::addNews(Entry& entry)
+void TargetBook::queueUpdate(Entry& entry)
 {
-    if (!entry.newsHook.is_linked() && !isHeldBack(entry))
-        news_.push_back(entry);
+    if (!entry.updateHook.is_linked() && !isWithheld(entry))
+        updates_.push_back(entry);
 }
 
-void TargetBook::noteHeard(Entry& entry, Timestamp now)
+void TargetBook::markReceived(Entry& entry, Timestamp now)
 {
-    entry.heardAt = now;
-    entry.heardHook.unlink();
-    byHeard_.push_back(entry);
+    entry.receivedAt = now;
+    entry.receivedHook.unlink();
+    byReceivedAt_.push_back(entry);
 }
 
-void TargetBook::noteTold(Entry& entry, Timestamp now)
+void TargetBook::markSent(Entry& entry, Timestamp now)
 {
-    entry.toldAt = now;
-    entry.toldHook.unlink();
-    byTold_.push_back(entry);
+    entry.sentAt = now;
+    entry.sentHook.unlink();
+    bySentAt_.push_back(entry);
 }
 
 TargetBook::Entry* TargetBook::atAddress(const model::Address& address) const
@@ -127,10 +127,10 @@
     return found == byAddress_.end() ? nullptr : found->second;
 }
 
-bool TargetBook::isAddressOfLater(const model::TargetRecord& record) const
+bool TargetBook::isAddressOfNewerIncarnation(const model::TargetRecord& record) const
 {
     const Entry* other = atAddress(record.address);
-    // Starts that don't tell are taken in the order in which they report.
+    // Targets that don't report their incarnation are accepted in the order of their reports.
     return record.incarnation.value != 0 && other != nullptr && other->record.target != record.target
         && other->record.incarnation > record.incarnation;
 }
@@ -140,25 +140,25 @@
     Entry* other = atAddress(record.address);
     if (other == nullptr || other->record.target == record.target)
         return;
-    displaced_.note(startOf(other->record), now);
+    displaced_.note(targetIncarnationOf(other->record), now);
     erase(*other);
 }
 
-void TargetBook::noteLeaving(const model::TargetIncarnation& start)
+void TargetBook::noteLeaving(const model::TargetIncarnation& targetIncarnation)
 {
-    const auto found = entries_.find(start.target);
-    if (found == entries_.end() || found->second.record.incarnation != start.incarnation)
+    const auto found = entries_.find(targetIncarnation.target);
+    if (found == entries_.end() || found->second.record.incarnation != targetIncarnation.incarnation)
         return;
     if (std::exchange(found->second.record.isLeaving, true))
         return;
     ++changes_;
-    addNews(found->second);
+    queueUpdate(found->second);
 }
 
-void TargetBook::remove(const model::TargetIncarnation& start)
+void TargetBook::remove(const model::TargetIncarnation& targetIncarnation)
 {
-    const auto found = entries_.find(start.target);
-    if (found != entries_.end() && found->second.record.incarnation <= start.incarnation)
+    const auto found = entries_.find(targetIncarnation.target);
+    if (found != entries_.end() && found->second.record.incarnation <= targetIncarnation.incarnation)
         erase(found->second);
 }
 
@@ -180,7 +180,7 @@
         if (entries_.contains(record.target) || atAddress(record.address) != nullptr)
             continue;
         record.isRecalled = true;
-        addNews(add(std::move(record), now));
+        queueUpdate(add(std::move(record), now));
     }
 }
 
@@ -193,36 +193,36 @@
             recalled.push_back(&entry);
     }
     for (Entry* entry : recalled) {
-        if (retired.contains(startOf(entry->record)))
+        if (retired.contains(targetIncarnationOf(entry->record)))
             erase(*entry);
         else
-            addNews(*entry);
+            queueUpdate(*entry);
     }
 }
 
-std::vector<model::TargetRecord> TargetBook::recallable(const std::set<ZoneName>& closedZones) const
+std::vector<model::TargetRecord> TargetBook::recallable(const std::set<ZoneName>& evacuatedZones) const
 {
     std::vector<model::TargetRecord> records;
     for (const auto& [target, entry] : entries_) {
-        if (entry.record.isLeaving || isWordWanted(entry) || closedZones.contains(entry.record.zone))
+        if (entry.record.isLeaving || isAwaitingReport(entry) || evacuatedZones.contains(entry.record.zone))
             continue;
         model::TargetRecord& record = records.emplace_back(entry.record);
-        record.sequence = 0; // Any report is newer than what is recalled.
+        record.sequence = 0; // Any report is newer than a recalled record.
         record.isRecalled = false;
     }
     return records;
 }
 
-void TargetBook::wantWordOf(const ZoneName& zone, Timestamp now)
+void TargetBook::awaitReportsOf(const ZoneName& zone, Timestamp now)
 {
     ++changes_;
-    wordWantedAt_.insert_or_assign(zone, now);
+    reportsAwaitedSince_.insert_or_assign(zone, now);
 }
 
-bool TargetBook::isWordWanted(const Entry& entry) const
+bool TargetBook::isAwaitingReport(const Entry& entry) const
 {
-    const auto wanted = wordWantedAt_.find(entry.record.zone);
-    return wanted != wordWantedAt_.end() && entry.wordAt <= wanted->second;
+    const auto awaited = reportsAwaitedSince_.find(entry.record.zone);
+    return awaited != reportsAwaitedSince_.end() && entry.reportedAt <= awaited->second;
 }
 
 HostId TargetBook::slowStartHostOf(const model::TargetRecord& record, std::span<const Gateway> gateways) const
@@ -232,8 +232,8 @@
     std::pair<int, uint64_t> bestRank {-1, 0};
     for (const Gateway& gateway : gateways) {
         const bool isSameRegion = region != zones_.end() && gateway.region == region->second;
-        const int nearness = gateway.zone == record.zone ? 2 : static_cast<int>(isSameRegion);
-        const std::pair rank {nearness, pairHash(gateway.host.value(), record.target.value())};
+        const int proximity = gateway.zone == record.zone ? 2 : static_cast<int>(isSameRegion);
+        const std::pair rank {proximity, pairHash(gateway.host.value(), record.target.value())};
         if (rank > bestRank) {
             best = &gateway;
             bestRank = rank;
@@ -242,48 +242,49 @@
     return best == nullptr ? HostId {} : best->host;
 }
 
-model::TargetRecord TargetBook::toldOf(const Entry& entry, std::span<const Gateway> gateways, Timestamp now) const
+model::TargetRecord TargetBook::outgoingRecordOf(
+    const Entry& entry, std::span<const Gateway> gateways, Timestamp now) const
 {
-    model::TargetRecord told = entry.record;
-    told.age = now - entry.heardAt;
-    if (told.slowStartLeft > told.age)
-        told.slowStartHost = slowStartHostOf(told, gateways);
-    return told;
+    model::TargetRecord outgoing = entry.record;
+    outgoing.age = now - entry.receivedAt;
+    if (outgoing.slowStartLeft > outgoing.age)
+        outgoing.slowStartHost = slowStartHostOf(outgoing, gateways);
+    return outgoing;
 }
 
-void TargetBook::repeatOld(Timestamp now)
+void TargetBook::queueResends(Timestamp now)
 {
-    while (!byTold_.empty() && now - byTold_.front().toldAt >= RepeatPeriod) {
-        Entry& entry = byTold_.front();
-        entry.toldHook.unlink(); // Told again it is back in its place; one not heard of since falls silent before.
-        if (entry.heardAt > entry.toldAt)
-            addNews(entry);
+    while (!bySentAt_.empty() && now - bySentAt_.front().sentAt >= ResendInterval) {
+        Entry& entry = bySentAt_.front();
+        entry.sentHook.unlink(); // markSent() links it again. Without a report since, it becomes unresponsive first.
+        if (entry.receivedAt > entry.sentAt)
+            queueUpdate(entry);
     }
 }
 
 std::vector<model::TargetRecord> TargetBook::takeNews(std::span<const Gateway> gateways, Timestamp now)
 {
-    std::vector<model::TargetRecord> news;
-    // Their last word: its age says that they are silent.
-    while (!byHeard_.empty() && isSilent(byHeard_.front(), now)) {
-        Entry& entry = byHeard_.front();
-        if (!isHeldBack(entry))
-            news.push_back(toldOf(entry, gateways, now));
+    std::vector<model::TargetRecord> updates;
+    // The age of the last record shows gateways that the target is unresponsive.
+    while (!byReceivedAt_.empty() && isUnresponsive(byReceivedAt_.front(), now)) {
+        Entry& entry = byReceivedAt_.front();
+        if (!isWithheld(entry))
+            updates.push_back(outgoingRecordOf(entry, gateways, now));
         erase(entry);
     }
-    repeatOld(now);
-    while (!news_.empty()) {
-        Entry& entry = news_.front();
-        entry.newsHook.unlink();
-        news.push_back(toldOf(entry, gateways, now));
-        noteTold(entry, now);
+    queueResends(now);
+    while (!updates_.empty()) {
+        Entry& entry = updates_.front();
+        entry.updateHook.unlink();
+        updates.push_back(outgoingRecordOf(entry, gateways, now));
+        markSent(entry, now);
     }
-    return news;
+    return updates;
 }
 
-bool TargetBook::isSilent(const Entry& entry, Timestamp now)
+bool TargetBook::isUnresponsive(const Entry& entry, Timestamp now)
 {
-    return now - entry.heardAt >= model::TargetSilenceLimit;
+    return now - entry.receivedAt >= model::TargetSilenceLimit;
 }
 
 std::vector<model::TargetRecord> TargetBook::all(std::span<const Gateway> gateways, Timestamp now) const
@@ -291,8 +292,8 @@
     std::vector<model::TargetRecord> records;
     records.reserve(entries_.size());
     for (const auto& [target, entry] : entries_) {
-        if (!isHeldBack(entry))
-            records.push_back(toldOf(entry, gateways, now));
+        if (!isWithheld(entry))
+            records.push_back(outgoingRecordOf(entry, gateways, now));
     }
     return records;
 }
--- a/src/registry/internal/targetbook.h
+++ b/src/registry/internal/targetbook.h
@@ -18,7 +18,7 @@
 
 namespace saltvane::registry {
 
-/// A gateway that reports are sent to.
+/// A gateway or registry host with its location.
 struct Gateway {
     HostId host;
     ZoneName zone;
@@ -26,36 +26,37 @@
     auto operator<=>(const Gateway&) const = default;
 };
 
-/// The targets that report to this host. Gathers what the gateways are to be told. What a report or a call of takeNews
-/// costs goes with the targets that changed, not with those that are known.
+/// The targets that report to this host, and the updates of them to send to gateways. A report or a call of takeNews()
+/// costs in proportion to the targets that changed, not to all known ones.
 class TargetBook {
 public:
     explicit TargetBook(std::map<ZoneName, RegionName> zones);
 
-    /// A target's report; false for one that came after a newer one, or of a start that a later one replaced.
+    /// Applies a target's report; false where it is older than the last one, or of an incarnation that a newer one
+    /// replaced.
     bool note(model::TargetRecord record, Timestamp now);
-    /// This start says in its answers that it leaves, whatever it reports.
-    void noteLeaving(const model::TargetIncarnation& start);
-    /// Forgets this start and all before it.
-    void remove(const model::TargetIncarnation& start);
-    /// The start that is known under an id; 0 where none is, or it doesn't tell.
+    /// This incarnation announced in its answers that it leaves: overrides what it reports.
+    void noteLeaving(const model::TargetIncarnation& targetIncarnation);
+    /// Removes the target if its incarnation is this one or an older one.
+    void remove(const model::TargetIncarnation& targetIncarnation);
+    /// The known incarnation of a target; 0 where the target is unknown or doesn't report its incarnation.
     [[nodiscard]] Incarnation incarnationOf(const TargetId& target) const;
     [[nodiscard]] bool isKnown(const TargetId& target, const ServiceName& service) const;
-    /// Targets as a disk told of them. They are told to nobody before `releaseRecalled`.
+    /// Adds targets read from the disk. They are not sent before `releaseRecalled`.
     void recall(std::span<const model::TargetRecord> records, Timestamp now);
-    /// From now on recalled targets are told, but those that left meanwhile.
+    /// From now on recalled targets are sent, except retired ones, which are removed.
     void releaseRecalled(const membership::RetiredTargets& retired);
-    /// What is worth recalling after a restart: no target that leaves, none whose zone is closed or of which word is
-    /// wanted, since it may have turned slow.
-    [[nodiscard]] std::vector<model::TargetRecord> recallable(const std::set<ZoneName>& closedZones) const;
-    /// Grows whenever `recallable` may have changed: nothing has to be worked out for targets that only report.
+    /// The records to recall after a restart. Excludes targets that leave, targets of evacuated zones, and targets
+    /// whose next report is awaited, since they may be in a slow start.
+    [[nodiscard]] std::vector<model::TargetRecord> recallable(const std::set<ZoneName>& evacuatedZones) const;
+    /// Increases whenever `recallable` may have changed; reports without changes don't increase it.
     [[nodiscard]] uint64_t changes() const { return changes_; }
-    /// The zone's targets are told again when they report next.
-    void wantWordOf(const ZoneName& zone, Timestamp now);
+    /// The zone's targets are sent again with their next report.
+    void awaitReportsOf(const ZoneName& zone, Timestamp now);
     [[nodiscard]] size_t size() const { return entries_.size(); }
 
-    /// Records that changed since the last call, or that gateways should hear again. Of targets that fell silent for
-    /// the last time: they are forgotten then.
+    /// Records that changed since the last call or are due to be sent again. Includes unresponsive targets a last time,
+    /// and removes them.
     [[nodiscard]] std::vector<model::TargetRecord> takeNews(std::span<const Gateway> gateways, Timestamp now);
     [[nodiscard]] std::vector<model::TargetRecord> all(std::span<const Gateway> gateways, Timestamp now) const;
 
@@ -63,48 +64,48 @@
     using Hook = boost::intrusive::list_member_hook<boost::intrusive::link_mode<boost::intrusive::auto_unlink>>;
     struct Entry {
         model::TargetRecord record;
-        Timestamp heardAt;
-        Timestamp toldAt;
-        Timestamp wordAt; ///< When its last report came; a recalled one has none.
-        Hook newsHook;
-        Hook heardHook;
-        Hook toldHook;
+        Timestamp receivedAt;
+        Timestamp sentAt;
+        Timestamp reportedAt; ///< Of its last report; a recalled target has none.
+        Hook updateHook;
+        Hook receivedHook;
+        Hook sentHook;
     };
     template <Hook Entry::*Member>
     using EntryList = boost::intrusive::list<Entry, boost::intrusive::member_hook<Entry, Hook, Member>,
         boost::intrusive::constant_time_size<false>>;
 
-    [[nodiscard]] bool noteStart(model::TargetRecord record, Timestamp now);
-    void noteReport(Entry& entry, model::TargetRecord record, Timestamp now);
+    [[nodiscard]] bool addIncarnation(model::TargetRecord record, Timestamp now);
+    void updateEntry(Entry& entry, model::TargetRecord record, Timestamp now);
     Entry& add(model::TargetRecord record, Timestamp now);
     void erase(Entry& entry);
-    void addNews(Entry& entry);
-    void noteHeard(Entry& entry, Timestamp now);
-    void noteTold(Entry& entry, Timestamp now);
-    void repeatOld(Timestamp now);
-    [[nodiscard]] model::TargetRecord toldOf(
+    void queueUpdate(Entry& entry);
+    void markReceived(Entry& entry, Timestamp now);
+    void markSent(Entry& entry, Timestamp now);
+    void queueResends(Timestamp now);
+    [[nodiscard]] model::TargetRecord outgoingRecordOf(
         const Entry& entry, std::span<const Gateway> gateways, Timestamp now) const;
     [[nodiscard]] HostId slowStartHostOf(const model::TargetRecord& record, std::span<const Gateway> gateways) const;
     [[nodiscard]] Entry* atAddress(const model::Address& address) const;
-    /// A start that is known to be later than this one lives at its address.
-    [[nodiscard]] bool isAddressOfLater(const model::TargetRecord& record) const;
+    /// Whether another target with a newer incarnation is at the record's address.
+    [[nodiscard]] bool isAddressOfNewerIncarnation(const model::TargetRecord& record) const;
     void displaceOthersAt(const model::TargetRecord& record, Timestamp now);
-    [[nodiscard]] static bool isSilent(const Entry& entry, Timestamp now);
-    [[nodiscard]] bool isHeldBack(const Entry& entry) const { return entry.record.isRecalled && !isRecallReleased_; }
-    /// Its zone was opened again, and it has not reported since.
-    [[nodiscard]] bool isWordWanted(const Entry& entry) const;
+    [[nodiscard]] static bool isUnresponsive(const Entry& entry, Timestamp now);
+    [[nodiscard]] bool isWithheld(const Entry& entry) const { return entry.record.isRecalled && !isRecallReleased_; }
+    /// The evacuation of its zone has ended, and it has not reported since.
+    [[nodiscard]] bool isAwaitingReport(const Entry& entry) const;
 
     std::map<ZoneName, RegionName> zones_;
     std::map<TargetId, Entry> entries_;
     std::map<model::Address, Entry*> byAddress_;
-    std::map<ZoneName, Timestamp> wordWantedAt_;
+    std::map<ZoneName, Timestamp> reportsAwaitedSince_;
     membership::DisplacedTargets displaced_;
     bool isRecallReleased_ = false;
     uint64_t changes_ = 0;
-    // After the entries, so that they go first.
-    EntryList<&Entry::newsHook> news_; ///< To be told.
-    EntryList<&Entry::heardHook> byHeard_; ///< The longest silent one first.
-    EntryList<&Entry::toldHook> byTold_; ///< The one told longest ago first.
+    // Declared after the entries, so that they are destroyed first.
+    EntryList<&Entry::updateHook> updates_; ///< To be sent.
+    EntryList<&Entry::receivedHook> byReceivedAt_; ///< Oldest report first.
+    EntryList<&Entry::sentHook> bySentAt_; ///< Least recently sent first.
 };
 
 } // namespace saltvane::registry
--- a/src/registry/internal/targetlimits.cpp
+++ b/src/registry/internal/targetlimits.cpp
@@ -11,45 +11,45 @@
 
 namespace {
 
-/// At any moment beyond the rate. One registry host holds it whole: shares of it would hold no request each.
+/// Requests beyond the rate. One registry host owns the whole burst: divided, each share would be less than a request.
 constexpr double Burst = 3;
-/// A target that takes nothing for now gets a request this often, whose answer tells when that is over.
-constexpr double LeastPerSecond = 0.2;
-/// Anybody can start targets; their limits are bounded as those that report are.
-constexpr size_t MostLimits = 16384;
+/// A target with a limit of 0 still gets a request this often, whose answer shows when it accepts requests again.
+constexpr double MinPerSecond = 0.2;
+/// Anybody can start targets: bounds the memory for their limits, as the number of reporting targets is bounded.
+constexpr size_t MaxLimits = 16384;
 
 } // namespace
 
-std::optional<model::BackpressureNotice> TargetLimits::note(const model::BackpressureNotice& notice, Timestamp now)
+std::optional<model::BackpressureNotice> TargetLimits::record(const model::BackpressureNotice& notice, Timestamp now)
 {
     const model::LimitId id = model::limitIdOf(notice.target);
-    const Timestamp saidAt = now - notice.age;
+    const Timestamp reportedAt = now - notice.age;
     const auto known = entries_.find(id);
-    if (known == entries_.end() && entries_.size() >= MostLimits)
+    if (known == entries_.end() && entries_.size() >= MaxLimits)
         return std::nullopt;
-    if (known != entries_.end() && saidAt <= known->second.saidAt)
+    if (known != entries_.end() && reportedAt <= known->second.reportedAt)
         return known->second.limit == notice.limit ? std::nullopt : std::optional(noticeOf(known->second, now));
     const bool isChanged = known == entries_.end() || known->second.limit != notice.limit;
     entries_.insert_or_assign(
-        id, Entry {.target = notice.target, .limit = notice.limit, .saidAt = saidAt, .heardAt = now});
-    byAge_.emplace_back(now, id);
+        id, Entry {.target = notice.target, .limit = notice.limit, .reportedAt = reportedAt, .receivedAt = now});
+    byReceivedAt_.emplace_back(now, id);
     if (isChanged) {
         ++version_;
-        news_.insert(id);
+        updated_.insert(id);
     }
     return std::nullopt;
 }
 
 void TargetLimits::expire(Timestamp now)
 {
-    while (!byAge_.empty() && now - byAge_.front().first >= Memory) {
-        const auto [heardAt, id] = std::move(byAge_.front());
-        byAge_.pop_front();
+    while (!byReceivedAt_.empty() && now - byReceivedAt_.front().first >= RetentionTime) {
+        const auto [receivedAt, id] = std::move(byReceivedAt_.front());
+        byReceivedAt_.pop_front();
         const auto found = entries_.find(id);
-        if (found == entries_.end() || found->second.heardAt > heardAt)
+        if (found == entries_.end() || found->second.receivedAt > receivedAt)
             continue;
         entries_.erase(found);
-        news_.erase(id);
+        updated_.erase(id);
         ++version_;
     }
 }
@@ -59,21 +59,21 @@
     const auto found = entries_.find(id);
     if (found == entries_.end() || !found->second.limit)
         return std::nullopt;
-    return model::RateLimit {.perSecond = std::max(*found->second.limit, LeastPerSecond), .burst = Burst};
+    return model::RateLimit {.perSecond = std::max(*found->second.limit, MinPerSecond), .burst = Burst};
 }
 
 model::BackpressureNotice TargetLimits::noticeOf(const Entry& entry, Timestamp now)
 {
-    return {.target = entry.target, .limit = entry.limit, .age = now - entry.saidAt};
+    return {.target = entry.target, .limit = entry.limit, .age = now - entry.reportedAt};
 }
 
-std::vector<model::BackpressureNotice> TargetLimits::takeNews(Timestamp now)
+std::vector<model::BackpressureNotice> TargetLimits::takeUpdates(Timestamp now)
 {
-    std::vector<model::BackpressureNotice> news;
-    for (const model::LimitId& id : news_)
-        news.push_back(noticeOf(entries_.at(id), now));
-    news_.clear();
-    return news;
+    std::vector<model::BackpressureNotice> updates;
+    for (const model::LimitId& id : updated_)
+        updates.push_back(noticeOf(entries_.at(id), now));
+    updated_.clear();
+    return updates;
 }
 
 std::vector<model::BackpressureNotice> TargetLimits::all(Timestamp now) const
--- a/src/registry/internal/targetlimits.h
+++ b/src/registry/internal/targetlimits.h
@@ -16,40 +16,42 @@
 
 namespace saltvane::registry {
 
-/// The limits that targets name in their answers, as gateways tell of them. docs/design/0018-target-limits.md
+/// The limits that targets name in their answers, as gateways report them. docs/design/0018-target-limits.md
 class TargetLimits {
 public:
-    /// Newer by when the target said it replaces older, in whatever order they come. Returns the newer one that stands
-    /// where the notice is older and says otherwise.
-    [[nodiscard]] std::optional<model::BackpressureNotice> note(const model::BackpressureNotice& notice, Timestamp now);
-    /// Forgets limits of which no gateway has told for long.
+    /// A notice replaces one that the target gave earlier, in whatever order they arrive. Returns the stored notice
+    /// where it is newer than this one and differs from it.
+    [[nodiscard]] std::optional<model::BackpressureNotice> record(
+        const model::BackpressureNotice& notice, Timestamp now);
+    /// Drops limits that no gateway has reported within RetentionTime.
     void expire(Timestamp now);
 
-    /// What gateways may send altogether; none where the target named no limit, or it is over.
+    /// What all gateways together may send; none where the target named no limit or has lifted it.
     [[nodiscard]] std::optional<model::RateLimit> find(const model::LimitId& id) const;
-    /// Grows with each change.
+    /// Increases with each change.
     [[nodiscard]] uint64_t version() const { return version_; }
 
-    /// What changed since the last call.
-    [[nodiscard]] std::vector<model::BackpressureNotice> takeNews(Timestamp now);
-    /// Limits in force.
+    /// Limits that changed since the last call.
+    [[nodiscard]] std::vector<model::BackpressureNotice> takeUpdates(Timestamp now);
+    /// All limits in force.
     [[nodiscard]] std::vector<model::BackpressureNotice> all(Timestamp now) const;
 
-    /// Gateways tell again of a limit that stands in a part of it.
-    static constexpr Duration Memory = 120s;
+    /// Several times the interval at which gateways repeat a limit in force.
+    static constexpr Duration RetentionTime = 120s;
 
 private:
     struct Entry {
         model::TargetIncarnation target;
         std::optional<double> limit;
-        Timestamp saidAt;
-        Timestamp heardAt;
+        Timestamp reportedAt;
+        Timestamp receivedAt;
     };
     static model::BackpressureNotice noticeOf(const Entry& entry, Timestamp now);
 
     std::unordered_map<model::LimitId, Entry> entries_;
-    std::deque<std::pair<Timestamp, model::LimitId>> byAge_; ///< By when each was heard, also before the last time.
-    std::set<model::LimitId> news_;
+    std::deque<std::pair<Timestamp, model::LimitId>>
+        byReceivedAt_; ///< All notices, in the order received; older ones of a limit are skipped.
+    std::set<model::LimitId> updated_;
     uint64_t version_ = 0;
 };
 
--- a/src/registry/internal/targetreports.cpp
+++ b/src/registry/internal/targetreports.cpp
@@ -20,29 +20,29 @@
 
 using Json = nlohmann::json;
 
-/// A start in the year 2100, in Unix milliseconds: anything later is no time, and would go before every later start.
-constexpr uint64_t LatestStart = 4'102'444'800'000;
-constexpr uint32_t MostSlots = 100'000;
-constexpr double LongestSlowStartMs = 24.0 * 3600 * 1000;
+/// The year 2100. A later time is invalid, and its incarnation would take precedence over all valid ones.
+constexpr uint64_t MaxStartUnixMs = 4'102'444'800'000;
+constexpr uint32_t MaxSlots = 100'000;
+constexpr double MaxSlowStartMs = 24.0 * 3600 * 1000;
 
-/// The fields of one report. Collects what is wrong with them.
+/// Parses the fields of one report and collects their errors.
 class ReportReader {
 public:
     ReportReader(const char* source, std::string_view body)
         : source_(source)
     {
-        if (body.size() > LargestTargetReport) {
-            add("", "must have at most " + std::to_string(LargestTargetReport) + " bytes");
+        if (body.size() > MaxTargetReportBytes) {
+            add("", "must have at most " + std::to_string(MaxTargetReportBytes) + " bytes");
             return;
         }
         std::set<std::string> keys;
-        const auto noteKey = [&](int depth, Json::parse_event_t event, const Json& key) {
+        const auto rejectDuplicateKey = [&](int depth, Json::parse_event_t event, const Json& key) {
             const bool isField = depth == 1 && event == Json::parse_event_t::key;
             if (isField && !keys.insert(key.get<std::string>()).second)
-                add(key.get<std::string>(), "stands twice");
+                add(key.get<std::string>(), "occurs twice");
             return true;
         };
-        json_ = Json::parse(body, noteKey, false);
+        json_ = Json::parse(body, rejectDuplicateKey, false);
         if (!json_.is_object())
             add("", "must be a JSON object");
     }
@@ -58,7 +58,7 @@
         const Json* value = find(field);
         if (value != nullptr && value->is_string())
             return value->get<std::string>();
-        add(field, "must be a text");
+        add(field, "must be a string");
         return {};
     }
     std::string name(const char* field)
@@ -68,33 +68,33 @@
             add(field, std::string(model::NameRule));
         return value;
     }
-    uint64_t number(const char* field, uint64_t least, uint64_t most)
+    uint64_t number(const char* field, uint64_t min, uint64_t max)
     {
         const Json* value = find(field);
-        const bool isFit = value != nullptr && value->is_number_unsigned() && value->get<uint64_t>() >= least
-            && value->get<uint64_t>() <= most;
-        if (isFit)
+        const bool isInRange = value != nullptr && value->is_number_unsigned() && value->get<uint64_t>() >= min
+            && value->get<uint64_t>() <= max;
+        if (isInRange)
             return value->get<uint64_t>();
-        add(field, "must be a whole number from " + std::to_string(least) + " to " + std::to_string(most));
-        return least;
+        add(field, "must be an integer from " + std::to_string(min) + " to " + std::to_string(max));
+        return min;
     }
-    /// Left out: 0.
+    /// 0 where the field is absent.
     Incarnation incarnation(const char* field)
     {
         if (find(field) == nullptr)
             return {};
-        return {number(field, 1, LatestStart)};
+        return {number(field, 1, MaxStartUnixMs)};
     }
-    /// Left out: none.
-    Duration milliseconds(const char* field, double most)
+    /// Zero where the field is absent.
+    Duration milliseconds(const char* field, double max)
     {
         const Json* value = find(field);
         if (value == nullptr)
             return {};
         const double number = value->is_number() ? value->get<double>() : std::numeric_limits<double>::quiet_NaN();
-        if (std::isfinite(number) && number >= 0 && number <= most)
+        if (std::isfinite(number) && number >= 0 && number <= max)
             return fromSeconds(number / 1000);
-        add(field, "must be milliseconds from 0 to " + std::to_string(static_cast<uint64_t>(most)));
+        add(field, "must be milliseconds from 0 to " + std::to_string(static_cast<uint64_t>(max)));
         return {};
     }
     bool isLeaving(const char* field)
@@ -108,7 +108,7 @@
     {
         if (const auto parsed = model::parseAddress(text(field)))
             return *parsed;
-        add(field, "must be an IP and a port");
+        add(field, "must be an IP address and a port");
         return {};
     }
 
@@ -143,9 +143,9 @@
         .service = ServiceName(reader.name("service")),
         .address = reader.address("address"),
         .zone = ZoneName(reader.name("zone")),
-        .slots = static_cast<uint32_t>(reader.number("slots", 1, MostSlots)),
+        .slots = static_cast<uint32_t>(reader.number("slots", 1, MaxSlots)),
         .isLeaving = reader.isLeaving("state"),
-        .slowStartLeft = reader.milliseconds("slow_start_left_ms", LongestSlowStartMs),
+        .slowStartLeft = reader.milliseconds("slow_start_left_ms", MaxSlowStartMs),
         .sequence = reader.number("sequence", 0, std::numeric_limits<uint64_t>::max())};
     if (!reader.findings().isEmpty())
         return reader.findings();
--- a/src/registry/internal/targetreports.h
+++ b/src/registry/internal/targetreports.h
@@ -12,15 +12,15 @@
 #include <cstddef>
 #include <string_view>
 
-/// What targets say of themselves (docs/ROUTES.md), read strictly: anybody may send a report, and one that doesn't fit
-/// whole names no target.
+/// Strict parser of targets' reports (docs/ROUTES.md). Anybody may send a report: one with any invalid field is
+/// rejected as a whole.
 namespace saltvane::registry {
 
-/// Bytes of a report. Targets' reports have some 200.
-inline constexpr size_t LargestTargetReport = 16 * 1024;
+/// Reports of targets have about 200 bytes.
+inline constexpr size_t MaxTargetReportBytes = 16 * 1024;
 
 [[nodiscard]] Result<model::TargetRecord, Findings> readTargetHeartbeat(const TargetId& target, std::string_view body);
-/// The start that leaves; 0 where the body is empty or doesn't tell.
+/// The incarnation that leaves; 0 where the body is empty or doesn't name it.
 [[nodiscard]] Result<Incarnation, Findings> readTargetLeave(const TargetId& target, std::string_view body);
 
 } // namespace saltvane::registry
--- a/src/registry/iregistry.h
+++ b/src/registry/iregistry.h
@@ -11,8 +11,8 @@
 
 #include <memory>
 
-/// A registry host: holds the route plan in the replicated log, hears the targets, tells the gateways of both, and
-/// answers callers' look-ups. docs/design/0010-platform.md
+/// A registry host: stores the route plan in the replicated log, receives the targets' reports, sends both to the
+/// gateways, and answers callers' look-ups. docs/design/0010-platform.md
 namespace saltvane::registry {
 
 /// Listening addresses, in the order of the host's servers.
@@ -22,11 +22,11 @@
     settings::RoutedHostSettings settings;
     Incarnation incarnation;
     control::RecoveredState recovered;
-    host::SoftState softState; ///< What this host wrote last.
+    host::SoftState softState; ///< As this host last wrote it.
     uint64_t seed = 1;
 };
 
-/// Null when the recovered state is none of this version.
+/// Null when the recovered state has an unsupported version.
 [[nodiscard]] std::unique_ptr<host::IHostCore> makeRegistry(const RegistryOptions& options);
 
 } // namespace saltvane::registry
--- a/src/registry/tests/creditpoolfleet.h
+++ b/src/registry/tests/creditpoolfleet.h
@@ -25,16 +25,17 @@
 inline HostId registryHost(size_t number) { return HostId("registry-" + std::to_string(number)); }
 inline HostId gatewayHost(size_t number) { return HostId("gateway-" + std::to_string(number)); }
 
-/// Pools with a network in between that delays, cuts and loses; gateways that spend each credit as it comes.
-class CreditFleet {
+/// Credit pools on a simulated network that delays and loses messages and can be partitioned. Gateways use each credit
+/// as it arrives.
+class CreditPoolFleet {
 public:
     struct Options {
         size_t pools = 6;
         model::RateLimit limit {.perSecond = 16, .burst = 16};
         uint64_t seed = 1;
-        Duration start = 20s; ///< How long the hosts have stood when the test begins.
+        Duration start = 20s; ///< How long the hosts have been running when the test begins.
     };
-    explicit CreditFleet(const Options& options)
+    explicit CreditPoolFleet(const Options& options)
         : random_(options.seed)
         , limit_(options.limit)
     {
@@ -59,7 +60,7 @@
         for (const auto& pool : pools_)
             pool->limits().install(accounts());
     }
-    /// Hosts of two sides hear nothing of each other; a gateway is with its own registry host.
+    /// Partitions the network: `side` against all other hosts. A gateway is on the side of its registry host.
     void cut(const std::set<size_t>& side)
     {
         side_ = side;
@@ -67,14 +68,14 @@
     }
     void pause(size_t number, Duration duration) { pausedUntil_[number] = now_ + duration; }
 
-    /// A gateway near this pool asks for one.
-    void ask(size_t pool)
+    /// A gateway of this pool requests one credit.
+    void requestCredit(size_t pool)
     {
-        const uint64_t number = ++lastAsk_;
-        asked_[number] = pool;
+        const uint64_t number = ++lastRequest_;
+        pendingRequests_[number] = pool;
         send(gatewayHost(pool), registryHost(pool),
             model::LimitCreditRequest {.asks = {{.ask = number, .limit = AccountLimit, .credits = 1}}});
-        ++askedInAll;
+        ++requested;
     }
 
     void advance(Duration duration)
@@ -86,9 +87,9 @@
                 nextRefreshAt_ = now_ + 200ms;
                 refreshAll();
             }
-            while (!wire_.empty() && wire_.begin()->first <= now_) {
-                const auto [from, to, message] = std::move(wire_.begin()->second);
-                wire_.erase(wire_.begin());
+            while (!inFlight_.empty() && inFlight_.begin()->first <= now_) {
+                const auto [from, to, message] = std::move(inFlight_.begin()->second);
+                inFlight_.erase(inFlight_.begin());
                 deliver(from, to, message);
             }
             for (size_t i = 0; i < pools_.size(); ++i) {
@@ -99,21 +100,21 @@
         }
     }
 
-    /// Most runs in five seconds, by when credits came.
-    [[nodiscard]] double mostInWindow() const
+    /// The most credits that gateways received within any five seconds.
+    [[nodiscard]] double maxGrantedInWindow() const
     {
-        size_t most = 0;
+        size_t maxCount = 0;
         size_t first = 0;
-        for (size_t last = 0; last < spent_.size(); ++last) {
-            while (spent_[last] - spent_[first] > 5s)
+        for (size_t last = 0; last < grantedAt_.size(); ++last) {
+            while (grantedAt_[last] - grantedAt_[first] > 5s)
                 ++first;
-            most = std::max(most, last - first + 1);
+            maxCount = std::max(maxCount, last - first + 1);
         }
-        return static_cast<double>(most);
+        return static_cast<double>(maxCount);
     }
 
-    size_t askedInAll = 0;
-    size_t given = 0;
+    size_t requested = 0;
+    size_t granted = 0;
     size_t refused = 0;
     std::vector<Duration> retryAfters;
     size_t transfers = 0; ///< Messages between registry hosts.
@@ -138,7 +139,7 @@
         for (size_t i = 0; i < pools_.size(); ++i) {
             holders.push_back(registryHost(i));
             if (i != number && side_.contains(i) == side_.contains(number))
-                peers.push_back({.host = registryHost(i), .isNear = i / 2 == number / 2});
+                peers.push_back({.host = registryHost(i), .isSameRegion = i / 2 == number / 2});
         }
         pools_[number]->setHolders(std::move(holders), 0s, now_);
         pools_[number]->setPeers(std::move(peers));
@@ -156,7 +157,7 @@
             ? Duration(1ms)
             : Duration(1ms) + Duration(1ms) * static_cast<int64_t>(random_() % 40);
         if (!isLost)
-            wire_.emplace(now_ + delay, Sent {from, to, std::move(message)});
+            inFlight_.emplace(now_ + delay, Sent {from, to, std::move(message)});
     }
 
     static size_t numberOf(const HostId& host) { return std::stoul(host.value().substr(host.value().rfind('-') + 1)); }
@@ -165,12 +166,12 @@
     {
         const size_t number = numberOf(to);
         if (to.value().starts_with("gateway"))
-            return spend(std::get<model::LimitCreditReply>(message));
+            return receiveReply(std::get<model::LimitCreditReply>(message));
         const bool isCut = side_.contains(number) != side_.contains(numberOf(from));
         if (isCut)
             return;
-        if (pausedUntil_[number] > now_) { // It waits unread.
-            wire_.emplace(pausedUntil_[number], Sent {from, to, message});
+        if (pausedUntil_[number] > now_) { // The paused host reads it later.
+            inFlight_.emplace(pausedUntil_[number], Sent {from, to, message});
             return;
         }
         if (const auto* request = std::get_if<model::LimitCreditRequest>(&message))
@@ -186,14 +187,14 @@
             send(registryHost(number), outgoing.to, std::move(outgoing.message));
         }
     }
-    void spend(const model::LimitCreditReply& reply)
+    void receiveReply(const model::LimitCreditReply& reply)
     {
         for (const model::LimitCreditAnswer& answer : reply.answers) {
-            if (asked_.erase(answer.ask) == 0)
+            if (pendingRequests_.erase(answer.ask) == 0)
                 continue;
-            given += answer.credits;
+            granted += answer.credits;
             for (uint32_t i = 0; i < answer.credits; ++i)
-                spent_.push_back(now_);
+                grantedAt_.push_back(now_);
             if (answer.credits > 0)
                 continue;
             ++refused;
@@ -208,21 +209,21 @@
     std::vector<std::unique_ptr<CreditPool>> pools_;
     std::vector<Timestamp> pausedUntil_;
     std::set<size_t> side_;
-    std::multimap<Timestamp, Sent> wire_;
-    std::map<uint64_t, size_t> asked_;
-    uint64_t lastAsk_ = 0;
-    std::vector<Timestamp> spent_;
+    std::multimap<Timestamp, Sent> inFlight_;
+    std::map<uint64_t, size_t> pendingRequests_;
+    uint64_t lastRequest_ = 0;
+    std::vector<Timestamp> grantedAt_;
 };
 
-/// Requests a second, spread over pools by these weights.
-inline void load(CreditFleet& fleet, double perSecond, const std::vector<double>& weights, Duration duration)
+/// Requests per second, distributed over pools by these weights.
+inline void load(CreditPoolFleet& fleet, double perSecond, const std::vector<double>& weights, Duration duration)
 {
     constexpr Duration Step = 20ms;
     std::poisson_distribution<int> arrivals(perSecond * toSeconds(Step));
-    std::discrete_distribution<size_t> places(weights.begin(), weights.end());
+    std::discrete_distribution<size_t> pool(weights.begin(), weights.end());
     for (Duration done {}; done < duration; done += Step) {
         for (int count = arrivals(fleet.random()); count > 0; --count)
-            fleet.ask(places(fleet.random()));
+            fleet.requestCredit(pool(fleet.random()));
         fleet.advance(Step);
     }
 }
@@ -230,9 +231,9 @@
 inline double bound(const model::RateLimit& limit)
 {
     constexpr double Window = 5;
-    constexpr double Overage = 1.1;
+    constexpr double AllowedFactor = 1.1;
     constexpr double Slack = 20;
-    return (limit.perSecond * Window + limit.burst) * Overage + Slack;
+    return (limit.perSecond * Window + limit.burst) * AllowedFactor + Slack;
 }
 
 } // namespace saltvane::registry::test
--- a/src/registry/tests/fulldisktests.cpp
+++ b/src/registry/tests/fulldisktests.cpp
@@ -26,19 +26,19 @@
         cluster_.run(1s);
     }
 
-    /// Retries as an operator does; the time that it took.
+    /// Retries like an operator; returns the time until the plan was accepted.
     Duration put(uint64_t version)
     {
-        constexpr Duration LongestTry = 5s;
+        constexpr Duration MaxRetryTime = 5s;
         const Timestamp begin = cluster_.now();
-        while (cluster_.now() - begin < LongestTry) {
+        while (cluster_.now() - begin < MaxRetryTime) {
             const auto answer = cluster_.order("PUT", "/v1/plan", planText(version), std::to_string(version - 1));
             if (answer && answer->status == 200)
                 return cluster_.now() - begin;
             cluster_.run(100ms);
         }
-        ADD_FAILURE() << "plan " << version << " was not taken";
-        return LongestTry;
+        ADD_FAILURE() << "plan " << version << " was not accepted";
+        return MaxRetryTime;
     }
     void restartAll()
     {
@@ -47,7 +47,7 @@
         for (size_t number = 0; number < Hosts; ++number)
             cluster_.start(number, false);
     }
-    [[nodiscard]] std::string planRead()
+    [[nodiscard]] std::string readPlan()
     {
         EXPECT_TRUE(cluster_.runUntil([this] { return cluster_.leader().has_value(); }));
         cluster_.run(200ms);
@@ -60,7 +60,7 @@
 
 } // namespace
 
-TEST_F(FullDiskTest, ALeaderThatCanNotWriteGivesTheLeadAwayAndDoesNotEnd)
+TEST_F(FullDiskTest, LeaderThatCannotWriteStepsDownAndKeepsRunning)
 {
     const size_t former = *cluster_.leader();
     cluster_.setDiskFull(former, true);
@@ -68,13 +68,13 @@
     ASSERT_TRUE(cluster_.leader());
     EXPECT_NE(*cluster_.leader(), former);
     EXPECT_TRUE(cluster_.isRunning(former));
-    cluster_.run(5s); // It does not take the lead back, nor keep others from it.
+    cluster_.run(5s); // It neither becomes leader again nor prevents others from it.
     ASSERT_TRUE(cluster_.leader());
     EXPECT_NE(*cluster_.leader(), former);
     EXPECT_LT(put(3), 1s);
 }
 
-TEST_F(FullDiskTest, TwoAtOnceKeepNothingFromBeingAcknowledgedAndAreWholeAgainAfterwards)
+TEST_F(FullDiskTest, TwoFullDisksBlockNoCommitAndCatchUpAfterwards)
 {
     const size_t leader = *cluster_.leader();
     const size_t follower = (leader + 1) % Hosts;
@@ -85,7 +85,7 @@
     cluster_.setDiskFull(leader, false);
     cluster_.setDiskFull(follower, false);
     cluster_.run(5s);
-    // These two count as copies from now on: two others may lose theirs.
+    // These two now store everything again, so that two other hosts may lose their disks.
     put(4);
     cluster_.run(2s);
     size_t wiped = 0;
@@ -99,21 +99,21 @@
     }
     for (size_t number = 0; number < Hosts; ++number)
         cluster_.start(number, false);
-    EXPECT_EQ(planRead(), planText(4));
+    EXPECT_EQ(readPlan(), planText(4));
 }
 
-/// Guards against a host that counts as a copy of what its disk refused.
-TEST_F(FullDiskTest, WhatWasAcknowledgedMeanwhileOutlivesALossOfAllPower)
+/// Guards against counting a host as a replica of entries that its disk refused.
+TEST_F(FullDiskTest, CommitsDuringFullDisksSurviveRestartOfAllHosts)
 {
     const size_t leader = *cluster_.leader();
     cluster_.setDiskFull(leader, true);
     cluster_.setDiskFull((leader + 1) % Hosts, true);
     put(2);
     restartAll();
-    EXPECT_EQ(planRead(), planText(2));
+    EXPECT_EQ(readPlan(), planText(2));
 }
 
-TEST_F(FullDiskTest, WithoutAMajorityThatCanWriteNothingIsAcknowledged)
+TEST_F(FullDiskTest, NothingIsAcknowledgedWithoutAWritableMajority)
 {
     for (size_t number = 0; number < Hosts / 2; ++number)
         cluster_.setDiskFull(number, true);
--- a/src/registry/tests/incarnationtests.cpp
+++ b/src/registry/tests/incarnationtests.cpp
@@ -9,7 +9,7 @@
 #include <boost/random/mersenne_twister.hpp>
 #include <gtest/gtest.h>
 
-/// Targets that start again under their id.
+/// Targets that restart under the same id.
 namespace saltvane::registry::test {
 
 namespace {
@@ -32,15 +32,15 @@
         for (size_t host = 0; host < Hosts; ++host)
             cluster_.gatewayHeartbeat(host, Gateway, "north-a", "north");
     }
-    /// At the leader, so that a leave needs no redirect.
+    /// Reports to the leader, so that a leave needs no redirect.
     void report(uint64_t startedMs, uint64_t sequence, const std::string& state = "ready")
     {
         heartbeat();
         EXPECT_EQ(statusOf(cluster_.order("POST", HeartbeatPath, heartbeatOfStart(startedMs, sequence, state))), 200);
         cluster_.run(300ms);
     }
-    /// The last that a gateway hears of the target, of all that hosts sent it since the last look.
-    std::optional<model::TargetRecord> takeTold()
+    /// The last record of the target that any host sent to the gateway since the last call.
+    std::optional<model::TargetRecord> takeLastRecord()
     {
         std::optional<model::TargetRecord> last;
         for (const model::Message& message : cluster_.takeSentTo(Gateway)) {
@@ -56,66 +56,66 @@
 
 } // namespace
 
-TEST_F(IncarnationTest, AStartUnderAKnownIdIsToldAtOnce)
+TEST_F(IncarnationTest, NewIncarnationOfKnownTargetIsReportedAtOnce)
 {
     report(1000, 50);
-    (void)takeTold();
+    (void)takeLastRecord();
     report(2000, 1);
-    const auto told = takeTold();
-    ASSERT_TRUE(told);
-    EXPECT_EQ(told->incarnation, Incarnation {2000});
-    EXPECT_EQ(told->sequence, 1U);
+    const auto record = takeLastRecord();
+    ASSERT_TRUE(record);
+    EXPECT_EQ(record->incarnation, Incarnation {2000});
+    EXPECT_EQ(record->sequence, 1U);
 }
 
-TEST_F(IncarnationTest, AnEarlierStartsDelayedWordChangesNothing)
+TEST_F(IncarnationTest, DelayedReportOfOlderIncarnationIsIgnored)
 {
     report(2000, 1);
-    (void)takeTold();
+    (void)takeLastRecord();
     report(1000, 90);
-    EXPECT_FALSE(takeTold());
-    report(2000, 9); // Called elsewhere in between: told again.
-    EXPECT_EQ(takeTold()->incarnation, Incarnation {2000});
+    EXPECT_FALSE(takeLastRecord());
+    report(2000, 9); // The gap in the sequence shows reports to other hosts: sent again.
+    EXPECT_EQ(takeLastRecord()->incarnation, Incarnation {2000});
 }
 
-TEST_F(IncarnationTest, ALeaveBindsItsStartAndTheOnesBeforeOnly)
+TEST_F(IncarnationTest, LeaveAppliesToItsIncarnationAndOlderOnesOnly)
 {
     report(1000, 5, "leaving");
-    EXPECT_TRUE(takeTold()->isLeaving);
+    EXPECT_TRUE(takeLastRecord()->isLeaving);
     report(1000, 6);
     report(900, 7);
-    const auto bound = takeTold();
-    EXPECT_TRUE(!bound || bound->isLeaving);
+    const auto latest = takeLastRecord();
+    EXPECT_TRUE(!latest || latest->isLeaving);
     report(2000, 1);
-    const auto later = takeTold();
+    const auto later = takeLastRecord();
     ASSERT_TRUE(later);
     EXPECT_EQ(later->incarnation, Incarnation {2000});
     EXPECT_FALSE(later->isLeaving);
 }
 
-TEST_F(IncarnationTest, ADelayedLeaveOfTheStartBeforeTakesNothingFromItsSuccessor)
+TEST_F(IncarnationTest, DelayedLeaveOfOlderIncarnationDoesNotAffectTheNewer)
 {
     report(1000, 5);
     report(2000, 1);
-    (void)takeTold();
+    (void)takeLastRecord();
     EXPECT_EQ(statusOf(cluster_.order("POST", LeavePath, R"({"started_ms":1000})")), 200);
     cluster_.run(300ms);
     report(2000, 4);
-    const auto told = takeTold();
-    ASSERT_TRUE(told);
-    EXPECT_FALSE(told->isLeaving);
+    const auto record = takeLastRecord();
+    ASSERT_TRUE(record);
+    EXPECT_FALSE(record->isLeaving);
 }
 
-TEST_F(IncarnationTest, ALeaveThatTellsNoStartBindsTheKnownOne)
+TEST_F(IncarnationTest, LeaveWithoutIncarnationAppliesToTheKnownOne)
 {
     report(1000, 5);
     EXPECT_EQ(statusOf(cluster_.order("POST", LeavePath)), 200);
     report(1000, 6);
-    EXPECT_TRUE(takeTold()->isLeaving);
+    EXPECT_TRUE(takeLastRecord()->isLeaving);
     report(2000, 1);
-    EXPECT_FALSE(takeTold()->isLeaving);
+    EXPECT_FALSE(takeLastRecord()->isLeaving);
 }
 
-TEST_F(IncarnationTest, WhatWasRetiredStaysSoAfterAllHostsRestarted)
+TEST_F(IncarnationTest, RetiredIncarnationsSurviveRestartOfAllHosts)
 {
     report(1000, 5, "leaving");
     cluster_.run(2500ms);
@@ -125,13 +125,13 @@
         cluster_.start(host, false);
     ASSERT_TRUE(cluster_.runUntil([&] { return cluster_.leader().has_value(); }));
     report(1000, 6);
-    const auto told = takeTold();
-    EXPECT_TRUE(told && told->isLeaving);
+    const auto record = takeLastRecord();
+    EXPECT_TRUE(record && record->isLeaving);
     report(2000, 1);
-    EXPECT_FALSE(takeTold()->isLeaving);
+    EXPECT_FALSE(takeLastRecord()->isLeaving);
 }
 
-TEST_F(IncarnationTest, AHostThatLostItsDiskKnowsWhichStartsLeft)
+TEST_F(IncarnationTest, HostWithWipedDiskLearnsRetiredIncarnations)
 {
     report(1000, 5, "leaving");
     const size_t wiped = (*cluster_.leader() + 1) % Hosts;
@@ -141,13 +141,13 @@
     ASSERT_TRUE(cluster_.runUntil([&] { return cluster_.leader() && cluster_.votersAt(*cluster_.leader()) == Hosts; }));
     cluster_.run(3s);
     heartbeat();
-    (void)takeTold();
+    (void)takeLastRecord();
     EXPECT_EQ(statusOf(cluster_.call(wiped, "POST", HeartbeatPath, heartbeatOfStart(1000, 9))), 200);
     cluster_.run(300ms);
-    EXPECT_TRUE(takeTold()->isLeaving);
+    EXPECT_TRUE(takeLastRecord()->isLeaving);
     EXPECT_EQ(statusOf(cluster_.call(wiped, "POST", HeartbeatPath, heartbeatOfStart(2000, 1))), 200);
     cluster_.run(300ms);
-    EXPECT_FALSE(takeTold()->isLeaving);
+    EXPECT_FALSE(takeLastRecord()->isLeaving);
 }
 
 namespace {
@@ -165,8 +165,8 @@
 
 } // namespace
 
-// Reports of four starts of each of three targets in any order, some of them twice.
-TEST(TargetBookTest, InAnyOrderOfReportsTheLatestStartStands)
+// Reports of four incarnations of each of three targets in random order, some of them repeated.
+TEST(TargetBookTest, LatestIncarnationWinsForAnyReportOrder)
 {
     constexpr uint64_t Seeds = 1000;
     for (uint64_t seed = 0; seed < Seeds; ++seed) {
@@ -182,31 +182,32 @@
             (void)book.note(record, now);
             latest[record.target] = std::max(latest[record.target], record.incarnation);
             now += std::chrono::milliseconds(random() % 50);
-            for (const model::TargetRecord& told : book.takeNews({}, now))
-                ASSERT_EQ(told.incarnation, latest.at(told.target)) << "seed " << seed << " step " << step;
+            for (const model::TargetRecord& update : book.takeNews({}, now))
+                ASSERT_EQ(update.incarnation, latest.at(update.target)) << "seed " << seed << " step " << step;
         }
         for (const model::TargetRecord& record : book.all({}, now))
             ASSERT_EQ(record.incarnation, latest.at(record.target)) << "seed " << seed;
     }
 }
 
-TEST(TargetBookTest, AnAddressIsNotGivenBackToAnEarlierStartOfAnotherTarget)
+TEST(TargetBookTest, AddressIsNotReassignedToOlderIncarnationOfAnotherTarget)
 {
     TargetBook book({});
     Timestamp now {100s};
-    // The earlier one reported elsewhere before: this host never knew it.
+    // The earlier one reported to another host before: this host never knew it.
     EXPECT_TRUE(book.note(recordOf("later", 2000, 1, 9000), now));
     EXPECT_FALSE(book.note(recordOf("earlier", 1000, 70, 9000), now));
     ASSERT_EQ(book.all({}, now).size(), 1U);
     EXPECT_EQ(book.all({}, now).front().target, TargetId("later"));
-    // Once the later one is silent, its address is free.
+    // Once the later one is unresponsive, its address is free.
     now += model::TargetSilenceLimit;
     (void)book.takeNews({}, now);
     EXPECT_TRUE(book.note(recordOf("earlier", 1000, 71, 9000), now));
 }
 
-// A clock that stepped back between two starts: the second counts as the earlier one until the first is silent.
-TEST(TargetBookTest, AStartWithAnEarlierClockStandsOnceTheOneBeforeIsSilent)
+// When the clock steps back between two starts, the second has the lower incarnation: it is accepted only once the
+// first is unresponsive.
+TEST(TargetBookTest, IncarnationWithEarlierClockIsAcceptedAfterTheFormerTimesOut)
 {
     TargetBook book({});
     Timestamp now {100s};
--- a/src/registry/tests/membershiptests.cpp
+++ b/src/registry/tests/membershiptests.cpp
@@ -20,14 +20,14 @@
 
 } // namespace
 
-TEST(MembershipTest, AGroupFormsFromSeedsAndTakesInTheOthers)
+TEST(MembershipTest, GroupFormsFromSeedsAndAdmitsOtherHosts)
 {
     RegistryCluster cluster(6);
     EXPECT_TRUE(allVote(cluster, 6));
-    EXPECT_LT(cluster.now(), Timestamp(107s)); // Traffic comes 8 s after the start.
+    EXPECT_LT(cluster.now(), Timestamp(107s)); // In deployments traffic begins 8 s after the start.
 }
 
-TEST(MembershipTest, AfterAllWereKilledThePlanIsThereAgain)
+TEST(MembershipTest, PlanSurvivesRestartOfAllHosts)
 {
     RegistryCluster cluster(6);
     ASSERT_TRUE(allVote(cluster, 6));
@@ -40,10 +40,10 @@
     EXPECT_EQ(cluster.order("GET", "/v1/plan")->body, planText(1));
 }
 
-TEST(MembershipTest, AfterAllWereKilledALeaderStandsSoon)
+TEST(MembershipTest, LeaderIsElectedSoonAfterRestartOfAllHosts)
 {
     RegistryCluster cluster(6);
-    cluster.messageDelay = 35ms; // Between far regions.
+    cluster.messageDelay = 35ms; // Between distant regions.
     ASSERT_TRUE(allVote(cluster, 6));
     for (int round = 0; round < 40; ++round) {
         for (size_t number = 0; number < 6; ++number)
@@ -52,14 +52,14 @@
             cluster.start(number, false);
             cluster.run(60ms);
         }
-        // Nobody votes in the first 450 ms after its start: the lease of a leader before may stand as long.
+        // A host doesn't vote in the first 450 ms after its start, since a former leader's lease may last that long.
         const Timestamp since = cluster.now();
         ASSERT_TRUE(cluster.runUntil([&] { return cluster.leader().has_value(); }));
         EXPECT_LE(cluster.now() - since, 900ms) << "round " << round;
     }
 }
 
-TEST(MembershipTest, AWipedDiskJoinsAgainAndFoundsNothing)
+TEST(MembershipTest, HostWithWipedDiskRejoinsAndFoundsNoGroup)
 {
     RegistryCluster cluster(6);
     ASSERT_TRUE(allVote(cluster, 6));
@@ -72,7 +72,7 @@
     EXPECT_TRUE(cluster.runUntil([&] { return statusOf(cluster.call(lost, "GET", "/v1/plan")) == 200; }));
 }
 
-TEST(MembershipTest, AHostAtANewAddressTakesThePlaceOfOneThatIsGone)
+TEST(MembershipTest, NewHostReplacesALostOne)
 {
     RegistryCluster cluster(6);
     ASSERT_TRUE(allVote(cluster, 6));
@@ -85,7 +85,7 @@
     EXPECT_EQ(statusOf(cluster.order("PUT", "/v1/plan", planText(1), "0")), 200);
 }
 
-TEST(MembershipTest, AHostThatStaysAwayStopsCounting)
+TEST(MembershipTest, HostThatStaysDownLosesItsVote)
 {
     RegistryCluster cluster(6);
     ASSERT_TRUE(allVote(cluster, 6));
@@ -109,14 +109,14 @@
     EXPECT_EQ(cluster.call(0, "GET", path)->body.find("10.0.1.1:80"), std::string::npos);
 }
 
-TEST(MembershipTest, LookUpsLeaveOutGatewaysThatAreSilentTooLong)
+TEST(MembershipTest, LookUpsOmitUnresponsiveGateways)
 {
     RegistryCluster cluster(3);
     const std::string path = "/v1/entry?name=h&region=south&zone=south-a";
     const auto isNamed = [&](size_t number, const std::string& address) {
         return cluster.call(number, "GET", path)->body.find(address) != std::string::npos;
     };
-    // Host 0 is in region north: gateways of south send it heartbeats each 1.2 s, those of north each 0.3 s.
+    // Host 0 is in region north: gateways of south send it heartbeats every 1.2 s, those of north every 0.3 s.
     cluster.gatewayHeartbeat(0, "10.0.1.3:7000", "south-a", "south");
     cluster.run(2s);
     cluster.gatewayHeartbeat(0, "10.0.1.4:7000", "south-a", "south");
@@ -132,7 +132,7 @@
     EXPECT_EQ(cluster.call(0, "GET", nearPath)->body.find("10.0.1.1:80"), std::string::npos);
 }
 
-TEST(MembershipTest, ASlowTargetHasOneGatewayOfItsZone)
+TEST(MembershipTest, SlowStartTargetIsAssignedOneGatewayOfItsZone)
 {
     RegistryCluster cluster(3);
     cluster.gatewayHeartbeat(0, "10.0.1.1:7000", "north-a", "north");
@@ -140,18 +140,18 @@
     (void)cluster.takeSentTo("10.0.1.3:7000");
     EXPECT_EQ(statusOf(cluster.call(0, "POST", "/v1/targets/t-1/heartbeat", heartbeatText(1, "ready", 3000))), 200);
     cluster.run(300ms);
-    std::vector<HostId> told;
+    std::vector<HostId> records;
     for (const model::Message& message : cluster.takeSentTo("10.0.1.3:7000")) {
         if (const auto* report = std::get_if<model::TargetReport>(&message)) {
             for (const model::TargetRecord& record : report->targets)
-                told.push_back(record.slowStartHost);
+                records.push_back(record.slowStartHost);
         }
     }
-    ASSERT_FALSE(told.empty());
-    EXPECT_EQ(told.back(), HostId("10.0.1.1:7000"));
+    ASSERT_FALSE(records.empty());
+    EXPECT_EQ(records.back(), HostId("10.0.1.1:7000"));
 }
 
-TEST(MembershipTest, AnOlderHeartbeatChangesNothing)
+TEST(MembershipTest, OlderHeartbeatIsIgnored)
 {
     RegistryCluster cluster(3);
     cluster.gatewayHeartbeat(0, "10.0.1.1:7000", "north-a", "north");
@@ -169,20 +169,20 @@
 
 namespace {
 
-/// Records of a target that a gateway was sent since the last look.
-std::vector<model::TargetRecord> takeTold(RegistryCluster& cluster, const std::string& gateway)
+/// Target records sent to a gateway since the last call.
+std::vector<model::TargetRecord> takeRecords(RegistryCluster& cluster, const std::string& gateway)
 {
-    std::vector<model::TargetRecord> told;
+    std::vector<model::TargetRecord> records;
     for (const model::Message& message : cluster.takeSentTo(gateway)) {
         if (const auto* report = std::get_if<model::TargetReport>(&message))
-            told.insert(told.end(), report->targets.begin(), report->targets.end());
+            records.insert(records.end(), report->targets.begin(), report->targets.end());
     }
-    return told;
+    return records;
 }
 
-class TargetNewsTest : public testing::Test {
+class TargetUpdateTest : public testing::Test {
 protected:
-    TargetNewsTest() { heartbeats(); }
+    TargetUpdateTest() { heartbeats(); }
 
     void heartbeats() { cluster_.gatewayHeartbeat(0, Gateway, "north-a", "north"); }
     void report(const std::string& target, uint64_t sequence)
@@ -199,55 +199,55 @@
 
 } // namespace
 
-TEST_F(TargetNewsTest, ATargetIsToldOnceAndAgainOnlyWhenItChanges)
+TEST_F(TargetUpdateTest, TargetIsReportedOnceAndOnChange)
 {
     report("t-1", 1);
-    EXPECT_EQ(takeTold(cluster_, Gateway).size(), 1U);
+    EXPECT_EQ(takeRecords(cluster_, Gateway).size(), 1U);
     for (uint64_t sequence = 2; sequence < 15; ++sequence) {
         report("t-1", sequence);
         cluster_.run(700ms);
     }
-    EXPECT_TRUE(takeTold(cluster_, Gateway).empty());
+    EXPECT_TRUE(takeRecords(cluster_, Gateway).empty());
 }
 
-TEST_F(TargetNewsTest, ATargetThatCalledElsewhereInBetweenIsToldAgain)
+TEST_F(TargetUpdateTest, TargetThatReportedToAnotherHostIsReportedAgain)
 {
     report("t-1", 1);
-    (void)takeTold(cluster_, Gateway);
+    (void)takeRecords(cluster_, Gateway);
     report("t-1", 4);
-    EXPECT_EQ(takeTold(cluster_, Gateway).size(), 1U);
+    EXPECT_EQ(takeRecords(cluster_, Gateway).size(), 1U);
 }
 
-TEST_F(TargetNewsTest, ASilentTargetIsToldForTheLastTimeWithItsAge)
+TEST_F(TargetUpdateTest, UnresponsiveTargetIsReportedOnceMoreWithItsAge)
 {
     report("t-1", 1);
-    (void)takeTold(cluster_, Gateway);
+    (void)takeRecords(cluster_, Gateway);
     for (int i = 0; i < 13; ++i) {
         cluster_.run(1s);
         heartbeats();
     }
-    const std::vector<model::TargetRecord> told = takeTold(cluster_, Gateway);
-    ASSERT_EQ(told.size(), 1U);
-    EXPECT_GE(told[0].age, model::TargetSilenceLimit);
+    const std::vector<model::TargetRecord> records = takeRecords(cluster_, Gateway);
+    ASSERT_EQ(records.size(), 1U);
+    EXPECT_GE(records[0].age, model::TargetSilenceLimit);
     report("t-1", 2);
-    EXPECT_EQ(takeTold(cluster_, Gateway).size(), 1U); // Heard of once more.
+    EXPECT_EQ(takeRecords(cluster_, Gateway).size(), 1U); // It is reported again.
 }
 
-TEST_F(TargetNewsTest, TargetsOfAZoneThatWasOpenedAgainAreToldWithTheirNextHeartbeat)
+TEST_F(TargetUpdateTest, TargetsAreReportedAgainAfterTheirZonesEvacuationEnds)
 {
     ASSERT_TRUE(cluster_.runUntil([&] { return cluster_.leader().has_value(); }));
     report("t-1", 1);
     ASSERT_EQ(statusOf(cluster_.order("PUT", "/v1/evacuations/north-a")), 200);
     ASSERT_EQ(statusOf(cluster_.order("DELETE", "/v1/evacuations/north-a")), 200);
-    (void)takeTold(cluster_, Gateway);
+    (void)takeRecords(cluster_, Gateway);
     report("t-1", 2);
-    EXPECT_EQ(takeTold(cluster_, Gateway).size(), 1U);
+    EXPECT_EQ(takeRecords(cluster_, Gateway).size(), 1U);
 }
 
 namespace {
 
-/// All registry hosts lost their processes and are back; targets have not reported again.
-class TargetRecallTest : public TargetNewsTest {
+/// Restarts of all registry hosts, before targets report again.
+class TargetRecallTest : public TargetUpdateTest {
 protected:
     TargetRecallTest()
     {
@@ -260,93 +260,93 @@
             cluster_.kill(number);
         for (size_t number = 0; number < Hosts; ++number)
             cluster_.start(number, false);
-        (void)takeTold(cluster_, Gateway);
+        (void)takeRecords(cluster_, Gateway);
     }
-    /// What the gateway hears of a target within half a second of the hosts' return.
-    std::vector<model::TargetRecord> toldAfterRestart()
+    /// Records sent to the gateway within half a second after the hosts' restart.
+    std::vector<model::TargetRecord> recordsAfterRestart()
     {
         constexpr int Steps = 10;
         for (int i = 0; i < Steps; ++i) {
             cluster_.run(50ms);
             heartbeats();
         }
-        return takeTold(cluster_, Gateway);
+        return takeRecords(cluster_, Gateway);
     }
     static constexpr size_t Hosts = 3;
-    static constexpr Duration WrittenAfter = 2500ms;
+    static constexpr Duration SoftStateDelay = 2500ms; ///< Until the soft state is written.
 };
 
 } // namespace
 
-// The pattern: all hosts lost power; targets report again within 1.5 s only. Gateways that wait for that refuse what
-// the targets would serve: 154 refusals a restart of nine gateways, until 1.5 s after the leader stood.
-TEST_F(TargetRecallTest, GatewaysHearOfTargetsBeforeTheyReportAgain)
+// Guards against refusals after a power loss of all hosts: targets report again only within 1.5 s. Gateways that waited
+// for these reports refused 154 requests per restart of nine gateways, until 1.5 s after the leader was elected.
+TEST_F(TargetRecallTest, GatewaysReceiveRecalledTargetsBeforeTheyReport)
 {
     report("t-1", 1);
-    cluster_.run(WrittenAfter);
+    cluster_.run(SoftStateDelay);
     restartAll();
-    const std::vector<model::TargetRecord> told = toldAfterRestart();
-    ASSERT_EQ(told.size(), 1U);
-    EXPECT_EQ(told[0].target, TargetId("t-1"));
-    EXPECT_TRUE(told[0].isRecalled);
+    const std::vector<model::TargetRecord> records = recordsAfterRestart();
+    ASSERT_EQ(records.size(), 1U);
+    EXPECT_EQ(records[0].target, TargetId("t-1"));
+    EXPECT_TRUE(records[0].isRecalled);
     report("t-1", 2);
-    const std::vector<model::TargetRecord> reported = takeTold(cluster_, Gateway);
+    const std::vector<model::TargetRecord> reported = takeRecords(cluster_, Gateway);
     ASSERT_EQ(reported.size(), 1U);
     EXPECT_FALSE(reported[0].isRecalled);
 }
 
-TEST_F(TargetRecallTest, ATargetThatLeftIsNotRecalled)
+TEST_F(TargetRecallTest, RetiredTargetIsNotRecalled)
 {
     report("t-1", 1);
-    cluster_.run(WrittenAfter);
-    // Retired in the log; the disk's word of it is older.
+    cluster_.run(SoftStateDelay);
+    // The target is retired in the log; the soft state on the disk is older.
     ASSERT_EQ(statusOf(cluster_.order("POST", "/v1/targets/t-1/leave")), 200);
     restartAll();
-    EXPECT_TRUE(toldAfterRestart().empty());
+    EXPECT_TRUE(recordsAfterRestart().empty());
 }
 
-TEST_F(TargetRecallTest, TargetsOfAClosedZoneAreNotRecalledAfterItIsOpenedAgain)
+TEST_F(TargetRecallTest, TargetsOfEvacuatedZoneAreNotRecalled)
 {
     report("t-1", 1);
     ASSERT_EQ(statusOf(cluster_.order("PUT", "/v1/evacuations/north-a")), 200);
-    cluster_.run(WrittenAfter);
+    cluster_.run(SoftStateDelay);
     ASSERT_EQ(statusOf(cluster_.order("DELETE", "/v1/evacuations/north-a")), 200);
-    restartAll(); // They may have turned slow: their next report tells.
-    EXPECT_TRUE(toldAfterRestart().empty());
+    restartAll(); // The targets may be in a slow start; their next report shows it.
+    EXPECT_TRUE(recordsAfterRestart().empty());
 }
 
-TEST_F(TargetRecallTest, ATargetThatNeverReportsAgainIsForgotten)
+TEST_F(TargetRecallTest, RecalledTargetThatNeverReportsExpires)
 {
     report("t-1", 1);
-    cluster_.run(WrittenAfter);
+    cluster_.run(SoftStateDelay);
     restartAll();
-    EXPECT_EQ(toldAfterRestart().size(), 1U);
+    EXPECT_EQ(recordsAfterRestart().size(), 1U);
     for (int i = 0; i < 13; ++i) {
         cluster_.run(1s);
         heartbeats();
     }
-    const std::vector<model::TargetRecord> last = takeTold(cluster_, Gateway);
+    const std::vector<model::TargetRecord> last = takeRecords(cluster_, Gateway);
     ASSERT_EQ(last.size(), 1U);
     EXPECT_GE(last[0].age, model::TargetSilenceLimit);
 }
 
-TEST_F(TargetNewsTest, ADelayedHeartbeatDoesNotBringBackTheStartBefore)
+TEST_F(TargetUpdateTest, DelayedHeartbeatDoesNotRestoreADisplacedTarget)
 {
     report("old", 5);
     report("new", 1); // At the same address.
-    (void)takeTold(cluster_, Gateway);
+    (void)takeRecords(cluster_, Gateway);
     report("old", 6);
-    EXPECT_TRUE(takeTold(cluster_, Gateway).empty());
+    EXPECT_TRUE(takeRecords(cluster_, Gateway).empty());
     report("new", 2);
     cluster_.gatewayHeartbeat(0, "10.0.1.9:7000", "north-a", "north");
     cluster_.run(300ms);
-    const std::vector<model::TargetRecord> all = takeTold(cluster_, "10.0.1.9:7000");
+    const std::vector<model::TargetRecord> all = takeRecords(cluster_, "10.0.1.9:7000");
     ASSERT_EQ(all.size(), 1U);
     EXPECT_EQ(all[0].target, TargetId("new"));
 }
 
-/// Guards against targets that leave while a gateway is silent and its link stands: nothing would tell it later.
-TEST(MembershipTest, AGatewayThatWasSilentOnAStandingLinkIsToldWhoLeftMeanwhile)
+/// Guards against a gateway that never learns of targets which left while it sent no heartbeats on an open link.
+TEST(MembershipTest, UnresponsiveGatewayWithOpenLinkReceivesRetirements)
 {
     const std::string gateway = "10.1.0.1:7000";
     RegistryCluster cluster(6);
@@ -361,12 +361,12 @@
     cluster.run(500ms);
     cluster.gatewayHeartbeat(registry, gateway, "north-a", "north");
     cluster.run(500ms);
-    bool isTold = false;
+    bool isRetirementSent = false;
     for (const model::Message& message : cluster.takeSentTo(gateway)) {
         const auto* report = std::get_if<model::TargetReport>(&message);
-        isTold = isTold || (report != nullptr && !report->retired.empty());
+        isRetirementSent = isRetirementSent || (report != nullptr && !report->retired.empty());
     }
-    EXPECT_TRUE(isTold);
+    EXPECT_TRUE(isRetirementSent);
 }
 
 } // namespace saltvane::registry::test
