--- a/src/registry/tests/ordertests.cpp
+++ b/src/registry/tests/ordertests.cpp
@@ -15,7 +15,7 @@
 
 } // namespace
 
-TEST(OrderTest, APlanIsReplacedOnItsBaseOnly)
+TEST(OrderTest, PlanIsReplacedOnlyOnItsBaseVersion)
 {
     RegistryCluster cluster(6);
     EXPECT_EQ(statusOf(cluster.order("PUT", "/v1/plan", planText(3), "0")), 200);
@@ -24,7 +24,7 @@
     EXPECT_EQ(cluster.order("GET", "/v1/plan")->body, planText(5));
 }
 
-TEST(OrderTest, OfTwoPlansOnOneBaseOneWins)
+TEST(OrderTest, OneOfTwoPlansWithTheSameBaseWins)
 {
     RegistryCluster cluster(6);
     ASSERT_EQ(statusOf(cluster.order("PUT", "/v1/plan", planText(1), "0")), 200);
@@ -34,7 +34,7 @@
     EXPECT_EQ(cluster.order("GET", "/v1/plan")->body, planText(2));
 }
 
-TEST(OrderTest, APlanSentAgainGetsItsAnswerAgainAlsoAfterALaterOne)
+TEST(OrderTest, ResentPlanGetsTheSameAnswerEvenAfterALaterPlan)
 {
     RegistryCluster cluster(6);
     ASSERT_EQ(statusOf(cluster.order("PUT", "/v1/plan", planText(1), "0")), 200);
@@ -44,7 +44,7 @@
     EXPECT_EQ(cluster.order("GET", "/v1/plan")->body, planText(2));
 }
 
-TEST(OrderTest, AnInvalidPlanIsRefusedWithItsPlaces)
+TEST(OrderTest, InvalidPlanIsRefusedWithLocations)
 {
     RegistryCluster cluster(3);
     const auto unknown = cluster.order("PUT", "/v1/plan", planText(1, "nobody"), "0");
@@ -55,7 +55,7 @@
     EXPECT_EQ(statusOf(cluster.order("PUT", "/v1/plan", planText(4, "quotes") + " ", "4")), 400);
 }
 
-TEST(OrderTest, AFollowerNamesTheLeader)
+TEST(OrderTest, FollowerRedirectsToTheLeader)
 {
     RegistryCluster cluster(6);
     ASSERT_EQ(statusOf(cluster.order("PUT", "/v1/plan", planText(1), "0")), 200);
@@ -70,7 +70,7 @@
     EXPECT_TRUE(namesLeader);
 }
 
-TEST(OrderTest, AHostThatIsCutOffAnswersNoPlanAndTakesNoOrder)
+TEST(OrderTest, CutOffHostServesNoPlanAndAcceptsNoOrder)
 {
     RegistryCluster cluster(6);
     ASSERT_EQ(statusOf(cluster.order("PUT", "/v1/plan", planText(1), "0")), 200);
@@ -87,7 +87,7 @@
     EXPECT_EQ(cluster.call(leader, "GET", "/v1/plan")->body, planText(3));
 }
 
-TEST(OrderTest, ALeavingTargetIsAcknowledgedOnceRetiredAndAllGatewaysAreTold)
+TEST(OrderTest, LeavingTargetIsAcknowledgedOnceRetiredAndReportedToGateways)
 {
     RegistryCluster cluster(6);
     ASSERT_EQ(statusOf(cluster.order("PUT", "/v1/plan", planText(1), "0")), 200);
@@ -96,18 +96,18 @@
     EXPECT_EQ(statusOf(cluster.order("POST", "/v1/targets/t-1/heartbeat", heartbeatText(1))), 200);
     EXPECT_EQ(statusOf(cluster.order("POST", "/v1/targets/t-1/heartbeat", heartbeatText(2, "leaving"))), 200);
     cluster.run(300ms);
-    size_t told = 0;
+    size_t reports = 0;
     for (const model::Message& message : cluster.takeSentTo("10.0.1.1:7000")) {
         const auto* report = std::get_if<model::TargetReport>(&message);
         if (report != nullptr && !report->retired.empty())
-            ++told;
+            ++reports;
     }
-    EXPECT_EQ(told, 6U); // From every host, so that the loss of one changes nothing.
-    // Any host acknowledges it now, also without the log.
+    EXPECT_EQ(reports, 6U); // From every host, so that the loss of one has no effect.
+    // Now any host acknowledges it, without the log.
     EXPECT_EQ(statusOf(cluster.call((*cluster.leader() + 1) % 6, "POST", "/v1/targets/t-1/leave")), 200);
 }
 
-TEST(OrderTest, EvacuationsAreOrders)
+TEST(OrderTest, EvacuationsAreAcceptedAsOrders)
 {
     RegistryCluster cluster(6);
     ASSERT_EQ(statusOf(cluster.order("PUT", "/v1/plan", planText(1), "0")), 200);
@@ -117,8 +117,8 @@
     EXPECT_EQ(statusOf(cluster.order("POST", "/v1/evacuations/north-a")), 404);
 }
 
-/// Guards against a registry host that ends with its memory over the limit since many plans are sent to it at once.
-TEST(OrderTest, BodiesOfManyCallsAtOnceAreBounded)
+/// Guards against a registry host that exceeds its memory limit and is killed when many plans are sent to it at once.
+TEST(OrderTest, MemoryOfConcurrentCallBodiesIsBounded)
 {
     RegistryCluster cluster(3);
     ASSERT_TRUE(cluster.runUntil([&] { return cluster.leader().has_value(); }));
--- a/src/registry/tests/registrycluster.cpp
+++ b/src/registry/tests/registrycluster.cpp
@@ -92,38 +92,38 @@
         .recovered = host.disk,
         .softState = host.softState,
         .seed = lastIncarnation_});
-    host.wanted.clear();
-    host.sleepsSince.reset();
+    host.wantedLinks.clear();
+    host.suspendedSince.reset();
     host.clockLag = Duration::zero();
-    host.heldBack.clear();
+    host.deferredEvents.clear();
 }
 
 void RegistryCluster::wake(size_t number)
 {
     Host& host = hosts_.at(number);
-    if (!host.sleepsSince)
+    if (!host.suspendedSince)
         return;
     if (doClocksStandStill)
-        host.clockLag += now_ - *host.sleepsSince;
-    host.sleepsSince.reset();
-    hearHeldBack(number);
+        host.clockLag += now_ - *host.suspendedSince;
+    host.suspendedSince.reset();
+    runDeferred(number);
 }
 
-void RegistryCluster::hear(size_t number, std::function<void()> event)
+void RegistryCluster::deferOrRun(size_t number, std::function<void()> event)
 {
     Host& host = hosts_.at(number);
-    if (isAway(host) || !host.heldBack.empty())
-        host.heldBack.push_back(std::move(event));
+    if (isUnavailable(host) || !host.deferredEvents.empty())
+        host.deferredEvents.push_back(std::move(event));
     else
         event();
 }
 
-void RegistryCluster::hearHeldBack(size_t number)
+void RegistryCluster::runDeferred(size_t number)
 {
     Host& host = hosts_.at(number);
-    while (!host.heldBack.empty() && !isAway(host)) {
-        const std::function<void()> event = std::move(host.heldBack.front());
-        host.heldBack.pop_front();
+    while (!host.deferredEvents.empty() && !isUnavailable(host)) {
+        const std::function<void()> event = std::move(host.deferredEvents.front());
+        host.deferredEvents.pop_front();
         event();
     }
 }
@@ -146,7 +146,7 @@
 {
     Host& host = hosts_.at(number);
     host.processor.work(now_, [&] { host.core->handle(std::move(event), clockOf(number)); });
-    pump(number);
+    processActions(number);
 }
 
 size_t RegistryCluster::addHost()
@@ -159,15 +159,15 @@
 void RegistryCluster::kill(size_t number)
 {
     hosts_.at(number).core.reset();
-    hosts_.at(number).heldBack.clear();
+    hosts_.at(number).deferredEvents.clear();
     std::erase_if(links_, [&](const auto& link) {
-        const bool isOf = link.first == number || link.second == number;
+        const bool isAffected = link.first == number || link.second == number;
         const size_t other = link.first == number ? link.second : link.first;
-        if (isOf && hosts_[other].core)
+        if (isAffected && hosts_[other].core)
             hosts_[other].core->handle(host::LinkDown {.host = idOf(number)}, clockOf(other));
-        return isOf;
+        return isAffected;
     });
-    std::erase_if(inFlight_, [&](const InFlight& one) { return one.from == number || one.to == number; });
+    std::erase_if(inFlight_, [&](const InFlight& packet) { return packet.from == number || packet.to == number; });
 }
 
 void RegistryCluster::wipeDisk(size_t number)
@@ -180,11 +180,11 @@
 {
     for (size_t from = 0; from < hosts_.size(); ++from) {
         for (size_t to = 0; to < hosts_.size(); ++to) {
-            const bool isCut = isolated_.contains(from) != isolated_.contains(to) || hosts_[from].sleepsSince
-                || hosts_[to].sleepsSince;
+            const bool isCut = isolated_.contains(from) != isolated_.contains(to) || hosts_[from].suspendedSince
+                || hosts_[to].suspendedSince;
             const std::pair link = std::minmax(from, to);
             if (isCut || from == to || !hosts_[from].core || !hosts_[to].core || links_.contains(link)
-                || !hosts_[from].wanted.contains(idOf(to)))
+                || !hosts_[from].wantedLinks.contains(idOf(to)))
                 continue;
             links_.insert(link);
             hosts_[from].core->handle(
@@ -215,7 +215,7 @@
     return control::StorageDone {.sequence = write.sequence};
 }
 
-void RegistryCluster::carry(size_t from, const model::Outgoing& outgoing)
+void RegistryCluster::sendMessage(size_t from, const model::Outgoing& outgoing)
 {
     const std::optional<size_t> to = numberOf(outgoing.to);
     if (!to) {
@@ -237,25 +237,25 @@
         .message = outgoing.message});
 }
 
-void RegistryCluster::pump(size_t number)
+void RegistryCluster::processActions(size_t number)
 {
     Host& host = hosts_[number];
-    for (bool isBusy = true; isBusy && host.core;) {
-        isBusy = false;
+    for (bool hasActions = true; hasActions && host.core;) {
+        hasActions = false;
         for (host::Action& action : host.core->takeActions()) {
-            isBusy = true;
+            hasActions = true;
             if (const auto* writing = std::get_if<control::StorageWrite>(&action)) {
                 const host::Event result = write(host, *writing);
                 host.processor.work(now_, [&] { host.core->handle(result, clockOf(number)); });
             } else if (auto* softState = std::get_if<host::SoftStateWrite>(&action)) {
                 host.softState = std::move(softState->state);
             } else if (const auto* links = std::get_if<host::LinksWanted>(&action)) {
-                host.wanted.clear();
+                host.wantedLinks.clear();
                 for (const auto& peer : links->peers)
-                    host.wanted.insert(peer.host);
+                    host.wantedLinks.insert(peer.host);
             } else if (auto* request = std::get_if<requests::Action>(&action)) {
                 if (const auto* outgoing = std::get_if<model::Outgoing>(request))
-                    carry(number, *outgoing);
+                    sendMessage(number, *outgoing);
                 else if (auto* response = std::get_if<requests::HttpRespond>(request))
                     responses_.insert_or_assign(response->handle, std::move(*response));
             }
@@ -265,20 +265,21 @@
 
 void RegistryCluster::deliver()
 {
-    std::vector<InFlight> due;
-    std::erase_if(inFlight_, [&](InFlight& one) {
-        if (one.at > now_ || isAway(hosts_[one.to]))
+    std::vector<InFlight> dueMessages;
+    std::erase_if(inFlight_, [&](InFlight& packet) {
+        if (packet.at > now_ || isUnavailable(hosts_[packet.to]))
             return false;
-        due.push_back(std::move(one));
+        dueMessages.push_back(std::move(packet));
         return true;
     });
-    for (InFlight& one : due) {
-        const bool isCut = isolated_.contains(one.from) != isolated_.contains(one.to);
-        if (isCut || !hosts_[one.to].core)
+    for (InFlight& packet : dueMessages) {
+        const bool isCut = isolated_.contains(packet.from) != isolated_.contains(packet.to);
+        if (isCut || !hosts_[packet.to].core)
             continue;
-        handle(one.to,
-            model::Delivery {
-                .from = idOf(one.from), .fromIncarnation = one.fromIncarnation, .message = std::move(one.message)});
+        handle(packet.to,
+            model::Delivery {.from = idOf(packet.from),
+                .fromIncarnation = packet.fromIncarnation,
+                .message = std::move(packet.message)});
     }
 }
 
@@ -293,11 +294,11 @@
             Host& host = hosts_[number];
             if (!host.core)
                 continue;
-            hearHeldBack(number);
-            if (isAway(host))
+            runDeferred(number);
+            if (isUnavailable(host))
                 continue;
             host.processor.work(now_, [&] { host.core->tick(clockOf(number)); });
-            pump(number);
+            processActions(number);
         }
         if (onStep)
             onStep();
@@ -319,7 +320,7 @@
     const std::string& body, const std::string& planBase)
 {
     const requests::HttpHandle handle {++lastHandle_};
-    hear(number, [this, number, handle, method, path, body, planBase] {
+    deferOrRun(number, [this, number, handle, method, path, body, planBase] {
         this->handle(number,
             requests::HttpEvent(requests::HttpRequestStarted {.handle = handle,
                 .method = method,
@@ -349,10 +350,10 @@
 
 void RegistryCluster::post(size_t number, const std::string& path, const std::string& body)
 {
-    if (hosts_.at(number).sleepsSince)
-        return; // Targets report elsewhere then.
-    unread_.push_back(startCall(number, "POST", path, body, {}));
-    std::erase_if(unread_, [this](requests::HttpHandle handle) { return responses_.erase(handle) > 0; });
+    if (hosts_.at(number).suspendedSince)
+        return; // Targets report to another host.
+    ignoredCalls_.push_back(startCall(number, "POST", path, body, {}));
+    std::erase_if(ignoredCalls_, [this](requests::HttpHandle handle) { return responses_.erase(handle) > 0; });
 }
 
 std::optional<RegistryCluster::Answer> RegistryCluster::call(size_t number, const std::string& method,
@@ -389,19 +390,19 @@
         model::Delivery {
             .from = HostId(host), .fromIncarnation = {1}, .message = model::Heartbeat {.record = std::move(record)}},
         now_);
-    pump(number);
+    processActions(number);
 }
 
 void RegistryCluster::linkUpTo(size_t number, const HostId& gateway, Incarnation incarnation)
 {
-    hear(number, [this, number, gateway, incarnation] {
+    deferOrRun(number, [this, number, gateway, incarnation] {
         handle(number, host::LinkUp {.host = gateway, .incarnation = incarnation});
     });
 }
 
 void RegistryCluster::linkDownTo(size_t number, const HostId& gateway)
 {
-    hear(number, [this, number, gateway] { handle(number, host::LinkDown {.host = gateway}); });
+    deferOrRun(number, [this, number, gateway] { handle(number, host::LinkDown {.host = gateway}); });
 }
 
 void RegistryCluster::deliverFromGateway(
@@ -409,7 +410,7 @@
 {
     if (!hosts_.at(number).core)
         return;
-    hear(number, [this, number, gateway, incarnation, message = std::move(message)] {
+    deferOrRun(number, [this, number, gateway, incarnation, message = std::move(message)] {
         handle(number, model::Delivery {.from = gateway, .fromIncarnation = incarnation, .message = message});
     });
 }
@@ -422,10 +423,10 @@
 std::optional<size_t> RegistryCluster::leader() const
 {
     for (size_t number = 0; number < hosts_.size(); ++number) {
-        if (!hosts_[number].core || isolated_.contains(number) || hosts_[number].sleepsSince)
+        if (!hosts_[number].core || isolated_.contains(number) || hosts_[number].suspendedSince)
             continue;
-        const host::HostStatus seen = status(number);
-        if (seen.isControlLeader && seen.isControlCurrent)
+        const host::HostStatus hostStatus = status(number);
+        if (hostStatus.isControlLeader && hostStatus.isControlCurrent)
             return number;
     }
     return std::nullopt;
--- a/src/registry/tests/registrycluster.h
+++ b/src/registry/tests/registrycluster.h
@@ -19,23 +19,23 @@
 
 namespace saltvane::registry::test {
 
-/// Registry hosts over a network in virtual time. Disks sync at once and keep what was written; messages take a fixed
-/// time. Gateways are played by the test.
+/// Registry hosts on a simulated network, in virtual time. Disks sync at once and lose nothing; messages take a fixed
+/// time. The test acts as the gateways.
 class RegistryCluster {
 public:
-    /// The first three of the hosts are everyone's seeds.
+    /// The first three hosts are the seeds of all.
     explicit RegistryCluster(size_t hosts);
 
-    Duration messageDelay = 5ms; ///< Of all messages between hosts, one way.
-    /// How long a link between two hosts takes to carry a message; its next message waits. Empty: no time.
+    Duration messageDelay = 5ms; ///< One way, between hosts.
+    /// The time that a link between two hosts is busy with a message; later messages queue behind it. Empty: zero.
     std::function<Duration(const model::Message&)> sendingTime;
-    /// Takes what host `from` sends to a gateway. Empty: kept for takeSentTo.
+    /// Handles what host `from` sends to a gateway. Empty: messages are stored for takeSentTo().
     std::function<void(size_t from, const model::Outgoing&)> toGateway;
     std::function<void()> onStep; ///< After each step of virtual time.
 
-    /// Of a core, for each host from now on: what is sent to a busy host waits. 0: work takes no time.
+    /// Gives each host this fraction of a core from now on: messages to a busy host wait. 0: work takes no time.
     void setProcessorShare(double share);
-    /// The longest time that any host was busy without a pause.
+    /// The longest continuous busy period of any host.
     [[nodiscard]] Duration longestBusy() const;
 
     void run(Duration duration);
@@ -44,32 +44,32 @@
     void start(size_t number, bool isFirstStart);
     void kill(size_t number);
     void wipeDisk(size_t number);
-    /// Refuses every write, or has room again.
+    /// A full disk refuses every write.
     void setDiskFull(size_t number, bool isFull) { hosts_.at(number).isDiskFull = isFull; }
-    /// A further host, at an address of its own.
+    /// Adds and starts a host at a new address; returns its number.
     size_t addHost();
-    /// Its machine sleeps: it does nothing, and what is sent to it waits. Its clock has counted that time as it wakes.
-    void suspend(size_t number) { hosts_.at(number).sleepsSince = now_; }
+    /// Suspends the machine: it does nothing, and messages to it wait. Its clock includes that time when it resumes.
+    void suspend(size_t number) { hosts_.at(number).suspendedSince = now_; }
     void wake(size_t number);
-    /// As with a clock that stands still while its machine sleeps, from the next wake on.
+    /// Simulates clocks that stop while the machine is suspended, from the next wake() on.
     bool doClocksStandStill = false;
     void isolate(size_t number) { isolated_.insert(number); }
     void heal() { isolated_.clear(); }
 
-    /// Status and body of the answer to a call; none within `limit`.
     struct Answer {
         int status = 0;
         std::string body;
         std::vector<model::Header> headers;
     };
+    /// None if the call isn't answered within `limit`.
     std::optional<Answer> call(size_t number, const std::string& method, const std::string& path,
         const std::string& body = {}, const std::string& planBase = {}, Duration limit = 2s);
-    /// The first part of a call's body; the rest doesn't come. False: it was refused at once, with when to return.
+    /// Sends only the first part of a call's body. False: the call was refused at once with a Retry-After header.
     [[nodiscard]] bool beginCall(size_t number, const std::string& method, const std::string& path,
         const std::string& part, uint64_t bodyLength);
-    /// The same without waiting for an answer.
+    /// POSTs without waiting for an answer.
     void post(size_t number, const std::string& path, const std::string& body);
-    /// At the leader.
+    /// Waits for a leader and calls it.
     std::optional<Answer> order(const std::string& method, const std::string& path, const std::string& body = {},
         const std::string& planBase = {});
 
@@ -79,9 +79,9 @@
     void linkUpTo(size_t number, const HostId& gateway, Incarnation incarnation);
     void linkDownTo(size_t number, const HostId& gateway);
     void deliverFromGateway(size_t number, const HostId& gateway, Incarnation incarnation, model::Message message);
-    /// How long links were busy with messages to this host, all together.
+    /// The total time that links were busy with messages to this host.
     [[nodiscard]] Duration sendingTimeTo(size_t number) { return sendingTimeTo_[number]; }
-    /// Messages that hosts sent to this gateway since the last call.
+    /// Messages sent to this gateway since the last call.
     [[nodiscard]] std::vector<model::Message> takeSentTo(const std::string& host);
 
     [[nodiscard]] std::optional<size_t> leader() const;
@@ -102,10 +102,10 @@
         control::RecoveredState disk;
         host::SoftState softState;
         bool isDiskFull = false;
-        std::set<HostId> wanted;
-        std::optional<Timestamp> sleepsSince;
-        Duration clockLag {}; ///< Of sleeps that its clock has not counted.
-        std::deque<std::function<void()>> heldBack; ///< What it hears from gateways and callers once it can.
+        std::set<HostId> wantedLinks;
+        std::optional<Timestamp> suspendedSince;
+        Duration clockLag {}; ///< Suspended time that its clock doesn't include.
+        std::deque<std::function<void()>> deferredEvents; ///< From gateways and callers, until the host is available.
         VirtualProcessor processor;
     };
     struct InFlight {
@@ -119,16 +119,19 @@
     requests::HttpHandle startCall(size_t number, const std::string& method, const std::string& path,
         const std::string& body, const std::string& planBase);
     [[nodiscard]] Timestamp clockOf(size_t number) const { return now_ - hosts_.at(number).clockLag; }
-    /// Asleep, or busy with what it heard before.
-    [[nodiscard]] bool isAway(const Host& host) const { return host.sleepsSince || host.processor.isBusy(now_); }
-    /// Now, or as soon as it wakes or has done what came before.
-    void hear(size_t number, std::function<void()> event);
-    void hearHeldBack(size_t number);
+    /// Suspended, or busy with earlier work.
+    [[nodiscard]] bool isUnavailable(const Host& host) const
+    {
+        return host.suspendedSince || host.processor.isBusy(now_);
+    }
+    /// Runs the event now, or in order as soon as the host is available.
+    void deferOrRun(size_t number, std::function<void()> event);
+    void runDeferred(size_t number);
     void handle(size_t number, host::Event event);
-    void pump(size_t number);
-    /// What the host is told of it.
+    void processActions(size_t number);
+    /// Returns the resulting event.
     [[nodiscard]] static host::Event write(Host& host, const control::StorageWrite& write);
-    void carry(size_t from, const model::Outgoing& outgoing);
+    void sendMessage(size_t from, const model::Outgoing& outgoing);
     void deliver();
     void connect();
 
@@ -136,12 +139,12 @@
     std::vector<Host> hosts_;
     std::vector<InFlight> inFlight_;
     std::set<std::pair<size_t, size_t>> links_;
-    std::map<std::pair<size_t, size_t>, Timestamp> busyUntil_; ///< Of the links, by sender and receiver.
+    std::map<std::pair<size_t, size_t>, Timestamp> busyUntil_; ///< Links, by sender and receiver.
     std::map<size_t, Duration> sendingTimeTo_;
     std::set<size_t> isolated_;
     std::map<HostId, std::vector<model::Message>> sentToGateways_;
     std::map<requests::HttpHandle, requests::HttpRespond> responses_;
-    std::vector<requests::HttpHandle> unread_; ///< Calls whose answers nobody waits for.
+    std::vector<requests::HttpHandle> ignoredCalls_; ///< Calls whose answers are discarded.
     uint64_t lastHandle_ = 0;
     uint64_t lastIncarnation_ = 0;
     uint64_t lastReplica_ = 0;
@@ -151,7 +154,7 @@
 /// A plan with one route and one service.
 [[nodiscard]] std::string planText(uint64_t version, const std::string& service = "quotes");
 [[nodiscard]] std::string heartbeatText(uint64_t sequence, const std::string& state = "ready", int slowMs = 0);
-/// The same of a target that tells its start.
+/// Heartbeat of a target that reports its start time, which is its incarnation.
 [[nodiscard]] std::string heartbeatOfStart(uint64_t startedMs, uint64_t sequence, const std::string& state = "ready");
 
 } // namespace saltvane::registry::test
--- a/src/registry/tests/suspectrelaytests.cpp
+++ b/src/registry/tests/suspectrelaytests.cpp
@@ -14,73 +14,73 @@
 constexpr Timestamp Now {1000s};
 constexpr model::RequestDigest Digest {.high = 1, .low = 2};
 
-/// What a gateway tells of one end, so many tenths of a second ago.
-model::SuspectRequest wordOf(uint64_t target, int tenthsAgo)
+/// A gateway's report of one target failure, this many tenths of a second ago.
+model::SuspectRequest failureReport(uint64_t target, int tenthsAgo)
 {
     return {.digest = Digest,
         .ends = {{.target = target, .sentAgo = tenthsAgo * 100ms + 50ms, .endedAgo = tenthsAgo * 100ms}}};
 }
 
-void note(SuspectRelay& relay, const model::SuspectRequest& word) { relay.note({&word, 1}, Now); }
+void record(SuspectRelay& relay, const model::SuspectRequest& request) { relay.record({&request, 1}, Now); }
 
 } // namespace
 
-TEST(SuspectRelayTest, OfAFirstEndNobodyElseHears)
+TEST(SuspectRelayTest, FirstFailureIsNotForwarded)
 {
     SuspectRelay relay;
-    note(relay, wordOf(1, 9));
-    const SuspectRelay::News news = relay.takeNews(Now);
-    EXPECT_TRUE(news.verdicts.requests.empty());
-    EXPECT_TRUE(news.rest.requests.empty());
+    record(relay, failureReport(1, 9));
+    const SuspectRelay::Updates updates = relay.takeUpdates(Now);
+    EXPECT_TRUE(updates.verdicts.requests.empty());
+    EXPECT_TRUE(updates.unconfirmed.requests.empty());
 }
 
-TEST(SuspectRelayTest, EndsThatTwoGatewaysSawAreToldTogetherAndBlameWithAThird)
+TEST(SuspectRelayTest, TwoFailuresAreForwardedTogetherAndAThirdBlames)
 {
     SuspectRelay relay;
-    note(relay, wordOf(1, 9));
-    note(relay, wordOf(2, 6));
-    const SuspectRelay::News suspected = relay.takeNews(Now);
-    ASSERT_EQ(suspected.rest.requests.size(), 1U);
-    EXPECT_EQ(suspected.rest.requests[0].ends.size(), 2U);
-    note(relay, wordOf(3, 3));
-    const SuspectRelay::News blamed = relay.takeNews(Now);
+    record(relay, failureReport(1, 9));
+    record(relay, failureReport(2, 6));
+    const SuspectRelay::Updates suspected = relay.takeUpdates(Now);
+    ASSERT_EQ(suspected.unconfirmed.requests.size(), 1U);
+    EXPECT_EQ(suspected.unconfirmed.requests[0].ends.size(), 2U);
+    record(relay, failureReport(3, 3));
+    const SuspectRelay::Updates blamed = relay.takeUpdates(Now);
     ASSERT_EQ(blamed.verdicts.requests.size(), 1U);
     EXPECT_TRUE(blamed.verdicts.requests[0].isBlamed);
     EXPECT_EQ(relay.blamedCount(), 1U);
     ASSERT_EQ(relay.verdicts(Now).size(), 1U);
 }
 
-TEST(SuspectRelayTest, NewsThatComesAgainIsNotPassedOnAgain)
+TEST(SuspectRelayTest, RepeatedReportIsNotForwardedAgain)
 {
     SuspectRelay relay;
     for (int i = 0; i < 3; ++i) {
-        note(relay, wordOf(1, 9));
-        note(relay, wordOf(2, 6));
+        record(relay, failureReport(1, 9));
+        record(relay, failureReport(2, 6));
     }
-    EXPECT_EQ(relay.takeNews(Now).rest.requests.size(), 1U);
-    note(relay, wordOf(2, 6));
-    EXPECT_TRUE(relay.takeNews(Now).rest.requests.empty());
+    EXPECT_EQ(relay.takeUpdates(Now).unconfirmed.requests.size(), 1U);
+    record(relay, failureReport(2, 6));
+    EXPECT_TRUE(relay.takeUpdates(Now).unconfirmed.requests.empty());
 }
 
-TEST(SuspectRelayTest, ThoseWhoHeardOfEndsHearThatTheyAreVoid)
+TEST(SuspectRelayTest, VoidedFailuresAreForwardedToTheSameReceivers)
 {
     SuspectRelay relay;
-    note(relay, wordOf(1, 9));
-    note(relay, wordOf(2, 6));
-    (void)relay.takeNews(Now);
-    note(relay, {.digest = Digest, .epoch = 1});
-    const SuspectRelay::News news = relay.takeNews(Now);
-    ASSERT_EQ(news.rest.requests.size(), 1U);
-    EXPECT_TRUE(news.rest.requests[0].ends.empty());
-    note(relay, {.digest = {.high = 7, .low = 7}, .epoch = 1});
-    EXPECT_TRUE(relay.takeNews(Now).rest.requests.empty());
+    record(relay, failureReport(1, 9));
+    record(relay, failureReport(2, 6));
+    (void)relay.takeUpdates(Now);
+    record(relay, {.digest = Digest, .epoch = 1});
+    const SuspectRelay::Updates updates = relay.takeUpdates(Now);
+    ASSERT_EQ(updates.unconfirmed.requests.size(), 1U);
+    EXPECT_TRUE(updates.unconfirmed.requests[0].ends.empty());
+    record(relay, {.digest = {.high = 7, .low = 7}, .epoch = 1});
+    EXPECT_TRUE(relay.takeUpdates(Now).unconfirmed.requests.empty());
 }
 
-TEST(SuspectRelayTest, ManyVerdictsAreToldInReportsThatFitIntoAFrame)
+TEST(SuspectRelayTest, VerdictsAreSplitIntoReportsThatFitAFrame)
 {
     SuspectRelay relay;
     for (uint64_t number = 1; number <= 600; ++number)
-        note(relay, {.digest = {.high = number, .low = number}, .isBlamed = true});
+        record(relay, {.digest = {.high = number, .low = number}, .isBlamed = true});
     EXPECT_EQ(relay.verdicts(Now).size(), 3U);
 }
 
--- a/src/registry/tests/targetbooktests.cpp
+++ b/src/registry/tests/targetbooktests.cpp
@@ -24,7 +24,7 @@
             .slots = 3,
             .sequence = ++sequence_};
     }
-    /// Whether something that is kept over a restart changed with this.
+    /// Whether `change` changed a record that is recalled after a restart.
     template <typename Change> bool changes(const Change& change)
     {
         const uint64_t before = book_.changes();
@@ -40,20 +40,20 @@
 
 } // namespace
 
-TEST_F(TargetBookChangesTest, ReportsThatSayNothingNewChangeNothingThatIsKept)
+TEST_F(TargetBookChangesTest, UnchangedReportsDoNotChangeRecallableRecords)
 {
     EXPECT_TRUE(changes([this] { (void)book_.note(recordOf("t-1", 1), now_); }));
     EXPECT_FALSE(changes([this] { (void)book_.note(recordOf("t-1", 1), now_); }));
     EXPECT_FALSE(changes([this] { (void)book_.takeNews({}, now_); }));
 }
 
-TEST_F(TargetBookChangesTest, WhateverIsKeptOfTargetsIsAChange)
+TEST_F(TargetBookChangesTest, ChangesOfRecallableRecordsAreCounted)
 {
     (void)book_.note(recordOf("t-1", 1), now_);
     EXPECT_TRUE(changes([this] { (void)book_.note(recordOf("t-2", 2), now_); }));
     EXPECT_TRUE(changes([this] { (void)book_.note(recordOf("t-2", 3), now_); })) << "another address";
-    EXPECT_TRUE(changes([this] { book_.wantWordOf(Zone, now_); }));
-    EXPECT_TRUE(changes([this] { (void)book_.note(recordOf("t-1", 1), now_); })) << "word that was awaited";
+    EXPECT_TRUE(changes([this] { book_.awaitReportsOf(Zone, now_); }));
+    EXPECT_TRUE(changes([this] { (void)book_.note(recordOf("t-1", 1), now_); })) << "a report that was awaited";
     model::TargetRecord slow = recordOf("t-1", 1);
     slow.slowStartLeft = 3s;
     EXPECT_TRUE(changes([&] { (void)book_.note(slow, now_); }));
@@ -62,7 +62,7 @@
     EXPECT_TRUE(changes([&] { (void)book_.note(leaving, now_); }));
     EXPECT_TRUE(changes([this] { book_.remove({.target = TargetId("t-1")}); }));
     now_ += model::TargetSilenceLimit;
-    EXPECT_TRUE(changes([this] { (void)book_.takeNews({}, now_); })) << "one that fell silent";
+    EXPECT_TRUE(changes([this] { (void)book_.takeNews({}, now_); })) << "a target that became unresponsive";
 }
 
 } // namespace saltvane::registry::test
--- a/src/registry/tests/virtualprocessor.h
+++ b/src/registry/tests/virtualprocessor.h
@@ -13,19 +13,19 @@
 
 namespace saltvane::registry::test {
 
-/// A host's part of a core, in virtual time: its work takes what it took of this thread's processor time, divided by
-/// the part. Meanwhile the host does nothing else.
+/// A host's share of a core, in virtual time: a task takes the processor time that it took of this thread, divided by
+/// the share. The host does nothing else during a task.
 class VirtualProcessor {
 public:
-    /// `share`: of a core; 0: work takes no time.
+    /// `share`: fraction of a core; 0: tasks take no time.
     explicit VirtualProcessor(double share = 0)
         : share_(share)
     {
     }
 
-    /// Beyond the present step of virtual time.
+    /// Whether it is busy beyond the present step of virtual time.
     [[nodiscard]] bool isBusy(Timestamp now) const { return now + Step <= busyUntil_; }
-    /// The longest time that it was busy without a pause.
+    /// The longest continuous busy period.
     [[nodiscard]] Duration longestBusy() const { return longestBusy_; }
     void work(Timestamp now, const std::function<void()>& task)
     {
