--- a/src/registry/internal/nearestgateways.cpp
+++ b/src/registry/internal/nearestgateways.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 /// Higher is nearer. The hash distributes the gateways over registry hosts at the same distance.
-std::pair<int, size_t> rankOf(const Gateway& host, const Gateway& gateway)
+std::pair<int, size_t> rankOf(const HostLocation& host, const HostLocation& gateway)
 {
     const int proximity = host.zone == gateway.zone ? 2 : static_cast<int>(host.region == gateway.region);
     return {proximity, std::hash<std::string> {}(host.host.value() + gateway.host.value())};
@@ -22,30 +22,31 @@
 
 } // namespace
 
-NearestGateways::NearestGateways(Gateway self)
+NearestGateways::NearestGateways(HostLocation self)
     : self_(std::move(self))
 {
 }
 
 const std::vector<HostId>& NearestGateways::update(
-    std::span<const Gateway> registryHosts, std::span<const Gateway> gateways)
+    std::span<const HostLocation> registryHosts, std::span<const HostLocation> gateways)
 {
     if (std::ranges::equal(registryHosts, registryHosts_) && std::ranges::equal(gateways, gateways_))
         return nearest_;
     registryHosts_.assign(registryHosts.begin(), registryHosts.end());
     gateways_.assign(gateways.begin(), gateways.end());
     nearest_.clear();
-    for (const Gateway& gateway : gateways_) {
+    for (const HostLocation& gateway : gateways_) {
         if (isNearestTo(gateway))
             nearest_.push_back(gateway.host);
     }
     return nearest_;
 }
 
-bool NearestGateways::isNearestTo(const Gateway& gateway) const
+bool NearestGateways::isNearestTo(const HostLocation& gateway) const
 {
     const auto own = rankOf(self_, gateway);
-    return std::ranges::none_of(registryHosts_, [&](const Gateway& other) { return rankOf(other, gateway) > own; });
+    return std::ranges::none_of(
+        registryHosts_, [&](const HostLocation& other) { return rankOf(other, gateway) > own; });
 }
 
 } // namespace saltvane::registry
--- a/src/registry/internal/nearestgateways.h
+++ b/src/registry/internal/nearestgateways.h
@@ -17,17 +17,17 @@
 /// Recomputed only when a registry host or gateway appears or disappears.
 class NearestGateways {
 public:
-    explicit NearestGateways(Gateway self);
+    explicit NearestGateways(HostLocation self);
 
     [[nodiscard]] const std::vector<HostId>& update(
-        std::span<const Gateway> registryHosts, std::span<const Gateway> gateways);
+        std::span<const HostLocation> registryHosts, std::span<const HostLocation> gateways);
 
 private:
-    [[nodiscard]] bool isNearestTo(const Gateway& gateway) const;
+    [[nodiscard]] bool isNearestTo(const HostLocation& gateway) const;
 
-    Gateway self_;
-    std::vector<Gateway> registryHosts_;
-    std::vector<Gateway> gateways_;
+    HostLocation self_;
+    std::vector<HostLocation> registryHosts_;
+    std::vector<HostLocation> gateways_;
     std::vector<HostId> nearest_;
 };
 
--- a/src/registry/internal/registrycore.h
+++ b/src/registry/internal/registrycore.h
@@ -97,7 +97,7 @@
         return retired_.contains(targetIncarnation);
     }
     /// The incarnations that the log retired since the last call. Adds them to retired_.
-    [[nodiscard]] std::vector<model::TargetIncarnation> takeNewlyRetired();
+    [[nodiscard]] std::vector<model::TargetIncarnation> drainNewlyRetired();
 
     /// Applies what the log committed, and moves the outputs of all components to actions_.
     void collectOutputs(Timestamp now);
@@ -126,8 +126,8 @@
     void sendVerdicts(const HostId& host, Timestamp now);
     [[nodiscard]] model::TargetReport makeReport() const;
     /// Gateways with a recent heartbeat; the result is cached for ReportInterval.
-    [[nodiscard]] std::span<const Gateway> gateways(Timestamp now) const;
-    [[nodiscard]] std::vector<Gateway> liveRegistryHosts(Timestamp now) const;
+    [[nodiscard]] std::span<const HostLocation> gateways(Timestamp now) const;
+    [[nodiscard]] std::vector<HostLocation> liveRegistryHosts(Timestamp now) const;
     void updateLinks();
     void logLeaderChange(Timestamp now);
     void log(host::LogSeverity severity, std::string text);
@@ -167,7 +167,7 @@
     std::set<HostId>
         loadSyncedGateways_; ///< Gateways that receive load sums from this host, and were sent all of them.
     Timestamp nextLoadsAt_ {};
-    mutable std::vector<Gateway> gateways_; ///< As of gatewaysUpdatedAt_.
+    mutable std::vector<HostLocation> gateways_; ///< As of gatewaysUpdatedAt_.
     mutable std::optional<Timestamp> gatewaysUpdatedAt_;
     HostId leader_;
     host::RoutedLinks links_;
--- a/src/registry/internal/registryreports.cpp
+++ b/src/registry/internal/registryreports.cpp
@@ -40,11 +40,11 @@
     }
     evacuated_ = {routing.evacuatedZones.begin(), routing.evacuatedZones.end()};
     model::TargetReport report = makeReport();
-    report.retired = takeNewlyRetired();
+    report.retired = drainNewlyRetired();
     sendToGateways(report);
 }
 
-std::vector<model::TargetIncarnation> RegistryCore::takeNewlyRetired()
+std::vector<model::TargetIncarnation> RegistryCore::drainNewlyRetired()
 {
     const auto& inOrder = replica_->routing().retiredTargets.inOrder();
     const auto known = std::find(inOrder.rbegin(), inOrder.rend(), lastRetired_);
@@ -65,7 +65,7 @@
 {
     std::vector<HostId> receivers;
     if (replica_->isLeader()) {
-        for (const Gateway& gateway : gateways(now))
+        for (const HostLocation& gateway : gateways(now))
             receivers.push_back(gateway.host);
     }
     bundleReplica_->setPeers({}, receivers, now);
@@ -107,9 +107,9 @@
         send({{.to = gateway, .message = message}});
 }
 
-std::vector<Gateway> RegistryCore::liveRegistryHosts(Timestamp now) const
+std::vector<HostLocation> RegistryCore::liveRegistryHosts(Timestamp now) const
 {
-    std::vector<Gateway> live;
+    std::vector<HostLocation> live;
     for (const membership::RosterEntry* entry : roster_->heardWithin(LivenessTimeout, now)) {
         const model::HostRecord& record = entry->record;
         if (record.isControl)
@@ -137,7 +137,7 @@
 
 void RegistryCore::reportSuspects(Timestamp now)
 {
-    const SuspectRelay::Updates updates = suspects_.takeUpdates(now);
+    const SuspectRelay::Updates updates = suspects_.drainUpdates(now);
     if (!updates.verdicts.requests.empty()) {
         log(host::LogSeverity::Warning,
             "event=verdicts_told count=" + std::to_string(updates.verdicts.requests.size())
@@ -152,7 +152,7 @@
     for (const model::SuspectReport& report : {updates.verdicts, updates.unconfirmed}) {
         if (report.requests.empty())
             continue;
-        for (const Gateway& host : liveRegistryHosts(now))
+        for (const HostLocation& host : liveRegistryHosts(now))
             send({{.to = host.host, .message = report}});
     }
 }
@@ -160,7 +160,7 @@
 void RegistryCore::accept(const model::TargetReport& report, const HostId& from, Timestamp now)
 {
     for (const model::TargetIncarnation& targetIncarnation : report.retired)
-        targets_.noteLeaving(targetIncarnation);
+        targets_.markLeaving(targetIncarnation);
     relayFromGateway(report, from, now);
 }
 
@@ -184,7 +184,7 @@
 {
     if (!syncedGateways_.contains(from))
         return;
-    for (const Gateway& host : liveRegistryHosts(now))
+    for (const HostLocation& host : liveRegistryHosts(now))
         send({{.to = host.host, .message = message}});
 }
 
@@ -192,7 +192,7 @@
 {
     if (!credits_)
         return;
-    const model::BackpressureReport report {.notices = credits_->targetLimits().takeUpdates(now)};
+    const model::BackpressureReport report {.notices = credits_->targetLimits().drainUpdates(now)};
     if (report.notices.empty())
         return;
     for (const HostId& gateway : nearestGateways_.update(liveRegistryHosts(now), gateways(now)))
@@ -231,7 +231,7 @@
     }
     credits_->setHolders(std::move(holders), replica_->proofAge(now), now);
     std::vector<CreditPool::Peer> peers;
-    for (const Gateway& host : liveRegistryHosts(now))
+    for (const HostLocation& host : liveRegistryHosts(now))
         peers.push_back({.host = host.host, .isSameRegion = host.region == settings_.region});
     credits_->setPeers(std::move(peers));
 }
@@ -243,7 +243,7 @@
         send({{.to = host, .message = std::move(report)}});
 }
 
-std::span<const Gateway> RegistryCore::gateways(Timestamp now) const
+std::span<const HostLocation> RegistryCore::gateways(Timestamp now) const
 {
     if (gatewaysUpdatedAt_ && now - *gatewaysUpdatedAt_ < ReportInterval)
         return gateways_;
--- a/src/registry/internal/suspectrelay.cpp
+++ b/src/registry/internal/suspectrelay.cpp
@@ -47,7 +47,7 @@
         std::erase_if(forwarded_, [&](const model::RequestDigest& digest) { return !table_.wordOf(digest, now); });
 }
 
-SuspectRelay::Updates SuspectRelay::takeUpdates(Timestamp now)
+SuspectRelay::Updates SuspectRelay::drainUpdates(Timestamp now)
 {
     Updates updates;
     if (outbox_.isEmpty())
--- a/src/registry/internal/suspectrelay.h
+++ b/src/registry/internal/suspectrelay.h
@@ -30,7 +30,7 @@
         model::SuspectReport verdicts; ///< For all hosts: requests that are blamed.
         model::SuspectReport unconfirmed; ///< For registry hosts, and the gateways to which this host is the nearest.
     };
-    [[nodiscard]] Updates takeUpdates(Timestamp now);
+    [[nodiscard]] Updates drainUpdates(Timestamp now);
     /// All verdicts, for a newly connected host, in reports that fit in a frame.
     [[nodiscard]] std::vector<model::SuspectReport> verdicts(Timestamp now) const;
     [[nodiscard]] size_t blamedCount() const { return table_.blamedCount(); }
--- a/src/registry/internal/targetbook.cpp
+++ b/src/registry/internal/targetbook.cpp
@@ -144,7 +144,7 @@
     erase(*other);
 }
 
-void TargetBook::noteLeaving(const model::TargetIncarnation& targetIncarnation)
+void TargetBook::markLeaving(const model::TargetIncarnation& targetIncarnation)
 {
     const auto found = entries_.find(targetIncarnation.target);
     if (found == entries_.end() || found->second.record.incarnation != targetIncarnation.incarnation)
@@ -225,12 +225,12 @@
     return awaited != reportsAwaitedSince_.end() && entry.reportedAt <= awaited->second;
 }
 
-HostId TargetBook::slowStartHostOf(const model::TargetRecord& record, std::span<const Gateway> gateways) const
+HostId TargetBook::slowStartHostOf(const model::TargetRecord& record, std::span<const HostLocation> gateways) const
 {
     const auto region = zones_.find(record.zone);
-    const Gateway* best = nullptr;
+    const HostLocation* best = nullptr;
     std::pair<int, uint64_t> bestRank {-1, 0};
-    for (const Gateway& gateway : gateways) {
+    for (const HostLocation& gateway : gateways) {
         const bool isSameRegion = region != zones_.end() && gateway.region == region->second;
         const int proximity = gateway.zone == record.zone ? 2 : static_cast<int>(isSameRegion);
         const std::pair rank {proximity, pairHash(gateway.host.value(), record.target.value())};
@@ -243,7 +243,7 @@
 }
 
 model::TargetRecord TargetBook::outgoingRecordOf(
-    const Entry& entry, std::span<const Gateway> gateways, Timestamp now) const
+    const Entry& entry, std::span<const HostLocation> gateways, Timestamp now) const
 {
     model::TargetRecord outgoing = entry.record;
     outgoing.age = now - entry.receivedAt;
@@ -256,13 +256,13 @@
 {
     while (!bySentAt_.empty() && now - bySentAt_.front().sentAt >= ResendInterval) {
         Entry& entry = bySentAt_.front();
-        entry.sentHook.unlink(); // markSent() links it again. Without a report since, it becomes unresponsive first.
+        entry.sentHook.unlink(); // markSent() links it again, unless the target has stopped reporting.
         if (entry.receivedAt > entry.sentAt)
             queueUpdate(entry);
     }
 }
 
-std::vector<model::TargetRecord> TargetBook::takeNews(std::span<const Gateway> gateways, Timestamp now)
+std::vector<model::TargetRecord> TargetBook::takeNews(std::span<const HostLocation> gateways, Timestamp now)
 {
     std::vector<model::TargetRecord> updates;
     // The age of the last record shows gateways that the target is unresponsive.
@@ -287,7 +287,7 @@
     return now - entry.receivedAt >= model::TargetSilenceLimit;
 }
 
-std::vector<model::TargetRecord> TargetBook::all(std::span<const Gateway> gateways, Timestamp now) const
+std::vector<model::TargetRecord> TargetBook::all(std::span<const HostLocation> gateways, Timestamp now) const
 {
     std::vector<model::TargetRecord> records;
     records.reserve(entries_.size());
--- a/src/registry/internal/targetbook.h
+++ b/src/registry/internal/targetbook.h
@@ -19,11 +19,11 @@
 namespace saltvane::registry {
 
 /// A gateway or registry host with its location.
-struct Gateway {
+struct HostLocation {
     HostId host;
     ZoneName zone;
     RegionName region;
-    auto operator<=>(const Gateway&) const = default;
+    auto operator<=>(const HostLocation&) const = default;
 };
 
 /// The targets that report to this host, and the updates of them to send to gateways. A report or a call of takeNews()
@@ -36,7 +36,7 @@
     /// replaced.
     bool note(model::TargetRecord record, Timestamp now);
     /// This incarnation announced in its answers that it leaves: overrides what it reports.
-    void noteLeaving(const model::TargetIncarnation& targetIncarnation);
+    void markLeaving(const model::TargetIncarnation& targetIncarnation);
     /// Removes the target if its incarnation is this one or an older one.
     void remove(const model::TargetIncarnation& targetIncarnation);
     /// The known incarnation of a target; 0 where the target is unknown or doesn't report its incarnation.
@@ -57,8 +57,8 @@
 
     /// Records that changed since the last call or are due to be sent again. Includes unresponsive targets a last time,
     /// and removes them.
-    [[nodiscard]] std::vector<model::TargetRecord> takeNews(std::span<const Gateway> gateways, Timestamp now);
-    [[nodiscard]] std::vector<model::TargetRecord> all(std::span<const Gateway> gateways, Timestamp now) const;
+    [[nodiscard]] std::vector<model::TargetRecord> takeNews(std::span<const HostLocation> gateways, Timestamp now);
+    [[nodiscard]] std::vector<model::TargetRecord> all(std::span<const HostLocation> gateways, Timestamp now) const;
 
 private:
     using Hook = boost::intrusive::list_member_hook<boost::intrusive::link_mode<boost::intrusive::auto_unlink>>;
@@ -84,8 +84,9 @@
     void markSent(Entry& entry, Timestamp now);
     void queueResends(Timestamp now);
     [[nodiscard]] model::TargetRecord outgoingRecordOf(
-        const Entry& entry, std::span<const Gateway> gateways, Timestamp now) const;
-    [[nodiscard]] HostId slowStartHostOf(const model::TargetRecord& record, std::span<const Gateway> gateways) const;
+        const Entry& entry, std::span<const HostLocation> gateways, Timestamp now) const;
+    [[nodiscard]] HostId slowStartHostOf(
+        const model::TargetRecord& record, std::span<const HostLocation> gateways) const;
     [[nodiscard]] Entry* atAddress(const model::Address& address) const;
     /// Whether another target with a newer incarnation is at the record's address.
     [[nodiscard]] bool isAddressOfNewerIncarnation(const model::TargetRecord& record) const;
--- a/src/registry/internal/targetlimits.cpp
+++ b/src/registry/internal/targetlimits.cpp
@@ -67,7 +67,7 @@
     return {.target = entry.target, .limit = entry.limit, .age = now - entry.reportedAt};
 }
 
-std::vector<model::BackpressureNotice> TargetLimits::takeUpdates(Timestamp now)
+std::vector<model::BackpressureNotice> TargetLimits::drainUpdates(Timestamp now)
 {
     std::vector<model::BackpressureNotice> updates;
     for (const model::LimitId& id : updated_)
--- a/src/registry/internal/targetlimits.h
+++ b/src/registry/internal/targetlimits.h
@@ -32,7 +32,7 @@
     [[nodiscard]] uint64_t version() const { return version_; }
 
     /// Limits that changed since the last call.
-    [[nodiscard]] std::vector<model::BackpressureNotice> takeUpdates(Timestamp now);
+    [[nodiscard]] std::vector<model::BackpressureNotice> drainUpdates(Timestamp now);
     /// All limits in force.
     [[nodiscard]] std::vector<model::BackpressureNotice> all(Timestamp now) const;
 
--- a/src/registry/internal/targetreports.cpp
+++ b/src/registry/internal/targetreports.cpp
@@ -39,7 +39,7 @@
         const auto rejectDuplicateKey = [&](int depth, Json::parse_event_t event, const Json& key) {
             const bool isField = depth == 1 && event == Json::parse_event_t::key;
             if (isField && !keys.insert(key.get<std::string>()).second)
-                add(key.get<std::string>(), "occurs twice");
+                add(key.get<std::string>(), "is listed twice");
             return true;
         };
         json_ = Json::parse(body, rejectDuplicateKey, false);
--- a/src/registry/tests/incarnationtests.cpp
+++ b/src/registry/tests/incarnationtests.cpp
@@ -43,7 +43,7 @@
     std::optional<model::TargetRecord> takeLastRecord()
     {
         std::optional<model::TargetRecord> last;
-        for (const model::Message& message : cluster_.takeSentTo(Gateway)) {
+        for (const model::Message& message : cluster_.drainSentTo(Gateway)) {
             const auto* report = std::get_if<model::TargetReport>(&message);
             if (report != nullptr && !report->targets.empty())
                 last = report->targets.back();
@@ -171,7 +171,7 @@
     constexpr uint64_t Seeds = 1000;
     for (uint64_t seed = 0; seed < Seeds; ++seed) {
         boost::random::mt19937_64 random(seed);
-        TargetBook book({{ZoneName("north-a"), RegionName("north")}});
+        TargetBook table({{ZoneName("north-a"), RegionName("north")}});
         std::map<TargetId, Incarnation> latest;
         Timestamp now {100s};
         for (int step = 0; step < 60; ++step) {
@@ -179,44 +179,44 @@
             const uint64_t start = 1 + random() % 4;
             const auto record = recordOf("t-" + std::to_string(target), start * 1000 + target, 1 + random() % 20,
                 static_cast<uint16_t>(9000 + target));
-            (void)book.note(record, now);
+            (void)table.note(record, now);
             latest[record.target] = std::max(latest[record.target], record.incarnation);
             now += std::chrono::milliseconds(random() % 50);
-            for (const model::TargetRecord& update : book.takeNews({}, now))
+            for (const model::TargetRecord& update : table.takeNews({}, now))
                 ASSERT_EQ(update.incarnation, latest.at(update.target)) << "seed " << seed << " step " << step;
         }
-        for (const model::TargetRecord& record : book.all({}, now))
+        for (const model::TargetRecord& record : table.all({}, now))
             ASSERT_EQ(record.incarnation, latest.at(record.target)) << "seed " << seed;
     }
 }
 
 TEST(TargetBookTest, AddressIsNotReassignedToOlderIncarnationOfAnotherTarget)
 {
-    TargetBook book({});
+    TargetBook table({});
     Timestamp now {100s};
     // The earlier one reported to another host before: this host never knew it.
-    EXPECT_TRUE(book.note(recordOf("later", 2000, 1, 9000), now));
-    EXPECT_FALSE(book.note(recordOf("earlier", 1000, 70, 9000), now));
-    ASSERT_EQ(book.all({}, now).size(), 1U);
-    EXPECT_EQ(book.all({}, now).front().target, TargetId("later"));
+    EXPECT_TRUE(table.note(recordOf("later", 2000, 1, 9000), now));
+    EXPECT_FALSE(table.note(recordOf("earlier", 1000, 70, 9000), now));
+    ASSERT_EQ(table.all({}, now).size(), 1U);
+    EXPECT_EQ(table.all({}, now).front().target, TargetId("later"));
     // Once the later one is unresponsive, its address is free.
     now += model::TargetSilenceLimit;
-    (void)book.takeNews({}, now);
-    EXPECT_TRUE(book.note(recordOf("earlier", 1000, 71, 9000), now));
+    (void)table.takeNews({}, now);
+    EXPECT_TRUE(table.note(recordOf("earlier", 1000, 71, 9000), now));
 }
 
 // When the clock steps back between two starts, the second has the lower incarnation: it is accepted only once the
 // first is unresponsive.
 TEST(TargetBookTest, IncarnationWithEarlierClockIsAcceptedAfterTheFormerTimesOut)
 {
-    TargetBook book({});
+    TargetBook table({});
     Timestamp now {100s};
-    EXPECT_TRUE(book.note(recordOf("t-1", 2000, 9, 9000), now));
+    EXPECT_TRUE(table.note(recordOf("t-1", 2000, 9, 9000), now));
     now += 1s;
-    EXPECT_FALSE(book.note(recordOf("t-1", 1000, 1, 9000), now));
+    EXPECT_FALSE(table.note(recordOf("t-1", 1000, 1, 9000), now));
     now += model::TargetSilenceLimit;
-    (void)book.takeNews({}, now);
-    EXPECT_TRUE(book.note(recordOf("t-1", 1000, 9, 9000), now));
+    (void)table.takeNews({}, now);
+    EXPECT_TRUE(table.note(recordOf("t-1", 1000, 9, 9000), now));
 }
 
 } // namespace saltvane::registry::test
--- a/src/registry/tests/loadboardtests.cpp
+++ b/src/registry/tests/loadboardtests.cpp
@@ -29,7 +29,7 @@
 TEST(LoadBoardTest, PublishedChangesTrackTheSums)
 {
     boost::random::mt19937_64 random(7);
-    LoadBoard board;
+    LoadBoard table;
     std::map<HostId, std::map<uint64_t, uint32_t>> reportedLoads;
     std::map<uint64_t, uint32_t> received;
     Timestamp now {100s};
@@ -49,9 +49,9 @@
                 loads.targets.push_back(target);
                 loads.inFlight.push_back(inFlight);
             }
-            board.record(host, loads, now);
+            table.record(host, loads, now);
         }
-        const model::TargetLoads changes = board.takeChanges();
+        const model::TargetLoads changes = table.takeChanges();
         entries += changes.targets.size();
         for (const auto& [target, inFlight] : asMap(changes))
             received[target] = inFlight;
@@ -72,42 +72,42 @@
 
 TEST(LoadBoardTest, LoadsOfExpiredGatewayAreRemoved)
 {
-    LoadBoard board;
+    LoadBoard table;
     const Timestamp now {100s};
-    board.record(HostId("a"), {.targets = {1}, .inFlight = {5}}, now);
-    board.record(HostId("b"), {.targets = {1}, .inFlight = {4}}, now + 3s);
-    EXPECT_EQ(asMap(board.takeChanges()).at(1), 9U);
-    board.expire(now + 4s);
-    EXPECT_EQ(asMap(board.takeChanges()).at(1), 4U);
-    board.expire(now + 8s);
-    EXPECT_EQ(asMap(board.takeChanges()).at(1), 0U);
-    EXPECT_TRUE(board.published().targets.empty());
+    table.record(HostId("a"), {.targets = {1}, .inFlight = {5}}, now);
+    table.record(HostId("b"), {.targets = {1}, .inFlight = {4}}, now + 3s);
+    EXPECT_EQ(asMap(table.takeChanges()).at(1), 9U);
+    table.expire(now + 4s);
+    EXPECT_EQ(asMap(table.takeChanges()).at(1), 4U);
+    table.expire(now + 8s);
+    EXPECT_EQ(asMap(table.takeChanges()).at(1), 0U);
+    EXPECT_TRUE(table.published().targets.empty());
 }
 
 TEST(LoadBoardTest, NewGatewayReceivesThePublishedSums)
 {
-    LoadBoard board;
-    board.record(HostId("a"), {.targets = {1, 2}, .inFlight = {5, 7}}, Timestamp {100s});
-    (void)board.takeChanges();
-    EXPECT_FALSE(board.published().isChange);
-    EXPECT_EQ(asMap(board.published()), (std::map<uint64_t, uint32_t> {{1, 5}, {2, 7}}));
+    LoadBoard table;
+    table.record(HostId("a"), {.targets = {1, 2}, .inFlight = {5, 7}}, Timestamp {100s});
+    (void)table.takeChanges();
+    EXPECT_FALSE(table.published().isChange);
+    EXPECT_EQ(asMap(table.published()), (std::map<uint64_t, uint32_t> {{1, 5}, {2, 7}}));
 }
 
 TEST(NearestGatewaysTest, EachGatewayIsAssignedToExactlyOneHost)
 {
     const auto host = [](int number, const char* zone, const char* region) {
-        return Gateway {
+        return HostLocation {
             .host = HostId("r-" + std::to_string(number)), .zone = ZoneName(zone), .region = RegionName(region)};
     };
-    const std::vector<Gateway> registry {host(0, "n-a", "n"), host(1, "n-b", "n"), host(2, "s-a", "s")};
-    std::vector<Gateway> gateways;
+    const std::vector<HostLocation> registry {host(0, "n-a", "n"), host(1, "n-b", "n"), host(2, "s-a", "s")};
+    std::vector<HostLocation> gateways;
     for (int i = 0; i < 60; ++i)
         gateways.push_back({.host = HostId("g-" + std::to_string(i)),
             .zone = ZoneName(i % 3 == 0 ? "n-a" : (i % 3 == 1 ? "n-c" : "w-a")),
             .region = RegionName(i % 3 == 2 ? "w" : "n")});
     std::map<HostId, int> hostsByGateway;
-    for (const Gateway& self : registry) {
-        std::vector<Gateway> others = registry;
+    for (const HostLocation& self : registry) {
+        std::vector<HostLocation> others = registry;
         std::erase(others, self);
         NearestGateways nearest(self);
         for (const HostId& gateway : nearest.update(others, gateways)) {
--- a/src/registry/tests/membershiptests.cpp
+++ b/src/registry/tests/membershiptests.cpp
@@ -137,11 +137,11 @@
     RegistryCluster cluster(3);
     cluster.gatewayHeartbeat(0, "10.0.1.1:7000", "north-a", "north");
     cluster.gatewayHeartbeat(0, "10.0.1.3:7000", "south-a", "south");
-    (void)cluster.takeSentTo("10.0.1.3:7000");
+    (void)cluster.drainSentTo("10.0.1.3:7000");
     EXPECT_EQ(statusOf(cluster.call(0, "POST", "/v1/targets/t-1/heartbeat", heartbeatText(1, "ready", 3000))), 200);
     cluster.run(300ms);
     std::vector<HostId> records;
-    for (const model::Message& message : cluster.takeSentTo("10.0.1.3:7000")) {
+    for (const model::Message& message : cluster.drainSentTo("10.0.1.3:7000")) {
         if (const auto* report = std::get_if<model::TargetReport>(&message)) {
             for (const model::TargetRecord& record : report->targets)
                 records.push_back(record.slowStartHost);
@@ -158,7 +158,7 @@
     EXPECT_EQ(statusOf(cluster.call(0, "POST", "/v1/targets/t-1/heartbeat", heartbeatText(7))), 200);
     EXPECT_EQ(statusOf(cluster.call(0, "POST", "/v1/targets/t-1/heartbeat", heartbeatText(6, "ready", 3000))), 200);
     cluster.run(300ms);
-    for (const model::Message& message : cluster.takeSentTo("10.0.1.1:7000")) {
+    for (const model::Message& message : cluster.drainSentTo("10.0.1.1:7000")) {
         if (const auto* report = std::get_if<model::TargetReport>(&message)) {
             for (const model::TargetRecord& record : report->targets)
                 EXPECT_EQ(record.sequence, 7U);
@@ -170,10 +170,10 @@
 namespace {
 
 /// Target records sent to a gateway since the last call.
-std::vector<model::TargetRecord> takeRecords(RegistryCluster& cluster, const std::string& gateway)
+std::vector<model::TargetRecord> drainRecords(RegistryCluster& cluster, const std::string& gateway)
 {
     std::vector<model::TargetRecord> records;
-    for (const model::Message& message : cluster.takeSentTo(gateway)) {
+    for (const model::Message& message : cluster.drainSentTo(gateway)) {
         if (const auto* report = std::get_if<model::TargetReport>(&message))
             records.insert(records.end(), report->targets.begin(), report->targets.end());
     }
@@ -202,35 +202,35 @@
 TEST_F(TargetUpdateTest, TargetIsReportedOnceAndOnChange)
 {
     report("t-1", 1);
-    EXPECT_EQ(takeRecords(cluster_, Gateway).size(), 1U);
+    EXPECT_EQ(drainRecords(cluster_, Gateway).size(), 1U);
     for (uint64_t sequence = 2; sequence < 15; ++sequence) {
         report("t-1", sequence);
         cluster_.run(700ms);
     }
-    EXPECT_TRUE(takeRecords(cluster_, Gateway).empty());
+    EXPECT_TRUE(drainRecords(cluster_, Gateway).empty());
 }
 
 TEST_F(TargetUpdateTest, TargetThatReportedToAnotherHostIsReportedAgain)
 {
     report("t-1", 1);
-    (void)takeRecords(cluster_, Gateway);
+    (void)drainRecords(cluster_, Gateway);
     report("t-1", 4);
-    EXPECT_EQ(takeRecords(cluster_, Gateway).size(), 1U);
+    EXPECT_EQ(drainRecords(cluster_, Gateway).size(), 1U);
 }
 
 TEST_F(TargetUpdateTest, UnresponsiveTargetIsReportedOnceMoreWithItsAge)
 {
     report("t-1", 1);
-    (void)takeRecords(cluster_, Gateway);
+    (void)drainRecords(cluster_, Gateway);
     for (int i = 0; i < 13; ++i) {
         cluster_.run(1s);
         heartbeats();
     }
-    const std::vector<model::TargetRecord> records = takeRecords(cluster_, Gateway);
+    const std::vector<model::TargetRecord> records = drainRecords(cluster_, Gateway);
     ASSERT_EQ(records.size(), 1U);
     EXPECT_GE(records[0].age, model::TargetSilenceLimit);
     report("t-1", 2);
-    EXPECT_EQ(takeRecords(cluster_, Gateway).size(), 1U); // It is reported again.
+    EXPECT_EQ(drainRecords(cluster_, Gateway).size(), 1U); // It is reported again.
 }
 
 TEST_F(TargetUpdateTest, TargetsAreReportedAgainAfterTheirZonesEvacuationEnds)
@@ -239,9 +239,9 @@
     report("t-1", 1);
     ASSERT_EQ(statusOf(cluster_.order("PUT", "/v1/evacuations/north-a")), 200);
     ASSERT_EQ(statusOf(cluster_.order("DELETE", "/v1/evacuations/north-a")), 200);
-    (void)takeRecords(cluster_, Gateway);
+    (void)drainRecords(cluster_, Gateway);
     report("t-1", 2);
-    EXPECT_EQ(takeRecords(cluster_, Gateway).size(), 1U);
+    EXPECT_EQ(drainRecords(cluster_, Gateway).size(), 1U);
 }
 
 namespace {
@@ -260,7 +260,7 @@
             cluster_.kill(number);
         for (size_t number = 0; number < Hosts; ++number)
             cluster_.start(number, false);
-        (void)takeRecords(cluster_, Gateway);
+        (void)drainRecords(cluster_, Gateway);
     }
     /// Records sent to the gateway within half a second after the hosts' restart.
     std::vector<model::TargetRecord> recordsAfterRestart()
@@ -270,7 +270,7 @@
             cluster_.run(50ms);
             heartbeats();
         }
-        return takeRecords(cluster_, Gateway);
+        return drainRecords(cluster_, Gateway);
     }
     static constexpr size_t Hosts = 3;
     static constexpr Duration SoftStateDelay = 2500ms; ///< Until the soft state is written.
@@ -290,7 +290,7 @@
     EXPECT_EQ(records[0].target, TargetId("t-1"));
     EXPECT_TRUE(records[0].isRecalled);
     report("t-1", 2);
-    const std::vector<model::TargetRecord> reported = takeRecords(cluster_, Gateway);
+    const std::vector<model::TargetRecord> reported = drainRecords(cluster_, Gateway);
     ASSERT_EQ(reported.size(), 1U);
     EXPECT_FALSE(reported[0].isRecalled);
 }
@@ -325,7 +325,7 @@
         cluster_.run(1s);
         heartbeats();
     }
-    const std::vector<model::TargetRecord> last = takeRecords(cluster_, Gateway);
+    const std::vector<model::TargetRecord> last = drainRecords(cluster_, Gateway);
     ASSERT_EQ(last.size(), 1U);
     EXPECT_GE(last[0].age, model::TargetSilenceLimit);
 }
@@ -334,13 +334,13 @@
 {
     report("old", 5);
     report("new", 1); // At the same address.
-    (void)takeRecords(cluster_, Gateway);
+    (void)drainRecords(cluster_, Gateway);
     report("old", 6);
-    EXPECT_TRUE(takeRecords(cluster_, Gateway).empty());
+    EXPECT_TRUE(drainRecords(cluster_, Gateway).empty());
     report("new", 2);
     cluster_.gatewayHeartbeat(0, "10.0.1.9:7000", "north-a", "north");
     cluster_.run(300ms);
-    const std::vector<model::TargetRecord> all = takeRecords(cluster_, "10.0.1.9:7000");
+    const std::vector<model::TargetRecord> all = drainRecords(cluster_, "10.0.1.9:7000");
     ASSERT_EQ(all.size(), 1U);
     EXPECT_EQ(all[0].target, TargetId("new"));
 }
@@ -356,13 +356,13 @@
     cluster.gatewayHeartbeat(registry, gateway, "north-a", "north");
     ASSERT_TRUE(cluster.order("POST", "/v1/targets/t-1/heartbeat", heartbeatText(1)));
     cluster.run(5s);
-    (void)cluster.takeSentTo(gateway);
+    (void)cluster.drainSentTo(gateway);
     ASSERT_TRUE(cluster.order("POST", "/v1/targets/t-1/heartbeat", heartbeatText(2, "leaving")));
     cluster.run(500ms);
     cluster.gatewayHeartbeat(registry, gateway, "north-a", "north");
     cluster.run(500ms);
     bool isRetirementSent = false;
-    for (const model::Message& message : cluster.takeSentTo(gateway)) {
+    for (const model::Message& message : cluster.drainSentTo(gateway)) {
         const auto* report = std::get_if<model::TargetReport>(&message);
         isRetirementSent = isRetirementSent || (report != nullptr && !report->retired.empty());
     }
--- a/src/registry/tests/ordertests.cpp
+++ b/src/registry/tests/ordertests.cpp
@@ -97,7 +97,7 @@
     EXPECT_EQ(statusOf(cluster.order("POST", "/v1/targets/t-1/heartbeat", heartbeatText(2, "leaving"))), 200);
     cluster.run(300ms);
     size_t reports = 0;
-    for (const model::Message& message : cluster.takeSentTo("10.0.1.1:7000")) {
+    for (const model::Message& message : cluster.drainSentTo("10.0.1.1:7000")) {
         const auto* report = std::get_if<model::TargetReport>(&message);
         if (report != nullptr && !report->retired.empty())
             ++reports;
--- a/src/registry/tests/registrycluster.cpp
+++ b/src/registry/tests/registrycluster.cpp
@@ -415,7 +415,7 @@
     });
 }
 
-std::vector<model::Message> RegistryCluster::takeSentTo(const std::string& host)
+std::vector<model::Message> RegistryCluster::drainSentTo(const std::string& host)
 {
     return std::exchange(sentToGateways_[HostId(host)], {});
 }
--- a/src/registry/tests/registrycluster.h
+++ b/src/registry/tests/registrycluster.h
@@ -29,7 +29,7 @@
     Duration messageDelay = 5ms; ///< One way, between hosts.
     /// The time that a link between two hosts is busy with a message; later messages queue behind it. Empty: zero.
     std::function<Duration(const model::Message&)> sendingTime;
-    /// Handles what host `from` sends to a gateway. Empty: messages are stored for takeSentTo().
+    /// Handles what host `from` sends to a gateway. Empty: messages are stored for drainSentTo().
     std::function<void(size_t from, const model::Outgoing&)> toGateway;
     std::function<void()> onStep; ///< After each step of virtual time.
 
@@ -82,7 +82,7 @@
     /// The total time that links were busy with messages to this host.
     [[nodiscard]] Duration sendingTimeTo(size_t number) { return sendingTimeTo_[number]; }
     /// Messages sent to this gateway since the last call.
-    [[nodiscard]] std::vector<model::Message> takeSentTo(const std::string& host);
+    [[nodiscard]] std::vector<model::Message> drainSentTo(const std::string& host);
 
     [[nodiscard]] std::optional<size_t> leader() const;
     [[nodiscard]] bool isRunning(size_t number) const { return hosts_.at(number).core != nullptr; }
--- a/src/registry/tests/suspectrelaytests.cpp
+++ b/src/registry/tests/suspectrelaytests.cpp
@@ -29,7 +29,7 @@
 {
     SuspectRelay relay;
     record(relay, failureReport(1, 9));
-    const SuspectRelay::Updates updates = relay.takeUpdates(Now);
+    const SuspectRelay::Updates updates = relay.drainUpdates(Now);
     EXPECT_TRUE(updates.verdicts.requests.empty());
     EXPECT_TRUE(updates.unconfirmed.requests.empty());
 }
@@ -39,11 +39,11 @@
     SuspectRelay relay;
     record(relay, failureReport(1, 9));
     record(relay, failureReport(2, 6));
-    const SuspectRelay::Updates suspected = relay.takeUpdates(Now);
+    const SuspectRelay::Updates suspected = relay.drainUpdates(Now);
     ASSERT_EQ(suspected.unconfirmed.requests.size(), 1U);
     EXPECT_EQ(suspected.unconfirmed.requests[0].ends.size(), 2U);
     record(relay, failureReport(3, 3));
-    const SuspectRelay::Updates blamed = relay.takeUpdates(Now);
+    const SuspectRelay::Updates blamed = relay.drainUpdates(Now);
     ASSERT_EQ(blamed.verdicts.requests.size(), 1U);
     EXPECT_TRUE(blamed.verdicts.requests[0].isBlamed);
     EXPECT_EQ(relay.blamedCount(), 1U);
@@ -57,9 +57,9 @@
         record(relay, failureReport(1, 9));
         record(relay, failureReport(2, 6));
     }
-    EXPECT_EQ(relay.takeUpdates(Now).unconfirmed.requests.size(), 1U);
+    EXPECT_EQ(relay.drainUpdates(Now).unconfirmed.requests.size(), 1U);
     record(relay, failureReport(2, 6));
-    EXPECT_TRUE(relay.takeUpdates(Now).unconfirmed.requests.empty());
+    EXPECT_TRUE(relay.drainUpdates(Now).unconfirmed.requests.empty());
 }
 
 TEST(SuspectRelayTest, VoidedFailuresAreForwardedToTheSameReceivers)
@@ -67,13 +67,13 @@
     SuspectRelay relay;
     record(relay, failureReport(1, 9));
     record(relay, failureReport(2, 6));
-    (void)relay.takeUpdates(Now);
+    (void)relay.drainUpdates(Now);
     record(relay, {.digest = Digest, .epoch = 1});
-    const SuspectRelay::Updates updates = relay.takeUpdates(Now);
+    const SuspectRelay::Updates updates = relay.drainUpdates(Now);
     ASSERT_EQ(updates.unconfirmed.requests.size(), 1U);
     EXPECT_TRUE(updates.unconfirmed.requests[0].ends.empty());
     record(relay, {.digest = {.high = 7, .low = 7}, .epoch = 1});
-    EXPECT_TRUE(relay.takeUpdates(Now).unconfirmed.requests.empty());
+    EXPECT_TRUE(relay.drainUpdates(Now).unconfirmed.requests.empty());
 }
 
 TEST(SuspectRelayTest, VerdictsAreSplitIntoReportsThatFitAFrame)
--- a/src/registry/tests/targetbooktests.cpp
+++ b/src/registry/tests/targetbooktests.cpp
@@ -27,42 +27,42 @@
     /// Whether `change` changed a record that is recalled after a restart.
     template <typename Change> bool changes(const Change& change)
     {
-        const uint64_t before = book_.changes();
+        const uint64_t before = table_.changes();
         now_ += 1s;
         change();
-        return book_.changes() != before;
+        return table_.changes() != before;
     }
 
     Timestamp now_ {100s};
     uint64_t sequence_ = 0;
-    TargetBook book_ {{{Zone, RegionName("north")}}};
+    TargetBook table_ {{{Zone, RegionName("north")}}};
 };
 
 } // namespace
 
 TEST_F(TargetBookChangesTest, UnchangedReportsDoNotChangeRecallableRecords)
 {
-    EXPECT_TRUE(changes([this] { (void)book_.note(recordOf("t-1", 1), now_); }));
-    EXPECT_FALSE(changes([this] { (void)book_.note(recordOf("t-1", 1), now_); }));
-    EXPECT_FALSE(changes([this] { (void)book_.takeNews({}, now_); }));
+    EXPECT_TRUE(changes([this] { (void)table_.note(recordOf("t-1", 1), now_); }));
+    EXPECT_FALSE(changes([this] { (void)table_.note(recordOf("t-1", 1), now_); }));
+    EXPECT_FALSE(changes([this] { (void)table_.takeNews({}, now_); }));
 }
 
 TEST_F(TargetBookChangesTest, ChangesOfRecallableRecordsAreCounted)
 {
-    (void)book_.note(recordOf("t-1", 1), now_);
-    EXPECT_TRUE(changes([this] { (void)book_.note(recordOf("t-2", 2), now_); }));
-    EXPECT_TRUE(changes([this] { (void)book_.note(recordOf("t-2", 3), now_); })) << "another address";
-    EXPECT_TRUE(changes([this] { book_.awaitReportsOf(Zone, now_); }));
-    EXPECT_TRUE(changes([this] { (void)book_.note(recordOf("t-1", 1), now_); })) << "a report that was awaited";
+    (void)table_.note(recordOf("t-1", 1), now_);
+    EXPECT_TRUE(changes([this] { (void)table_.note(recordOf("t-2", 2), now_); }));
+    EXPECT_TRUE(changes([this] { (void)table_.note(recordOf("t-2", 3), now_); })) << "another address";
+    EXPECT_TRUE(changes([this] { table_.awaitReportsOf(Zone, now_); }));
+    EXPECT_TRUE(changes([this] { (void)table_.note(recordOf("t-1", 1), now_); })) << "a report that was awaited";
     model::TargetRecord slow = recordOf("t-1", 1);
     slow.slowStartLeft = 3s;
-    EXPECT_TRUE(changes([&] { (void)book_.note(slow, now_); }));
+    EXPECT_TRUE(changes([&] { (void)table_.note(slow, now_); }));
     model::TargetRecord leaving = recordOf("t-1", 1);
     leaving.isLeaving = true;
-    EXPECT_TRUE(changes([&] { (void)book_.note(leaving, now_); }));
-    EXPECT_TRUE(changes([this] { book_.remove({.target = TargetId("t-1")}); }));
+    EXPECT_TRUE(changes([&] { (void)table_.note(leaving, now_); }));
+    EXPECT_TRUE(changes([this] { table_.remove({.target = TargetId("t-1")}); }));
     now_ += model::TargetSilenceLimit;
-    EXPECT_TRUE(changes([this] { (void)book_.takeNews({}, now_); })) << "a target that became unresponsive";
+    EXPECT_TRUE(changes([this] { (void)table_.takeNews({}, now_); })) << "a target that became unresponsive";
 }
 
 } // namespace saltvane::registry::test
--- a/src/registry/tests/targetlimitstests.cpp
+++ b/src/registry/tests/targetlimitstests.cpp
@@ -66,12 +66,12 @@
 {
     TargetLimits limits;
     (void)limits.record({.target = Start, .limit = 2.1, .age = 50ms}, Now);
-    EXPECT_EQ(limits.takeUpdates(Now).size(), 1U);
+    EXPECT_EQ(limits.drainUpdates(Now).size(), 1U);
     (void)limits.record({.target = Start, .limit = 2.1, .age = 10ms}, Now + 1s);
-    EXPECT_TRUE(limits.takeUpdates(Now + 1s).empty());
+    EXPECT_TRUE(limits.drainUpdates(Now + 1s).empty());
     EXPECT_EQ(limits.all(Now + 1s).size(), 1U);
     (void)limits.record({.target = Start}, Now + 2s);
-    EXPECT_EQ(limits.takeUpdates(Now + 2s).size(), 1U);
+    EXPECT_EQ(limits.drainUpdates(Now + 2s).size(), 1U);
     EXPECT_TRUE(limits.all(Now + 2s).empty());
 }
 
--- a/src/registry/tests/targetreporttests.cpp
+++ b/src/registry/tests/targetreporttests.cpp
@@ -125,7 +125,7 @@
     cluster.gatewayHeartbeat(0, "10.0.1.1:7000", "north-a", "north");
     ASSERT_EQ(statusOf(cluster.call(0, "POST", heartbeatPath("t-1"), heartbeatText(1))), 200);
     cluster.run(300ms);
-    (void)cluster.takeSentTo("10.0.1.1:7000");
+    (void)cluster.drainSentTo("10.0.1.1:7000");
     for (const MalformedReport& report : malformedReports()) {
         const auto answer = cluster.call(0, "POST", heartbeatPath("t-1"), report.body);
         ASSERT_EQ(statusOf(answer), 400) << report.description;
@@ -139,7 +139,7 @@
     EXPECT_EQ(statusOf(cluster.call(0, "POST", heartbeatPath(std::string(5000, 'x')), heartbeatText(1))), 400);
     EXPECT_EQ(statusOf(cluster.call(0, "PUT", "/v1/evacuations/\xff")), 404);
     cluster.run(300ms);
-    for (const model::Message& message : cluster.takeSentTo("10.0.1.1:7000")) {
+    for (const model::Message& message : cluster.drainSentTo("10.0.1.1:7000")) {
         const auto* report = std::get_if<model::TargetReport>(&message);
         EXPECT_TRUE(report == nullptr || report->targets.empty());
     }
