--- a/src/registry/internal/registrycalls.cpp
+++ b/src/registry/internal/registrycalls.cpp
@@ -24,7 +24,7 @@
 
 } // namespace
 
-void RegistryCore::run(requests::HttpHandle handle, const LookUpCall& call, OpenCall& /*open*/, Timestamp now)
+void RegistryCore::run(requests::HttpHandle handle, const LookUpCall& call, OpenCall& /*openCall*/, Timestamp now)
 {
     const Origin caller {.zone = call.zone, .region = call.region};
     const std::vector<model::Address> addresses = gatewaysFor(*roster_, settings_.region, caller, now);
@@ -38,15 +38,15 @@
     answer(jsonAnswer(handle, StatusOk, body.dump()));
 }
 
-void RegistryCore::run(requests::HttpHandle handle, const TargetHeartbeatCall& call, OpenCall& open, Timestamp now)
+void RegistryCore::run(requests::HttpHandle handle, const TargetHeartbeatCall& call, OpenCall& openCall, Timestamp now)
 {
-    Result<model::TargetRecord, Findings> heartbeat = readTargetHeartbeat(call.target, open.body);
+    Result<model::TargetRecord, Findings> heartbeat = readTargetHeartbeat(call.target, openCall.body);
     if (!heartbeat)
-        return refuseReport(handle, open, heartbeat.error(), now);
+        return refuseReport(handle, openCall, heartbeat.error(), now);
     if (!isServiceInPlan(heartbeat.value())) {
         Findings findings;
         findings.add({.place = {.source = "heartbeat"}, .field = "service", .message = "is not a service of the plan"});
-        return refuseReport(handle, open, findings, now);
+        return refuseReport(handle, openCall, findings, now);
     }
     counters_->add(model::Counter::Announcements);
     const model::TargetIncarnation targetIncarnation {
@@ -61,11 +61,11 @@
     answer(jsonAnswer(handle, StatusOk, "{}"));
 }
 
-void RegistryCore::run(requests::HttpHandle handle, const TargetLeaveCall& call, OpenCall& open, Timestamp now)
+void RegistryCore::run(requests::HttpHandle handle, const TargetLeaveCall& call, OpenCall& openCall, Timestamp now)
 {
-    const Result<Incarnation, Findings> leavingIncarnation = readTargetLeave(call.target, open.body);
+    const Result<Incarnation, Findings> leavingIncarnation = readTargetLeave(call.target, openCall.body);
     if (!leavingIncarnation)
-        return refuseReport(handle, open, leavingIncarnation.error(), now);
+        return refuseReport(handle, openCall, leavingIncarnation.error(), now);
     // Without an incarnation the call refers to the known one.
     const Incarnation known = targets_.incarnationOf(call.target);
     const model::TargetIncarnation targetIncarnation {.target = call.target,
@@ -77,10 +77,10 @@
 }
 
 void RegistryCore::refuseReport(
-    requests::HttpHandle handle, const OpenCall& open, const Findings& findings, Timestamp now)
+    requests::HttpHandle handle, const OpenCall& openCall, const Findings& findings, Timestamp now)
 {
     counters_->add(model::Counter::AnnouncementsRefused);
-    if (std::optional<host::LogLine> line = refusedReports_.note(open.path, findings, now))
+    if (std::optional<host::LogLine> line = refusedReports_.note(openCall.path, findings, now))
         actions_.emplace_back(*std::move(line));
     answer(findingsAnswer(handle, findings.items()));
 }
@@ -104,12 +104,12 @@
         control::RetireTarget {.target = targetIncarnation.target, .incarnation = targetIncarnation.incarnation}, now);
 }
 
-void RegistryCore::run(requests::HttpHandle handle, const ReplacePlanCall& call, OpenCall& open, Timestamp now)
+void RegistryCore::run(requests::HttpHandle handle, const ReplacePlanCall& call, OpenCall& openCall, Timestamp now)
 {
     log(host::LogSeverity::Info,
-        "event=plan_order base=" + std::to_string(call.base.value) + " bytes=" + std::to_string(open.body.size()));
+        "event=plan_order base=" + std::to_string(call.base.value) + " bytes=" + std::to_string(openCall.body.size()));
     planQueue_.add({.handle = handle,
-        .order = {.base = call.base, .version = statedVersion(open.body), .content = std::move(open.body)}});
+        .order = {.base = call.base, .version = statedVersion(openCall.body), .content = std::move(openCall.body)}});
     submitPreparedPlan(now);
 }
 
@@ -121,7 +121,7 @@
         orders_.submit(prepared->handle, std::move(prepared->order), now);
 }
 
-void RegistryCore::run(requests::HttpHandle handle, ReadPlanCall /*call*/, OpenCall& /*open*/, Timestamp now)
+void RegistryCore::run(requests::HttpHandle handle, ReadPlanCall /*call*/, OpenCall& /*openCall*/, Timestamp now)
 {
     const control::RoutingState& routing = replica_->routing();
     if (!replica_->isCurrent(now) || routing.planContent.empty()) {
@@ -131,17 +131,17 @@
     answerWithPlan(handle);
 }
 
-void RegistryCore::run(requests::HttpHandle handle, const EvacuationCall& call, OpenCall& /*open*/, Timestamp now)
+void RegistryCore::run(requests::HttpHandle handle, const EvacuationCall& call, OpenCall& /*openCall*/, Timestamp now)
 {
     orders_.submit(handle, control::SetEvacuation {.zone = call.zone, .isEvacuated = call.isEvacuated}, now);
 }
 
-void RegistryCore::run(requests::HttpHandle handle, StatusCall /*call*/, OpenCall& /*open*/, Timestamp now)
+void RegistryCore::run(requests::HttpHandle handle, StatusCall /*call*/, OpenCall& /*openCall*/, Timestamp now)
 {
     answer(jsonAnswer(handle, StatusOk, statusText(now)));
 }
 
-void RegistryCore::run(requests::HttpHandle handle, UnknownCall /*call*/, OpenCall& /*open*/, Timestamp /*now*/)
+void RegistryCore::run(requests::HttpHandle handle, UnknownCall /*call*/, OpenCall& /*openCall*/, Timestamp /*now*/)
 {
     answer(errorAnswer(handle, StatusNotFound, "unknown path or method"));
 }
@@ -192,7 +192,7 @@
     actions_.emplace_back(requests::Action(std::move(respond)));
 }
 
-requests::HttpRespond RegistryCore::answerOf(const OrderAnswer& order, const OpenCall& open) const
+requests::HttpRespond RegistryCore::answerOf(const OrderAnswer& order, const OpenCall& openCall) const
 {
     if (std::holds_alternative<OrderCommitted>(order.outcome))
         return jsonAnswer(order.handle, StatusOk, "{}");
@@ -202,7 +202,7 @@
         const membership::RosterEntry* leader = roster_->find(redirected->leader);
         if (leader == nullptr)
             return unavailableAnswer(order.handle, "the control leader's address is unknown");
-        return redirectAnswer(order.handle, leader->record.entryAddress, open.path);
+        return redirectAnswer(order.handle, leader->record.entryAddress, openCall.path);
     }
     const control::ControlError& error = std::get<OrderRefused>(order.outcome).error;
     if (error.kind == control::ControlErrorKind::Conflict)
--- a/src/registry/internal/registrycore.cpp
+++ b/src/registry/internal/registrycore.cpp
@@ -134,16 +134,16 @@
 
 void RegistryCore::accept(const requests::HttpRequestStarted& request, Timestamp now)
 {
-    OpenCall& open = calls_[request.handle];
-    open = {.call = readCall(request, settings_.headers), .path = request.path};
+    OpenCall& openCall = calls_[request.handle];
+    openCall = {.call = readCall(request, settings_.headers), .path = request.path};
     if (request.bodyLength == 0)
-        runCall(request.handle, open, now);
+        runCall(request.handle, openCall, now);
 }
 
-void RegistryCore::runCall(requests::HttpHandle handle, OpenCall& open, Timestamp now)
+void RegistryCore::runCall(requests::HttpHandle handle, OpenCall& openCall, Timestamp now)
 {
     // Visits a copy, since the answer erases the open call.
-    std::visit([&](const auto& call) { run(handle, call, open, now); }, Call(open.call));
+    std::visit([&](const auto& call) { run(handle, call, openCall, now); }, Call(openCall.call));
 }
 
 void RegistryCore::accept(const requests::HttpRequestBody& body, Timestamp now)
@@ -151,18 +151,18 @@
     const auto found = calls_.find(body.handle);
     if (found == calls_.end())
         return;
-    OpenCall& open = found->second;
-    if (open.body.size() + body.bytes.size() > MaxBodyBytes)
+    OpenCall& openCall = found->second;
+    if (openCall.body.size() + body.bytes.size() > MaxBodyBytes)
         return answer(errorAnswer(body.handle, StatusTooLarge, "the request body is too large"));
-    const bool isSmall = open.body.size() + body.bytes.size() <= SmallBodyBytes;
+    const bool isSmall = openCall.body.size() + body.bytes.size() <= SmallBodyBytes;
     if (!isSmall && !reserveCallBytes(body.handle, body.bytes.size()))
         return;
-    open.body += body.bytes;
-    open.reservedBytes += isSmall ? 0 : body.bytes.size();
+    openCall.body += body.bytes;
+    openCall.reservedBytes += isSmall ? 0 : body.bytes.size();
     actions_.emplace_back(
         requests::Action(requests::HttpRequestWindow {.handle = body.handle, .bytes = body.bytes.size()}));
     if (body.isLast)
-        runCall(body.handle, open, now);
+        runCall(body.handle, openCall, now);
 }
 
 void RegistryCore::accept(const requests::HttpRequestAborted& aborted, Timestamp /*now*/)
--- a/src/registry/internal/registrycore.h
+++ b/src/registry/internal/registrycore.h
@@ -68,25 +68,25 @@
     void accept(host::StopRequested stop, Timestamp now);
     void accept(const host::SeedsChanged& changed, Timestamp now);
 
-    void runCall(requests::HttpHandle handle, OpenCall& open, Timestamp now);
-    void run(requests::HttpHandle handle, const LookUpCall& call, OpenCall& open, Timestamp now);
-    void run(requests::HttpHandle handle, const TargetHeartbeatCall& call, OpenCall& open, Timestamp now);
-    void run(requests::HttpHandle handle, const TargetLeaveCall& call, OpenCall& open, Timestamp now);
-    void run(requests::HttpHandle handle, const ReplacePlanCall& call, OpenCall& open, Timestamp now);
-    void run(requests::HttpHandle handle, ReadPlanCall call, OpenCall& open, Timestamp now);
-    void run(requests::HttpHandle handle, const EvacuationCall& call, OpenCall& open, Timestamp now);
-    void run(requests::HttpHandle handle, StatusCall call, OpenCall& open, Timestamp now);
-    void run(requests::HttpHandle handle, UnknownCall call, OpenCall& open, Timestamp now);
+    void runCall(requests::HttpHandle handle, OpenCall& openCall, Timestamp now);
+    void run(requests::HttpHandle handle, const LookUpCall& call, OpenCall& openCall, Timestamp now);
+    void run(requests::HttpHandle handle, const TargetHeartbeatCall& call, OpenCall& openCall, Timestamp now);
+    void run(requests::HttpHandle handle, const TargetLeaveCall& call, OpenCall& openCall, Timestamp now);
+    void run(requests::HttpHandle handle, const ReplacePlanCall& call, OpenCall& openCall, Timestamp now);
+    void run(requests::HttpHandle handle, ReadPlanCall call, OpenCall& openCall, Timestamp now);
+    void run(requests::HttpHandle handle, const EvacuationCall& call, OpenCall& openCall, Timestamp now);
+    void run(requests::HttpHandle handle, StatusCall call, OpenCall& openCall, Timestamp now);
+    void run(requests::HttpHandle handle, UnknownCall call, OpenCall& openCall, Timestamp now);
 
     /// Submits a completely parsed plan to the log.
     void submitPreparedPlan(Timestamp now);
-    void refuseReport(requests::HttpHandle handle, const OpenCall& open, const Findings& findings, Timestamp now);
+    void refuseReport(requests::HttpHandle handle, const OpenCall& openCall, const Findings& findings, Timestamp now);
     /// Whether the target's service is in the plan in force; otherwise the target doesn't belong to this deployment.
     [[nodiscard]] bool isServiceInPlan(const model::TargetRecord& record);
     void retire(requests::HttpHandle handle, const model::TargetIncarnation& targetIncarnation, Timestamp now);
     void answer(requests::HttpRespond respond);
     void answerOrders();
-    [[nodiscard]] requests::HttpRespond answerOf(const OrderAnswer& order, const OpenCall& open) const;
+    [[nodiscard]] requests::HttpRespond answerOf(const OrderAnswer& order, const OpenCall& openCall) const;
     /// False: the memory limit for open calls is reached, and the call has been refused.
     [[nodiscard]] bool reserveCallBytes(requests::HttpHandle handle, uint64_t bytes);
     void closeCall(requests::HttpHandle handle);
