--- a/src/gateway/igateway.h
+++ b/src/gateway/igateway.h
@@ -10,11 +10,11 @@
 
 #include <memory>
 
-/// A gateway: carries callers' requests to the targets of the service that the route plan names for them.
+/// A gateway: forwards callers' requests to targets of the service that the route plan selects for them.
 /// docs/design/0010-platform.md
 namespace saltvane::gateway {
 
-/// Listening addresses, in the order of the host's servers.
+/// Listening addresses, in the order of the host's HTTP servers.
 enum class Listener : uint8_t { Front, Readiness };
 
 struct GatewayOptions {
--- a/src/gateway/internal/accounttable.cpp
+++ b/src/gateway/internal/accounttable.cpp
@@ -28,21 +28,21 @@
 
 void AccountTable::install(std::span<const model::AccountRef> accounts)
 {
-    const auto [formerBegin, newBegin] = std::ranges::mismatch(accounts_, accounts);
+    const auto [formerBegin, currentBegin] = std::ranges::mismatch(accounts_, accounts);
     const std::span former(formerBegin, accounts_.end());
-    const std::span later(newBegin, accounts.end());
-    std::unordered_set<const model::PlanAccount*> kept;
-    for (const model::AccountRef& account : later)
-        kept.insert(account.get());
-    // Former holders first: a key may pass from one account to another.
+    const std::span current(currentBegin, accounts.end());
+    std::unordered_set<const model::PlanAccount*> added;
+    for (const model::AccountRef& account : current)
+        added.insert(account.get());
+    // Removes the old keys first, because a key may move from one account to another.
     for (const model::AccountRef& account : former) {
-        if (kept.erase(account.get()) > 0)
+        if (added.erase(account.get()) > 0)
             continue;
         for (const std::string& key : account->account.keys)
             byKey_.erase(digestOf(key));
     }
-    for (const model::AccountRef& account : later) {
-        if (!kept.contains(account.get()))
+    for (const model::AccountRef& account : current) {
+        if (!added.contains(account.get()))
             continue;
         for (const std::string& key : account->account.keys)
             byKey_.insert_or_assign(digestOf(key), account);
--- a/src/gateway/internal/accounttable.h
+++ b/src/gateway/internal/accounttable.h
@@ -16,15 +16,15 @@
 
 namespace saltvane::gateway {
 
-/// Client accounts by the keys that their callers present. Holds digests of keys under a secret of the process, so that
-/// a look-up takes the same time whether a key is known or nearly so.
+/// Looks up client accounts by the key that a caller presents. Stores keyed digests under a per-process secret instead
+/// of the keys, so that the time of a look-up does not reveal how close a guessed key is to a real one.
 class AccountTable {
 public:
     AccountTable();
 
-    /// Takes the place of the accounts before; costs what differs.
+    /// Replaces all accounts; the cost is proportional to the number of changed accounts.
     void install(std::span<const model::AccountRef> accounts);
-    /// Null where no account holds the key.
+    /// Returns null if no account holds the key.
     [[nodiscard]] model::AccountRef find(std::string_view key) const;
 
 private:
--- /dev/null
+++ b/src/gateway/internal/backpressuremonitor.cpp
@@ -0,0 +1,151 @@
+/*
+ * SPDX-License-Identifier: Apache-2.0
+ * saltvane: global traffic steering
+ * Copyright (c) 2026 the saltvane authors
+ */
+#include "gateway/internal/backpressuremonitor.h"
+
+#include "base/logtext.h"
+#include "requests/headerfilter.h"
+
+namespace saltvane::gateway {
+
+namespace {
+
+constexpr size_t MaxNoticesPerReport = 256;
+/// The registry drops a limit that was not reported for 120 s.
+constexpr Duration RepeatInterval = 30s;
+
+} // namespace
+
+void BackpressureMonitor::onAnswer(const Answer& answer, Timestamp now)
+{
+    GatewayTarget* target = targets_.find(answer.target);
+    if (target == nullptr)
+        return;
+    updateLimit(*target, answer, now);
+    updateBackoff(*target, answer, now);
+    updateLeaving(*target, answer, now);
+}
+
+void BackpressureMonitor::updateBackoff(GatewayTarget& target, const Answer& answer, Timestamp now)
+{
+    constexpr int StatusUnavailable = 503;
+    constexpr int StatusTooManyRequests = 429;
+    // A 429 from a request that the target ran is about the caller, not about the target.
+    const bool isRefusal
+        = answer.status == StatusUnavailable || (answer.status == StatusTooManyRequests && answer.isNotRun);
+    const RequestedBackoff backoff = isRefusal ? readRequestedBackoff(answer.headers) : RequestedBackoff {};
+    if (!backoff.isRequested)
+        return;
+    if (!backoff.duration)
+        return log(target,
+            {.event = "target_rest_unreadable",
+                .key = "seconds",
+                .value = requests::firstFieldValue(answer.headers, requests::RetryAfterHeader)},
+            now);
+    // Answers may arrive out of order, so a shorter time may be the older one.
+    target.backpressure.backoffUntil = std::max(target.backpressure.backoffUntil, now + *backoff.duration);
+    log(target, {.event = "target_rest", .key = "seconds", .value = decimalText(toSeconds(*backoff.duration))}, now);
+}
+
+void BackpressureMonitor::updateLeaving(GatewayTarget& target, const Answer& answer, Timestamp now)
+{
+    constexpr std::string_view Leaves = "1";
+    if (requests::firstFieldValue(answer.headers, headers_.leaving) != Leaves)
+        return;
+    if (!target.record.isLeaving) {
+        log(target, {.event = "target_leaving", .key = "told_by", .value = "target"}, now);
+        leaving_.push_back(target.targetIncarnation());
+    }
+    targets_.markLeaving(target.targetIncarnation());
+}
+
+void BackpressureMonitor::updateLimit(GatewayTarget& target, const Answer& answer, Timestamp now)
+{
+    const StatedLimit stated = readStatedLimit(answer.headers, headers_.limit);
+    TargetBackpressure& known = target.backpressure;
+    if (stated.isStated && !stated.perSecond)
+        return log(target,
+            {.event = "target_limit_unreadable",
+                .key = "per_second",
+                .value = requests::firstFieldValue(answer.headers, headers_.limit)},
+            now);
+    // Answers may arrive out of order: the answer to a request that was sent before the limit was known may be older
+    // than the limit.
+    if (!stated.isStated && (!known.limit || answer.sentAt <= known.limitUpdatedAt))
+        return;
+    const std::optional<double> limit
+        = stated.perSecond.value_or(MaxLimitPerSecond) < MaxLimitPerSecond ? stated.perSecond : std::nullopt;
+    known.limitUpdatedAt = now;
+    if (known.limit != limit || now - known.reportedAt >= RepeatInterval)
+        pendingReports_.insert(target.targetIncarnation());
+    setLimit(target, limit, now);
+}
+
+void BackpressureMonitor::setLimit(GatewayTarget& target, const std::optional<double>& limit, Timestamp now)
+{
+    if (limit)
+        limited_.insert(target.targetIncarnation());
+    else
+        limited_.erase(target.targetIncarnation());
+    if (std::exchange(target.backpressure.limit, limit) == limit)
+        return;
+    target.backpressure.noCreditUntil = {};
+    log(target, {.event = "target_limit", .key = "per_second", .value = limit ? decimalText(*limit) : "none"}, now);
+}
+
+void BackpressureMonitor::handle(const model::BackpressureReport& report, Timestamp now)
+{
+    for (const model::BackpressureNotice& notice : report.notices) {
+        GatewayTarget* target = targets_.find(notice.target);
+        if (target == nullptr || now - notice.age <= target->backpressure.limitUpdatedAt)
+            continue;
+        target->backpressure.limitUpdatedAt = now - notice.age;
+        target->backpressure.reportedAt = now;
+        setLimit(*target, notice.limit, now);
+    }
+}
+
+void BackpressureMonitor::addNotice(
+    model::BackpressureReport& report, const model::TargetIncarnation& targetIncarnation, Timestamp now)
+{
+    GatewayTarget* target = targets_.find(targetIncarnation);
+    if (target == nullptr)
+        return;
+    target->backpressure.reportedAt = now;
+    report.notices.push_back({.target = targetIncarnation,
+        .limit = target->backpressure.limit,
+        .age = now - target->backpressure.limitUpdatedAt});
+}
+
+model::BackpressureReport BackpressureMonitor::takeReports(Timestamp now)
+{
+    model::BackpressureReport report;
+    if (pendingReports_.empty() || !reportBudget_.trySpend(now))
+        return report;
+    for (size_t count = 0; count < MaxNoticesPerReport && !pendingReports_.empty(); ++count)
+        addNotice(report, pendingReports_.extract(pendingReports_.begin()).value(), now);
+    return report;
+}
+
+model::BackpressureReport BackpressureMonitor::knownLimits(Timestamp now)
+{
+    model::BackpressureReport report;
+    std::erase_if(limited_,
+        [&](const model::TargetIncarnation& targetIncarnation) { return targets_.find(targetIncarnation) == nullptr; });
+    for (const model::TargetIncarnation& targetIncarnation : limited_)
+        addNotice(report, targetIncarnation, now);
+    return report;
+}
+
+void BackpressureMonitor::log(const GatewayTarget& target, const Line& line, Timestamp now)
+{
+    if (!logLineBudget_.trySpend(now))
+        return;
+    LogText text(line.event);
+    text.add("target", target.id().value()).add("service", target.record.service.value()).add(line.key, line.value);
+    logLines_.push_back({.severity = host::LogSeverity::Info, .module = "gateway", .text = text.text()});
+}
+
+} // namespace saltvane::gateway
--- /dev/null
+++ b/src/gateway/internal/backpressuremonitor.h
@@ -0,0 +1,84 @@
+/*
+ * SPDX-License-Identifier: Apache-2.0
+ * saltvane: global traffic steering
+ * Copyright (c) 2026 the saltvane authors
+ */
+#pragma once
+
+#include "gateway/internal/targetset.h"
+#include "gateway/internal/tokenbucket.h"
+#include "host/hosttypes.h"
+#include "model/limitmessages.h"
+#include "settings/routedhostsettings.h"
+
+#include <optional>
+#include <set>
+#include <utility>
+#include <vector>
+
+namespace saltvane::gateway {
+
+/// Reads the limits, backoff times and leaving notices in targets' answers, and shares them with other gateways through
+/// the registry. docs/design/0018-target-limits.md
+class BackpressureMonitor {
+public:
+    BackpressureMonitor(settings::HeaderNames headers, TargetSet& targets)
+        : headers_(std::move(headers))
+        , targets_(targets)
+    {
+    }
+
+    /// A target's answer to a request that was sent at `sentAt`.
+    struct Answer {
+        model::TargetIncarnation target;
+        int status = 0;
+        std::span<const model::Header> headers;
+        bool isNotRun = false; ///< The target refused the request without running it.
+        Timestamp sentAt;
+    };
+    void onAnswer(const Answer& answer, Timestamp now);
+
+    void handle(const model::BackpressureReport& report, Timestamp now);
+    /// Reports the target's limit again, because a registry host did not know it.
+    void reportAgain(const model::TargetIncarnation& target) { pendingReports_.insert(target); }
+
+    /// Changes to report to the registry; a bounded number per call, the rest later.
+    [[nodiscard]] model::BackpressureReport takeReports(Timestamp now);
+    /// All known limits, for a registry host that may have lost them.
+    [[nodiscard]] model::BackpressureReport knownLimits(Timestamp now);
+
+    /// Targets that announced since the last call that they are leaving.
+    [[nodiscard]] std::vector<model::TargetIncarnation> takeLeaving() { return std::exchange(leaving_, {}); }
+
+    [[nodiscard]] std::vector<host::LogLine> takeLogLines() { return std::exchange(logLines_, {}); }
+
+private:
+    static constexpr double MaxLogLinesPerSecond = 5;
+    static constexpr double MaxLogLineBurst = 20;
+    static constexpr double MaxReportsPerSecond = 10;
+    static constexpr double MaxReportBurst = 10;
+
+    void updateLimit(GatewayTarget& target, const Answer& answer, Timestamp now);
+    void updateBackoff(GatewayTarget& target, const Answer& answer, Timestamp now);
+    void updateLeaving(GatewayTarget& target, const Answer& answer, Timestamp now);
+    void setLimit(GatewayTarget& target, const std::optional<double>& limit, Timestamp now);
+    void addNotice(model::BackpressureReport& report, const model::TargetIncarnation& targetIncarnation, Timestamp now);
+    struct Line {
+        std::string_view event;
+        std::string_view key;
+        std::string_view value;
+    };
+    void log(const GatewayTarget& target, const Line& line, Timestamp now);
+
+    settings::HeaderNames headers_;
+    TargetSet& targets_;
+    /// Targets that state a limit; may include targets that were removed.
+    std::set<model::TargetIncarnation> limited_;
+    std::set<model::TargetIncarnation> pendingReports_;
+    std::vector<model::TargetIncarnation> leaving_;
+    TokenBucket reportBudget_ {{.perSecond = MaxReportsPerSecond, .burst = MaxReportBurst}};
+    TokenBucket logLineBudget_ {{.perSecond = MaxLogLinesPerSecond, .burst = MaxLogLineBurst}};
+    std::vector<host::LogLine> logLines_;
+};
+
+} // namespace saltvane::gateway
--- a/src/gateway/internal/decisionlog.cpp
+++ b/src/gateway/internal/decisionlog.cpp
@@ -13,25 +13,25 @@
 
 namespace {
 
-constexpr uint64_t OneAnsweredIn = 64;
-constexpr Duration LeftOutPeriod = 5s;
+constexpr uint64_t AnsweredPerLogLine = 64;
+constexpr Duration SuppressedCountInterval = 5s;
 
 } // namespace
 
-bool DecisionLog::mayWrite(const Decision& decision, Timestamp now)
+bool DecisionLog::mayLog(const Decision& decision, Timestamp now)
 {
     const bool isAnswered = decision.outcome == model::Outcome::Answered;
-    if (isAnswered && ++answered_ % OneAnsweredIn != 1)
+    if (isAnswered && ++answered_ % AnsweredPerLogLine != 1)
         return false;
-    if (lineBudget_.trySpend(now))
+    if (logLineBudget_.trySpend(now))
         return true;
-    ++leftOut_;
+    ++suppressed_;
     return false;
 }
 
-void DecisionLog::note(const Decision& decision, const Ages& ages, Timestamp now)
+void DecisionLog::logDecision(const Decision& decision, const Ages& ages, Timestamp now)
 {
-    if (!mayWrite(decision, now))
+    if (!mayLog(decision, now))
         return;
     const Exchange& exchange = decision.exchange;
     LogText line("request");
@@ -42,14 +42,14 @@
         .add("kind", model::toString(exchange.route.kind))
         .add("plan", exchange.planVersion.value)
         .addMilliseconds("plan_age_ms", ages.plan)
-        .addMilliseconds("word_age_ms", ages.word)
+        .addMilliseconds("word_age_ms", ages.registry)
         .add("service", exchange.service.value())
         .add("target", exchange.target.target.value())
-        .add("tries", exchange.tried.size())
+        .add("tries", exchange.attemptedTargets.size())
         .add("choice", toString(exchange.choice))
         .add("warm", exchange.isLikelyWarm ? "yes" : "unknown")
-        .addMilliseconds("target_ms", exchange.toHead)
-        .add("load", static_cast<int>(exchange.loadAtStart))
+        .addMilliseconds("target_ms", exchange.timeToHead)
+        .add("load", static_cast<int>(exchange.loadAtSend))
         .addMilliseconds("load_age_ms", exchange.loadAge)
         .addMilliseconds("target_age_ms", exchange.targetAge)
         .add("limit", exchange.limit ? decimalText(*exchange.limit) : "")
@@ -63,20 +63,20 @@
         line.add("target_gone", exchange.isLastTargetGone ? "yes" : "unknown")
             .add("failure", '"' + exchange.lastFailure + '"');
     const bool isAnswered = decision.outcome == model::Outcome::Answered;
-    lines_.push_back({.severity = isAnswered ? host::LogSeverity::Info : host::LogSeverity::Warning,
+    logLines_.push_back({.severity = isAnswered ? host::LogSeverity::Info : host::LogSeverity::Warning,
         .module = "gateway",
         .text = line.text()});
 }
 
-std::vector<host::LogLine> DecisionLog::take(Timestamp now)
+std::vector<host::LogLine> DecisionLog::takeLogLines(Timestamp now)
 {
-    if (leftOut_ > 0 && now - toldAt_ >= LeftOutPeriod) {
-        toldAt_ = now;
-        lines_.push_back({.severity = host::LogSeverity::Warning,
+    if (suppressed_ > 0 && now - suppressedCountLoggedAt_ >= SuppressedCountInterval) {
+        suppressedCountLoggedAt_ = now;
+        logLines_.push_back({.severity = host::LogSeverity::Warning,
             .module = "gateway",
-            .text = "event=lines_left_out count=" + std::to_string(std::exchange(leftOut_, 0))});
+            .text = "event=lines_left_out count=" + std::to_string(std::exchange(suppressed_, 0))});
     }
-    return std::exchange(lines_, {});
+    return std::exchange(logLines_, {});
 }
 
 } // namespace saltvane::gateway
--- a/src/gateway/internal/decisionlog.h
+++ b/src/gateway/internal/decisionlog.h
@@ -5,8 +5,8 @@
  */
 #pragma once
 
-#include "gateway/internal/ratebudget.h"
 #include "gateway/internal/requestrunner.h"
+#include "gateway/internal/tokenbucket.h"
 #include "host/hosttypes.h"
 
 #include <string>
@@ -14,29 +14,29 @@
 
 namespace saltvane::gateway {
 
-/// Log lines of decisions on requests, bounded: failures and refusals first, of the rest one in many; a line says how
-/// many were left out.
+/// Log lines of request outcomes, rate limited: every failure and refusal as far as the rate allows, and one in many
+/// answered requests. A summary line counts the suppressed lines.
 class DecisionLog {
 public:
     struct Ages {
-        Duration plan {}; ///< Since the plan held here was last proven to be the newest.
-        Duration word {}; ///< Since the registry was last asked something that it has answered.
+        Duration plan {}; ///< Since the current plan was last proven to be the newest.
+        Duration registry {}; ///< Since the latest request to the registry that has been answered.
     };
-    void note(const Decision& decision, const Ages& ages, Timestamp now);
-    /// Lines that came up since the last call.
-    [[nodiscard]] std::vector<host::LogLine> take(Timestamp now);
+    void logDecision(const Decision& decision, const Ages& ages, Timestamp now);
+    /// Lines logged since the last call.
+    [[nodiscard]] std::vector<host::LogLine> takeLogLines(Timestamp now);
 
 private:
-    static constexpr double LinesPerSecond = 20;
-    static constexpr double MostSavedLines = 40;
+    static constexpr double MaxLogLinesPerSecond = 20;
+    static constexpr double MaxLogLineBurst = 40;
 
-    [[nodiscard]] bool mayWrite(const Decision& decision, Timestamp now);
+    [[nodiscard]] bool mayLog(const Decision& decision, Timestamp now);
 
-    std::vector<host::LogLine> lines_;
-    RateBudget lineBudget_ {{.perSecond = LinesPerSecond, .burst = MostSavedLines}};
+    std::vector<host::LogLine> logLines_;
+    TokenBucket logLineBudget_ {{.perSecond = MaxLogLinesPerSecond, .burst = MaxLogLineBurst}};
     uint64_t answered_ = 0;
-    uint64_t leftOut_ = 0;
-    Timestamp toldAt_ {};
+    uint64_t suppressed_ = 0;
+    Timestamp suppressedCountLoggedAt_ {};
 };
 
 } // namespace saltvane::gateway
--- a/src/gateway/internal/exchange.h
+++ b/src/gateway/internal/exchange.h
@@ -17,68 +17,68 @@
 
 namespace saltvane::gateway {
 
-/// One caller's request on its way.
+/// State of one caller's request from its arrival to its final answer.
 struct Exchange {
     enum class Phase {
-        ReceivingBody, ///< Nothing was sent yet.
-        AwaitingCredit, ///< Of its client account's limit.
-        AwaitingTargetCredit, ///< Of the limit that the target chosen for it names.
+        ReceivingBody, ///< Nothing was sent to a target yet.
+        AwaitingCredit, ///< Waits for a credit of the client account's limit.
+        AwaitingTargetCredit, ///< Waits for a credit of the limit that the selected target stated.
         AwaitingHead, ///< Sent to a target.
-        ReceivingAnswer, ///< The head came; the answer is gathered whole.
-        Streaming ///< The answer is passed on as it comes.
+        ReceivingAnswer, ///< The answer's head was received; the body is buffered.
+        Streaming ///< The answer is streamed to the caller.
     };
 
     requests::HttpHandle handle;
-    RequestId id; ///< Of the caller's try.
+    RequestId id; ///< Request id of the caller's attempt.
     std::string method;
     std::string path;
-    std::vector<model::Header> headers; ///< End-to-end ones, without the deadline.
+    std::vector<model::Header> headers; ///< End-to-end headers, without the deadline.
     std::string body;
-    std::optional<RequestHasher> hasher; ///< Until the body is whole.
-    model::RequestDigest digest; ///< Once it is: the same for all tries of one request.
-    std::optional<uint64_t> object; ///< Hash of the object the request is about.
-    model::Route route; ///< As of its arrival; a new plan changes nothing for it.
-    model::AccountRef account; ///< As of its arrival; null: none is asked for.
-    bool hasCredit = false; ///< Of the account's limit, not used up by a run.
-    /// The target for which it waits for a credit, as chosen.
+    std::optional<RequestHasher> hasher; ///< Until the body is complete.
+    model::RequestDigest digest; ///< Set once the body is complete; the same for all attempts of one request.
+    std::optional<uint64_t> object; ///< Hash of the object that the request is about.
+    model::Route route; ///< As of the arrival; a new plan does not change it.
+    model::AccountRef account; ///< As of the arrival; null if the route requires no account.
+    bool hasCredit = false; ///< Holds a credit of the account's limit that no run has used.
+    /// The selected target for which the request waits for a credit.
     struct AwaitedTarget {
-        model::TargetIncarnation start;
+        model::TargetIncarnation targetIncarnation;
         Choice choice = Choice::Other;
         bool isLikelyWarm = false;
-        Duration work {};
+        Duration processingTime {};
     };
     AwaitedTarget awaited;
-    size_t targetCreditsRefused = 0; ///< Targets whose limit left it no credit.
+    size_t targetCreditsRefused = 0; ///< Targets whose limit had no credit left for this request.
     ServiceName service;
     BundleVersion planVersion;
     Timestamp startedAt;
-    Timestamp deadline; ///< The earlier of the caller's and the route's.
+    Timestamp deadline; ///< The earlier of the caller's deadline and the route's.
 
     Phase phase = Phase::ReceivingBody;
     requests::DispatchId dispatch;
     model::TargetIncarnation target;
     Timestamp sentAt;
-    Timestamp checkAt; ///< When a silent target is doubted.
-    double loadAtStart = 0;
-    Choice choice = Choice::Other; ///< Of the target, for the object.
-    bool isLikelyWarm = false; ///< The target lately answered for the object, as far as this gateway knows.
-    Duration toHead {}; ///< From the last send to the head of its answer.
-    std::vector<TargetId> tried;
-    size_t targetsLost = 0; ///< Of these, those that broke off.
+    Timestamp stallCheckAt; ///< When to check whether the target is unresponsive.
+    double loadAtSend = 0;
+    Choice choice = Choice::Other; ///< Rank of the target among the object's targets.
+    bool isLikelyWarm = false; ///< The target recently answered for the object, as far as this gateway knows.
+    Duration timeToHead {}; ///< From the last send to the head of the answer.
+    std::vector<TargetId> attemptedTargets;
+    size_t targetsLost = 0; ///< Attempted targets that were lost.
     model::Reason lastReason = model::Reason::None;
-    // For the log: what the last choice went by.
-    Duration targetAge {}; ///< Since the target's last report.
-    Duration loadAge {}; ///< Since its last word of its load.
-    std::string lastFailure; ///< What went wrong at the last target that failed, in words.
-    bool isLastTargetGone = false; ///< Where it failed: it refuses connections.
-    std::optional<double> limit; ///< Requests a second that the target took, as known when it was chosen.
+    // Logged with the outcome: the state on which the last target selection was based.
+    Duration targetAge {}; ///< Since the target's last report to the registry.
+    Duration loadAge {}; ///< Since the last update of the target's load.
+    std::string lastFailure; ///< Error text of the last failed target.
+    bool isLastTargetGone = false; ///< The last failed target refuses connections.
+    std::optional<double> limit; ///< The target's limit in requests per second when it was selected.
     uint32_t targetsKnown = 0;
     uint32_t targetsUsable = 0;
-    requests::HttpRespond answer; ///< As far as it came.
-    bool isOnLink = false; ///< Counted by the link budget.
+    requests::HttpRespond answer; ///< The part that was received so far.
+    bool isInLinkBudget = false; ///< Counted in the link budget.
     uint64_t answerBytes = 0;
-    bool isAnswerStarted = false; ///< Its head went to the caller.
-    bool mayHaveRun = false; ///< A byte may have reached a target that did not say it has not run it.
+    bool isAnswerStarted = false; ///< The head was sent to the caller.
+    bool mayHaveRun = false; ///< A byte may have reached a target that did not report that it did not run the request.
 };
 
 } // namespace saltvane::gateway
--- a/src/gateway/internal/gatewaycore.cpp
+++ b/src/gateway/internal/gatewaycore.cpp
@@ -12,25 +12,26 @@
 
 namespace {
 
-/// Time limits of requests are met to this precision.
-constexpr Duration GatewayTick = 20ms;
-constexpr Duration SplitPeriod = 200ms;
-/// Of this gateway's word of its requests in flight.
-constexpr Duration LoadPeriod = 300ms;
-/// The same, to registry hosts of other regions: few requests come from there.
-constexpr Duration FarLoadPeriod = 1200ms;
-/// Plans are pulled this often where none is pushed: well under the time in which one has to be in force.
-constexpr Duration PlanPullPeriod = 500ms;
-
-/// A registry host that hears the leader has a proof of at most half a second, 70 ms away. One that was cut off from
-/// the others passed for current for 3 s, longer than a new plan may take to be in force.
-constexpr Duration StaleSourceAfter = 1s;
-
-/// Callers keep look-up answers for a TTL, some longer: a leaving gateway serves on meanwhile.
-constexpr double TtlsToStay = 1.5;
-/// Bytes given to the network reach the callers within it.
-constexpr Duration AnswerSettling = 100ms;
-/// Before the stop's limit, for what is still on its way.
+/// Precision of request time limits.
+constexpr Duration TickInterval = 20ms;
+constexpr Duration SplitInterval = 200ms;
+/// Interval of reports of this gateway's requests in flight to registry hosts of its region.
+constexpr Duration LoadInterval = 300ms;
+/// The same to registry hosts of other regions, which receive few requests for these targets.
+constexpr Duration OtherRegionLoadInterval = 1200ms;
+/// Interval of plan pulls when no plan is pushed; well below the time in which a plan has to be in force.
+constexpr Duration PlanPullInterval = 500ms;
+
+/// A registry host that is connected to the leader has a proof that is at most 0.5 s old and 70 ms away. A host that
+/// was cut off from the others used to count as current for 3 s, which is longer than a new plan may take to be in
+/// force.
+constexpr Duration StaleSourceTimeout = 1s;
+
+/// Callers cache look-up answers for a TTL, some for longer, so a leaving gateway keeps serving for 1.5 TTLs.
+constexpr double TtlsBeforeStop = 1.5;
+/// Bytes that were handed to the network reach the callers within this time.
+constexpr Duration AnswerFlushDelay = 100ms;
+/// Reserved before the stop time limit for answers that are still being sent.
 constexpr Duration StopReserve = 500ms;
 
 model::HostRecord recordOf(const settings::RoutedHostSettings& settings, Incarnation incarnation)
@@ -49,10 +50,10 @@
     , incarnation_(options.incarnation)
     , roster_(membership::makeHostRoster(
           {.self = recordOf(settings_, incarnation_), .seeds = host::hostIdsOf(settings_.seeds)}))
-    , holder_(control::makeBundleHolder({.self = self_,
-          .pullPeriod = PlanPullPeriod,
-          .unansweredAfter = PlanPullPeriod / 2,
-          .staleAfter = StaleSourceAfter,
+    , replica_(control::makeBundleHolder({.self = self_,
+          .pullPeriod = PlanPullInterval,
+          .unansweredAfter = PlanPullInterval / 2,
+          .staleAfter = StaleSourceTimeout,
           .isSource = false,
           .counters = &counters_}))
     , registry_({.leave = settings_.leaveLimit, .plan = settings_.planLimit})
@@ -78,52 +79,54 @@
           .latencies = latencies_,
           .link = link_,
           .credits = credits_,
-          .isWordLate = [this](Timestamp now) { return registry_.word(*holder_, now) == RegistryWord::Late; },
+          .isRegistryLate
+          = [this](Timestamp now) { return registry_.freshness(*replica_, now) == RegistryFreshness::Late; },
           .onDecided =
               [this](const Decision& decision, Timestamp now) {
-                  decisions_.note(decision, {.plan = holder_->age(now), .word = holder_->provenAnswerAge(now)}, now);
+                  decisions_.logDecision(
+                      decision, {.plan = replica_->age(now), .registry = replica_->provenAnswerAge(now)}, now);
               }})
 {
 }
 
-Duration GatewayCore::tickPeriod() const { return GatewayTick; }
+Duration GatewayCore::tickPeriod() const { return TickInterval; }
 
 void GatewayCore::handle(host::Event event, Timestamp now)
 {
-    registry_.noteAwake(now);
-    std::visit([&](auto&& one) { accept(std::forward<decltype(one)>(one), now); }, std::move(event));
-    gather(now);
+    registry_.onActivity(now);
+    std::visit([&](auto&& item) { accept(std::forward<decltype(item)>(item), now); }, std::move(event));
+    collectActions(now);
 }
 
 void GatewayCore::tick(Timestamp now)
 {
-    registry_.noteAwake(now);
+    registry_.onActivity(now);
     roster_->tick(now);
     if (now >= nextSourcesAt_)
         updateSources(now);
-    holder_->tick(now);
+    replica_->tick(now);
     installPlan(now);
-    noteDoubt(now);
-    noteWord(now);
+    updatePlanCertainty(now);
+    updateRegistryFreshness(now);
     updateState();
     targets_.tick(now);
     if (now >= nextSplitAt_)
         updateSplit(now);
     credits_.tick(now);
-    runner_.noteCredits(now);
+    runner_.onCreditResults(now);
     runner_.tick(now);
     quarantine_.tick(now);
     updateLinks();
-    tellLoads(now);
+    sendLoads(now);
     updateStop(now);
-    gather(now);
+    collectActions(now);
 }
 
 std::vector<host::Action> GatewayCore::takeActions() { return std::exchange(actions_, {}); }
 
 void GatewayCore::accept(requests::HttpEvent event, Timestamp now)
 {
-    const auto handle = std::visit([](const auto& one) { return one.handle; }, event);
+    const auto handle = std::visit([](const auto& item) { return item.handle; }, event);
     if (requests::listenerOf(handle) == static_cast<uint8_t>(Listener::Readiness))
         return answerReadiness(event);
     runner_.handle(std::move(event), now);
@@ -145,45 +148,45 @@
         .bytes = std::move(text)}));
 }
 
-bool GatewayCore::isReady() const { return routes_ != nullptr && !stopAskedAt_; }
+bool GatewayCore::isReady() const { return routes_ != nullptr && !stopRequestedAt_; }
 
 void GatewayCore::accept(requests::TargetEvent event, Timestamp now)
 {
-    const auto dispatch = std::visit([](const auto& one) { return one.dispatch; }, event);
-    if (TargetProber::isOfProbe(dispatch)) {
-        noteProbeAnswer(event, now);
+    const auto dispatch = std::visit([](const auto& item) { return item.dispatch; }, event);
+    if (TargetProber::isProbe(dispatch)) {
+        onProbeAnswer(event, now);
         return quarantine_.handle(event, now);
     }
     runner_.handle(std::move(event), now);
 }
 
-/// What targets say of themselves holds in whatever answer they say it.
-void GatewayCore::noteProbeAnswer(const requests::TargetEvent& event, Timestamp now)
+/// Limits and leaving notices count in answers to probes as well.
+void GatewayCore::onProbeAnswer(const requests::TargetEvent& event, Timestamp now)
 {
     const auto* head = std::get_if<requests::TargetResponseHead>(&event);
     if (head == nullptr)
         return;
-    if (const std::optional<TargetProber::Question> asked = quarantine_.questionOf(*head))
-        backpressure_.note({.target = asked->target,
-                               .status = head->status,
-                               .headers = head->headers,
-                               .isNotRun = true,
-                               .sentAt = asked->sentAt},
+    if (const std::optional<TargetProber::SentProbe> sentProbe = quarantine_.findSentProbe(*head))
+        backpressure_.onAnswer({.target = sentProbe->target,
+                                   .status = head->status,
+                                   .headers = head->headers,
+                                   .isNotRun = true,
+                                   .sentAt = sentProbe->sentAt},
             now);
 }
 
 void GatewayCore::accept(const model::Delivery& delivery, Timestamp now)
 {
-    registry_.noteHeard(now);
+    registry_.onMessage(now);
     roster_->handle(delivery, now);
     const uint64_t refused = counters_.value(model::Counter::BundlesRefused);
-    holder_->handle(delivery, now);
+    replica_->handle(delivery, now);
     if (counters_.value(model::Counter::BundlesRefused) != refused)
         log(host::LogSeverity::Warning, "event=plan_damaged peer=" + delivery.from.value());
     installPlan(now);
-    noteDoubt(now);
+    updatePlanCertainty(now);
     if (const auto* report = std::get_if<model::TargetReport>(&delivery.message))
-        noteTargets(*report, now);
+        onTargetReport(*report, now);
     else if (const auto* loads = std::get_if<model::TargetLoads>(&delivery.message))
         targets_.noteLoads(*loads, now);
     else if (const auto* suspects = std::get_if<model::SuspectReport>(&delivery.message))
@@ -191,21 +194,22 @@
     else if (const auto* backpressure = std::get_if<model::BackpressureReport>(&delivery.message))
         backpressure_.handle(*backpressure, now);
     else if (const auto* credits = std::get_if<model::LimitCreditReply>(&delivery.message))
-        noteCredits(*credits, now);
+        onCreditReply(*credits, now);
 }
 
-void GatewayCore::noteCredits(const model::LimitCreditReply& reply, Timestamp now)
+void GatewayCore::onCreditReply(const model::LimitCreditReply& reply, Timestamp now)
 {
     credits_.handle(reply, now);
-    runner_.noteCredits(now);
+    runner_.onCreditResults(now);
 }
 
-void GatewayCore::noteTargets(const model::TargetReport& report, Timestamp now)
+void GatewayCore::onTargetReport(const model::TargetReport& report, Timestamp now)
 {
     const size_t before = targets_.size();
     targets_.note(report, now);
-    runner_.noteReplaced(targets_.takeReplaced(), now);
-    // At once: a request that comes before would run where its object doesn't stay.
+    runner_.onTargetsReplaced(targets_.takeReplaced(), now);
+    // Updates the split immediately: a request before the next tick would be sent to a target that does not keep the
+    // object.
     if (targets_.size() != before)
         updateSplit(now);
 }
@@ -214,24 +218,25 @@
 {
     if (!routes_)
         return;
-    nextSplitAt_ = now + SplitPeriod;
+    nextSplitAt_ = now + SplitInterval;
     split_.tick(targets_, now);
 }
 
 void GatewayCore::accept(const host::LinkUp& up, Timestamp now)
 {
     roster_->noteLinkUp(up.host, up.incarnation);
-    holder_->noteLinkUp(up.host, now);
-    // Registry hosts that all lost their power and their disks hear from the gateways what is to be refused.
-    if (model::SuspectReport report {.requests = quarantine_.blamed(now)}; !report.requests.empty())
+    replica_->noteLinkUp(up.host, now);
+    // If all registry hosts lost their power and their disks, they learn again from the gateways which requests to
+    // refuse.
+    if (model::SuspectReport report {.requests = quarantine_.blamedRequests(now)}; !report.requests.empty())
         actions_.emplace_back(requests::Action(model::Outgoing {.to = up.host, .message = std::move(report)}));
-    if (model::BackpressureReport report = backpressure_.known(now); !report.notices.empty())
+    if (model::BackpressureReport report = backpressure_.knownLimits(now); !report.notices.empty())
         actions_.emplace_back(requests::Action(model::Outgoing {.to = up.host, .message = std::move(report)}));
 }
 
 void GatewayCore::accept(const host::LinkDown& down, Timestamp now)
 {
-    credits_.noteLinkDown(down.host, now);
+    credits_.onLinkDown(down.host, now);
     log(host::LogSeverity::Warning, "event=registry_lost peer=" + down.host.value());
 }
 
@@ -243,9 +248,9 @@
 
 void GatewayCore::accept(host::StopRequested /*stop*/, Timestamp now)
 {
-    if (stopAskedAt_)
+    if (stopRequestedAt_)
         return;
-    stopAskedAt_ = now;
+    stopRequestedAt_ = now;
     log(host::LogSeverity::Info, "event=stopping in_flight=" + std::to_string(runner_.inFlight()));
     runner_.startLeaving();
     updateState();
@@ -253,7 +258,7 @@
 
 void GatewayCore::updateState()
 {
-    if (stopAskedAt_)
+    if (stopRequestedAt_)
         return roster_->setState(model::HostState::Leaving);
     roster_->setState(isReady() ? model::HostState::Serving : model::HostState::Joining);
 }
@@ -264,43 +269,43 @@
         actions_.emplace_back(*std::move(wanted));
 }
 
-void GatewayCore::tellLoads(Timestamp now)
+void GatewayCore::sendLoads(Timestamp now)
 {
     if (now < nextLoadsAt_)
         return;
-    nextLoadsAt_ = now + LoadPeriod;
+    nextLoadsAt_ = now + LoadInterval;
     model::TargetLoads loads = targets_.takeOwnLoads();
-    const bool isNews = !loads.targets.empty() || hasToldLoads_;
-    hasToldLoads_ = !loads.targets.empty();
-    if (!isNews)
+    const bool isChanged = !loads.targets.empty() || haveLoadsBeenSent_;
+    haveLoadsBeenSent_ = !loads.targets.empty();
+    if (!isChanged)
         return;
-    const bool isFarDue = now >= nextFarLoadsAt_;
-    if (isFarDue)
-        nextFarLoadsAt_ = now + FarLoadPeriod;
-    for (const HostId& host : isFarDue ? roster_->controlHosts() : roster_->nearControlHosts())
+    const bool isTimeForOtherRegions = now >= nextOtherRegionLoadsAt_;
+    if (isTimeForOtherRegions)
+        nextOtherRegionLoadsAt_ = now + OtherRegionLoadInterval;
+    for (const HostId& host : isTimeForOtherRegions ? roster_->controlHosts() : roster_->nearControlHosts())
         actions_.emplace_back(requests::Action(model::Outgoing {.to = host, .message = loads}));
 }
 
-void GatewayCore::tellSuspects(Timestamp now)
+void GatewayCore::sendSuspects(Timestamp now)
 {
-    const model::SuspectReport report {.requests = quarantine_.takeNews(now)};
+    const model::SuspectReport report {.requests = quarantine_.takeReports(now)};
     if (report.requests.empty())
         return;
     for (const HostId& host : roster_->controlHosts())
         actions_.emplace_back(requests::Action(model::Outgoing {.to = host, .message = report}));
 }
 
-void GatewayCore::tellBackpressure(Timestamp now)
+void GatewayCore::sendBackpressure(Timestamp now)
 {
     const model::TargetReport leaving {.retired = backpressure_.takeLeaving()};
     if (!leaving.retired.empty())
-        tellNearRegistries(leaving);
-    const model::BackpressureReport report = backpressure_.takeNews(now);
+        sendToRegionRegistries(leaving);
+    const model::BackpressureReport report = backpressure_.takeReports(now);
     if (!report.notices.empty())
-        tellNearRegistries(report);
+        sendToRegionRegistries(report);
 }
 
-void GatewayCore::tellNearRegistries(const model::Message& message)
+void GatewayCore::sendToRegionRegistries(const model::Message& message)
 {
     for (const HostId& host : roster_->nearControlHosts())
         actions_.emplace_back(requests::Action(model::Outgoing {.to = host, .message = message}));
@@ -314,42 +319,42 @@
 
 void GatewayCore::updateStop(Timestamp now)
 {
-    if (!stopAskedAt_ || isStopTold_)
+    if (!stopRequestedAt_ || isStopReported_)
         return;
     const Duration limit = settings_.limits.stopTimeLimit - StopReserve;
-    const Duration stay = std::min(fromSeconds(toSeconds(settings_.lookUpTtl) * TtlsToStay), limit);
-    const Duration waited = now - *stopAskedAt_;
+    const Duration stay = std::min(fromSeconds(toSeconds(settings_.lookUpTtl) * TtlsBeforeStop), limit);
+    const Duration waited = now - *stopRequestedAt_;
     if (waited >= stay)
         runner_.startRefusing();
-    if (runner_.inFlight() > 0 || runner_.answersOnTheirWay() > 0)
-        busyAt_ = now;
-    const bool isBusy = now - busyAt_ < AnswerSettling;
+    if (runner_.inFlight() > 0 || runner_.pendingAnswers() > 0)
+        lastBusyAt_ = now;
+    const bool isBusy = now - lastBusyAt_ < AnswerFlushDelay;
     if (waited < stay || (isBusy && waited < limit))
         return;
-    isStopTold_ = true;
+    isStopReported_ = true;
     actions_.emplace_back(host::StopFinished {.requestsCut = static_cast<uint32_t>(runner_.inFlight())});
 }
 
-void GatewayCore::gather(Timestamp now)
+void GatewayCore::collectActions(Timestamp now)
 {
-    runner_.noteCredits(now); // Refusals of requests that found nobody to ask.
+    runner_.onCreditResults(now); // Refuses requests for which no registry host could be asked for a credit.
     for (requests::Action& action : runner_.takeActions())
         actions_.emplace_back(std::move(action));
-    tellBackpressure(now); // Before credits of these limits are asked for.
+    sendBackpressure(now); // Before credits of these limits are requested.
     for (model::Outgoing& outgoing : credits_.takeOutgoing())
         actions_.emplace_back(requests::Action(std::move(outgoing)));
     for (model::Outgoing& outgoing : roster_->takeOutgoing())
         actions_.emplace_back(requests::Action(std::move(outgoing)));
-    for (model::Outgoing& outgoing : holder_->takeOutgoing())
+    for (model::Outgoing& outgoing : replica_->takeOutgoing())
         actions_.emplace_back(requests::Action(std::move(outgoing)));
     for (requests::Action& action : quarantine_.takeActions())
         actions_.emplace_back(std::move(action));
-    tellSuspects(now);
-    for (host::LogLine& line : decisions_.take(now))
+    sendSuspects(now);
+    for (host::LogLine& line : decisions_.takeLogLines(now))
         actions_.emplace_back(std::move(line));
-    for (host::LogLine& line : quarantine_.takeLines())
+    for (host::LogLine& line : quarantine_.takeLogLines())
         actions_.emplace_back(std::move(line));
-    for (host::LogLine& line : backpressure_.takeLines())
+    for (host::LogLine& line : backpressure_.takeLogLines())
         actions_.emplace_back(std::move(line));
 }
 
@@ -363,12 +368,12 @@
     return {
         .host = self_,
         .incarnation = incarnation_,
-        .state = stopAskedAt_ ? model::HostState::Leaving
-                              : (isReady() ? model::HostState::Serving : model::HostState::Joining),
-        .isCutOff = holder_->isCutOff(now),
+        .state = stopRequestedAt_ ? model::HostState::Leaving
+                                  : (isReady() ? model::HostState::Serving : model::HostState::Joining),
+        .isCutOff = replica_->isCutOff(now),
         .inForceVersion = routes_ ? routes_->plan().version : BundleVersion {},
-        .stateAge = holder_->age(now),
-        .wordAge = holder_->provenAnswerAge(now),
+        .stateAge = replica_->age(now),
+        .wordAge = replica_->provenAnswerAge(now),
         .requestsInFlight = static_cast<uint32_t>(runner_.inFlight()),
         .dispatchesInFlight = static_cast<uint32_t>(runner_.inFlight()),
         .targetsKnown = static_cast<uint32_t>(targets_.size()),
--- a/src/gateway/internal/gatewaycore.h
+++ b/src/gateway/internal/gatewaycore.h
@@ -7,7 +7,7 @@
 
 #include "control/ibundleholder.h"
 #include "gateway/igateway.h"
-#include "gateway/internal/backpressurewatch.h"
+#include "gateway/internal/backpressuremonitor.h"
 #include "gateway/internal/decisionlog.h"
 #include "gateway/internal/placement.h"
 #include "gateway/internal/regionsplit.h"
@@ -20,7 +20,7 @@
 
 namespace saltvane::gateway {
 
-/// A gateway without I/O.
+/// The gateway's logic without I/O.
 class GatewayCore final : public host::IHostCore {
 public:
     explicit GatewayCore(const GatewayOptions& options);
@@ -44,27 +44,27 @@
     void accept(host::StopRequested stop, Timestamp now);
     void accept(const host::SeedsChanged& changed, Timestamp now);
 
-    void noteCredits(const model::LimitCreditReply& reply, Timestamp now);
-    void noteTargets(const model::TargetReport& report, Timestamp now);
+    void onCreditReply(const model::LimitCreditReply& reply, Timestamp now);
+    void onTargetReport(const model::TargetReport& report, Timestamp now);
     void updateSplit(Timestamp now);
     void answerReadiness(const requests::HttpEvent& event);
     [[nodiscard]] bool isReady() const;
     void installPlan(Timestamp now);
-    void noteDoubt(Timestamp now);
-    void logProof(bool isProven, Timestamp now);
-    void noteWord(Timestamp now);
-    [[nodiscard]] std::vector<const membership::RosterEntry*> registriesHeard(Timestamp now) const;
+    void updatePlanCertainty(Timestamp now);
+    void logPlanProof(bool isProven, Timestamp now);
+    void updateRegistryFreshness(Timestamp now);
+    [[nodiscard]] std::vector<const membership::RosterEntry*> responsiveRegistries(Timestamp now) const;
     void updateSources(Timestamp now);
     void updateLinks();
-    void tellLoads(Timestamp now);
-    void tellSuspects(Timestamp now);
-    void tellBackpressure(Timestamp now);
-    void tellNearRegistries(const model::Message& message);
-    void noteProbeAnswer(const requests::TargetEvent& event, Timestamp now);
+    void sendLoads(Timestamp now);
+    void sendSuspects(Timestamp now);
+    void sendBackpressure(Timestamp now);
+    void sendToRegionRegistries(const model::Message& message);
+    void onProbeAnswer(const requests::TargetEvent& event, Timestamp now);
     [[nodiscard]] std::string probePathOf(const ServiceName& service) const;
     void updateState();
     void updateStop(Timestamp now);
-    void gather(Timestamp now);
+    void collectActions(Timestamp now);
     void log(host::LogSeverity severity, std::string text);
 
     settings::RoutedHostSettings settings_;
@@ -72,15 +72,15 @@
     Incarnation incarnation_;
     model::Counters counters_;
     std::unique_ptr<membership::IHostRoster> roster_;
-    std::unique_ptr<control::IBundleHolder> holder_;
+    std::unique_ptr<control::IBundleHolder> replica_;
     RegistryWatch registry_;
-    RegistryWord word_ = RegistryWord::Current; ///< As of the last tick.
+    RegistryFreshness registryFreshness_ = RegistryFreshness::Current; ///< As of the last tick.
     TargetSet targets_;
     RegionSplit split_;
     Placement placement_;
     RetryAllowance retries_;
     Quarantine quarantine_;
-    BackpressureWatch backpressure_;
+    BackpressureMonitor backpressure_;
     RequestLatencies latencies_;
     LinkBudget link_;
     LimitCredits credits_;
@@ -88,17 +88,18 @@
     RequestRunner runner_;
     settings::RoutePlanReader planReader_;
     std::shared_ptr<RouteTable> routes_;
-    std::optional<Timestamp> unprovenSince_; ///< The plan in force, where it was not proven for LongestUnproven.
+    /// When the age of the proof of the plan in force exceeded MaxUnprovenAge.
+    std::optional<Timestamp> unprovenSince_;
     host::RoutedLinks links_;
     std::vector<host::Action> actions_;
     Timestamp nextSplitAt_ {};
     Timestamp nextSourcesAt_ {};
     Timestamp nextLoadsAt_ {};
-    Timestamp nextFarLoadsAt_ {};
-    bool hasToldLoads_ = false;
-    std::optional<Timestamp> stopAskedAt_;
-    Timestamp busyAt_ {}; ///< When a request or an answer was last under way.
-    bool isStopTold_ = false;
+    Timestamp nextOtherRegionLoadsAt_ {};
+    bool haveLoadsBeenSent_ = false;
+    std::optional<Timestamp> stopRequestedAt_;
+    Timestamp lastBusyAt_ {}; ///< When a request or an answer was last in progress.
+    bool isStopReported_ = false;
 };
 
 } // namespace saltvane::gateway
--- a/src/gateway/internal/gatewaytarget.cpp
+++ b/src/gateway/internal/gatewaytarget.cpp
@@ -12,40 +12,40 @@
 
 namespace {
 
-/// What a target told of its load counts for so long, less and less.
-constexpr Duration LoadMemory = 1s;
-/// A target's own word that is as new as this goes before the registry's sum.
-constexpr Duration FreshLoad = 200ms;
-/// A zone opened again: its targets wait so long for the registry's word of them.
-constexpr Duration ReopenHold = 4s;
+/// Time over which reported load decays linearly to zero.
+constexpr Duration LoadLifetime = 1s;
+/// A load from the target's own answer takes precedence over the registry's total while it is this new.
+constexpr Duration FreshLoadAge = 200ms;
+/// How long the targets of a reopened zone wait for a new report of the registry.
+constexpr Duration ReopenedZoneTimeout = 4s;
 constexpr Duration FirstEjection = 250ms;
-constexpr uint32_t MostDoublings = 4;
-/// A target that is full counts as loaded by its queue as well.
-constexpr uint32_t FullFactor = 3;
+constexpr uint32_t MaxDoublings = 4;
+/// A full target counts as loaded by its slots and a queue of twice as many requests.
+constexpr uint32_t FullLoadFactor = 3;
 
 } // namespace
 
 double GatewayTarget::load(Timestamp now) const
 {
-    const Duration ownAge = now - loadAt;
-    const Duration sumAge = sumsAt == nullptr ? LoadMemory : now - *sumsAt;
-    const bool isSumUsed = sumAge < LoadMemory && ownAge >= FreshLoad;
-    const Duration age = isSumUsed ? sumAge : ownAge;
-    if (age >= LoadMemory)
+    const Duration ownAge = now - loadUpdatedAt;
+    const Duration totalAge = totalsAt == nullptr ? LoadLifetime : now - *totalsAt;
+    const bool isTotalUsed = totalAge < LoadLifetime && ownAge >= FreshLoadAge;
+    const Duration age = isTotalUsed ? totalAge : ownAge;
+    if (age >= LoadLifetime)
         return inFlight;
-    const uint32_t sumOfOthers = sumInFlight > toldInFlight ? sumInFlight - toldInFlight : 0;
-    const uint32_t others = isSumUsed ? sumOfOthers : othersLoad;
-    return inFlight + others * (1 - toSeconds(age) / toSeconds(LoadMemory));
+    const uint32_t totalOfOthers = totalInFlight > publishedInFlight ? totalInFlight - publishedInFlight : 0;
+    const uint32_t others = isTotalUsed ? totalOfOthers : otherGatewaysLoad;
+    return inFlight + others * (1 - toSeconds(age) / toSeconds(LoadLifetime));
 }
 
-bool GatewayTarget::isHeld(Timestamp now) const
+bool GatewayTarget::isAwaitingReport(Timestamp now) const
 {
-    return namedByReport < zone->reopenedByReport && now < zone->reopenedAt + ReopenHold;
+    return lastListedInReport < zone->reopenedByReport && now < zone->reopenedAt + ReopenedZoneTimeout;
 }
 
 bool GatewayTarget::isAvailable(Timestamp now) const
 {
-    if (record.isLeaving || isSilent || zone->isClosed || now < ejectedUntil || isHeld(now))
+    if (record.isLeaving || isUnresponsive || zone->isClosed || now < ejectedUntil || isAwaitingReport(now))
         return false;
     return !isOnTrial() || inFlight == 0;
 }
@@ -55,19 +55,19 @@
     return std::min<double>(record.slots, backpressure.limit.value_or(record.slots));
 }
 
-void GatewayTarget::noteAnswered(Timestamp now)
+void GatewayTarget::onAnswered(Timestamp now)
 {
     answeredAt = now;
     failures = 0;
     ejectedUntil = {};
 }
 
-void GatewayTarget::noteFailure(Timestamp now, bool isCertain)
+void GatewayTarget::onFailure(Timestamp now, bool isCertain)
 {
     failures = std::max(failures + 1, isCertain ? FailuresToEject : 0);
     if (failures < FailuresToEject)
         return;
-    const uint32_t doublings = std::min(failures - FailuresToEject, MostDoublings);
+    const uint32_t doublings = std::min(failures - FailuresToEject, MaxDoublings);
     ejectedUntil = now + FirstEjection * (1 << doublings);
 }
 
@@ -81,19 +81,19 @@
         return;
     if (std::from_chars(first.ptr + 1, end, waiting).ec != std::errc {})
         return;
-    // Larger words are of no target: they count as full.
-    const uint32_t most = record.slots * FullFactor;
-    const uint32_t all = std::min(running, most) + std::min(waiting, most);
-    othersLoad = all > inFlight ? all - inFlight : 0;
-    loadAt = now;
+    // No target reports larger values; they count as full.
+    const uint32_t maxCount = record.slots * FullLoadFactor;
+    const uint32_t all = std::min(running, maxCount) + std::min(waiting, maxCount);
+    otherGatewaysLoad = all > inFlight ? all - inFlight : 0;
+    loadUpdatedAt = now;
 }
 
-void GatewayTarget::noteRefusal(Timestamp now)
+void GatewayTarget::onRefusal(Timestamp now)
 {
     if (hasFreeSlots(now))
         return;
-    othersLoad = std::max(othersLoad, record.slots * FullFactor);
-    loadAt = now;
+    otherGatewaysLoad = std::max(otherGatewaysLoad, record.slots * FullLoadFactor);
+    loadUpdatedAt = now;
 }
 
 } // namespace saltvane::gateway
--- a/src/gateway/internal/gatewaytarget.h
+++ b/src/gateway/internal/gatewaytarget.h
@@ -14,81 +14,85 @@
 
 namespace saltvane::gateway {
 
-/// An availability zone as the standing orders have it.
+/// An availability zone with its state from the operator's orders.
 struct TargetZone {
     ZoneName name;
     RegionName region;
     bool isClosed = false;
     Timestamp reopenedAt;
-    uint64_t reopenedByReport = 0; ///< Number of the report that opened it again; 0: it was never closed.
+    uint64_t reopenedByReport = 0; ///< Number of the report that reopened the zone; 0 if it was never closed.
 };
 
-/// One start of a target as this gateway knows it: what the registry told, what its answers tell, what this gateway
-/// sent it.
+/// State of one incarnation of a target, from the registry's reports, the target's answers and this gateway's own
+/// requests.
 struct GatewayTarget {
     model::TargetRecord record;
     const TargetZone* zone = nullptr;
-    uint64_t hash = 0; ///< Places it among others: of its id.
-    uint64_t startHash = 0; ///< Of this start: what it has warm, and its load, are its own.
-    Timestamp addressSince {Duration::min() / 2}; ///< When it took its address over from another start.
-    Timestamp heardAt; ///< When it last reported, as far as the registry's word tells.
-    Timestamp namedAt; ///< When a registry host last named it.
-    uint64_t namedByReport = 0; ///< Number of that report.
-    Timestamp slowUntil; ///< End of its slow start.
-    bool isSilent = false; ///< The registry host that heard it last hears nothing any more.
+    uint64_t hash = 0; ///< Hash of the target's id, for ranking.
+    uint64_t incarnationHash = 0; ///< Hash of the incarnation: warm objects and load belong to one incarnation.
+    Timestamp addressSince {Duration::min() / 2}; ///< When this incarnation took its address over from another one.
+    Timestamp lastReportAt; ///< When the target last reported to the registry, as far as known.
+    Timestamp lastListedAt; ///< When a registry host's report last listed the target.
+    uint64_t lastListedInReport = 0; ///< Number of that report.
+    Timestamp slowUntil; ///< End of the slow start.
+    bool isUnresponsive = false; ///< The registry host that last received its reports receives none any more.
 
-    uint32_t inFlight = 0; ///< Of this gateway.
-    uint32_t othersLoad = 0; ///< Of other gateways, as of its last answer that told.
-    Timestamp loadAt; ///< When that was.
-    uint32_t sumInFlight = 0; ///< Of all gateways, as the registry last told.
-    uint32_t toldInFlight = 0; ///< What the registry was last told of this gateway's requests.
-    const Timestamp* sumsAt = nullptr; ///< When the registry last told of any target's load.
-    Timestamp answeredAt; ///< Its last answer.
-    uint32_t failures = 0; ///< In a row.
+    uint32_t inFlight = 0; ///< Requests of this gateway at the target.
+    /// Requests of other gateways, as of the target's last answer that stated its load.
+    uint32_t otherGatewaysLoad = 0;
+    Timestamp loadUpdatedAt; ///< When that answer was received.
+    uint32_t totalInFlight = 0; ///< Requests of all gateways, as last reported by the registry.
+    uint32_t publishedInFlight = 0; ///< Requests of this gateway, as last reported to the registry.
+    const Timestamp* totalsAt = nullptr; ///< When the registry last reported loads of any targets.
+    Timestamp answeredAt; ///< Time of the last answer.
+    uint32_t failures = 0; ///< Consecutive failures.
     Timestamp ejectedUntil;
-    double slowStartBalance = 1; ///< Requests it may be sent now while it is slow.
+    double slowStartBalance = 1; ///< Requests that may be sent now during the slow start.
     Timestamp slowStartAt;
 
     [[nodiscard]] const TargetId& id() const { return record.target; }
-    [[nodiscard]] model::TargetIncarnation start() const
+    [[nodiscard]] model::TargetIncarnation targetIncarnation() const
     {
         return {.target = record.target, .incarnation = record.incarnation};
     }
-    /// Requests it works on or queues, as far as known.
+    /// Requests that the target runs or queues, as far as known.
     [[nodiscard]] double load(Timestamp now) const;
     [[nodiscard]] bool isSlowStarting(Timestamp now) const { return now < slowUntil; }
-    /// Ejected once, and now due for one request that tells whether it is back.
+    /// Was ejected; a single request shall find out whether it works again.
     [[nodiscard]] bool isOnTrial() const { return failures >= FailuresToEject; }
-    /// Its zone was opened again and it was not named since: it may have turned slow.
-    [[nodiscard]] bool isHeld(Timestamp now) const;
-    /// Whether new work may be sent to it, but for its slow start.
-    [[nodiscard]] bool isOpen(Timestamp now) const { return now >= backpressure.closedUntil() && isAvailable(now); }
-    /// The same, but for what it said of how much it takes.
+    /// Its zone was reopened and the target was not listed since: it may be in slow start.
+    [[nodiscard]] bool isAwaitingReport(Timestamp now) const;
+    /// Whether new requests may be sent to it, apart from the slow start.
+    [[nodiscard]] bool isOpen(Timestamp now) const
+    {
+        return now >= backpressure.unavailableUntil() && isAvailable(now);
+    }
+    /// The same, ignoring the back-pressure that it signalled.
     [[nodiscard]] bool isAvailable(Timestamp now) const;
-    /// Requests it may have at once: no more of a limit than it allows in a second.
+    /// Concurrent requests for which it counts: its slots, but no more than its limit in requests per second.
     [[nodiscard]] double usableSlots() const;
-    void noteAnswered(Timestamp now);
-    /// It broke off, or did not answer in time. `isCertain`: it can't be reached at all.
-    void noteFailure(Timestamp now, bool isCertain);
-    /// From its answer's header "running,waiting,slots"; anything else is ignored.
+    void onAnswered(Timestamp now);
+    /// The target lost the connection or did not answer in time. `isCertain`: it can't be reached at all.
+    void onFailure(Timestamp now, bool isCertain);
+    /// Parses the load header "running,waiting,slots"; malformed values are ignored.
     void noteLoad(std::string_view text, Timestamp now);
-    [[nodiscard]] bool hasFreeSlots(Timestamp now) const { return loadAt == now && load(now) < record.slots; }
-    /// It refused a request. With slots free by its own word it is not full.
-    void noteRefusal(Timestamp now);
+    [[nodiscard]] bool hasFreeSlots(Timestamp now) const { return loadUpdatedAt == now && load(now) < record.slots; }
+    /// The target refused a request. It is not considered full if it stated free slots at the same time.
+    void onRefusal(Timestamp now);
 
     TargetBackpressure backpressure;
 
     static constexpr uint32_t FailuresToEject = 2;
 
-    // Kept by TargetSet.
+    // Maintained by TargetSet.
     using Hook = boost::intrusive::list_member_hook<boost::intrusive::link_mode<boost::intrusive::auto_unlink>>;
-    Hook namedHook;
-    Hook silentHook;
+    Hook listedHook;
+    Hook unresponsiveHook;
     Hook busyHook;
-    Hook toldHook;
-    Hook summedHook;
-    size_t position = 0; ///< In the list of all.
-    double countedSlots = 0; ///< Its part of the service's room as last counted.
+    Hook publishedHook;
+    Hook totalHook;
+    size_t position = 0; ///< Index in the list of all targets.
+    double countedSlots = 0; ///< Its part of the service's capacity as last counted.
     double countedLoad = 0;
 };
 
--- a/src/gateway/internal/limitcredits.cpp
+++ b/src/gateway/internal/limitcredits.cpp
@@ -11,164 +11,167 @@
 
 namespace {
 
-/// A registry host answers within a round trip to the others and their answers, or is not there.
-constexpr Duration UnansweredAfter = 200ms;
-/// A credit that its request did not use serves another one within it: what is kept counts against the limit.
-constexpr Duration SpareLifetime = 300ms;
-/// An answer that comes later than that is not waited for any more; its credits are lost.
-constexpr Duration LateAnswerMemory = 1s;
-/// While nobody answers requests are refused at once, but for one in this time.
-constexpr Duration ProbePeriod = 100ms;
-/// For callers of whose limit no registry host can tell: about the time in which one comes back.
-constexpr Duration RetryAfterUnknown = 400ms;
+/// A registry host answers within a round trip to the other registry hosts, or is not reachable.
+constexpr Duration AnswerTimeout = 200ms;
+/// Time for which another request may use a returned credit. Unused credits count against the limit.
+constexpr Duration SpareCreditLifetime = 300ms;
+/// Answers that arrive later than this are ignored; their credits are lost.
+constexpr Duration LateAnswerTimeout = 1s;
+/// While no registry host answers, requests are refused immediately, except for one probe per interval.
+constexpr Duration ProbeInterval = 100ms;
+/// Retry delay for callers whose limit is unknown: about the time in which a registry host comes back.
+constexpr Duration UnknownLimitRetryAfter = 400ms;
 
 } // namespace
 
 bool LimitCredits::trySpend(const model::LimitId& limit, Timestamp now)
 {
     expire(now);
-    const auto found = spare_.find(limit);
-    if (found == spare_.end())
+    const auto found = spareCredits_.find(limit);
+    if (found == spareCredits_.end())
         return false;
     found->second.pop_back();
     if (found->second.empty())
-        spare_.erase(found);
+        spareCredits_.erase(found);
     return true;
 }
 
-void LimitCredits::giveBack(const model::LimitId& limit, Timestamp now)
+void LimitCredits::returnCredit(const model::LimitId& limit, Timestamp now)
 {
-    spare_[limit].push_back(now + SpareLifetime);
-    spareByAge_.emplace_back(now + SpareLifetime, limit);
+    spareCredits_[limit].push_back(now + SpareCreditLifetime);
+    spareExpiries_.emplace_back(now + SpareCreditLifetime, limit);
 }
 
 void LimitCredits::expire(Timestamp now)
 {
-    while (!spareByAge_.empty() && spareByAge_.front().first <= now) {
-        const auto found = spare_.find(spareByAge_.front().second);
-        spareByAge_.pop_front();
-        if (found == spare_.end() || found->second.front() > now)
+    while (!spareExpiries_.empty() && spareExpiries_.front().first <= now) {
+        const auto found = spareCredits_.find(spareExpiries_.front().second);
+        spareExpiries_.pop_front();
+        if (found == spareCredits_.end() || found->second.front() > now)
             continue;
         found->second.pop_front();
         if (found->second.empty())
-            spare_.erase(found);
+            spareCredits_.erase(found);
     }
 }
 
-void LimitCredits::ask(requests::HttpHandle handle, const model::LimitId& limit, size_t mostSources, Timestamp now)
+void LimitCredits::request(requests::HttpHandle handle, const model::LimitId& limit, size_t maxSources, Timestamp now)
 {
-    if (!isSilent_ || isProbe(now))
-        return send({.handle = handle, .limit = limit, .mostSources = mostSources}, now);
-    verdicts_.push_back({.handle = handle, .reason = model::Reason::LimitUnknown, .retryAfter = RetryAfterUnknown});
+    if (!isRegistryUnresponsive_ || tryStartProbe(now))
+        return send({.handle = handle, .limit = limit, .maxSources = maxSources}, now);
+    results_.push_back({.handle = handle, .reason = model::Reason::LimitUnknown, .retryAfter = UnknownLimitRetryAfter});
 }
 
-bool LimitCredits::isProbe(Timestamp now)
+bool LimitCredits::tryStartProbe(Timestamp now)
 {
     if (now < nextProbeAt_)
         return false;
-    nextProbeAt_ = now + ProbePeriod;
+    nextProbeAt_ = now + ProbeInterval;
     return true;
 }
 
-void LimitCredits::noteUnanswered(const Ask& ask) { isSilent_ = isSilent_ || answeredAt_ < ask.sentAt; }
+void LimitCredits::onTimeout(const PendingRequest& request)
+{
+    isRegistryUnresponsive_ = isRegistryUnresponsive_ || answeredAt_ < request.sentAt;
+}
 
-void LimitCredits::send(Ask ask, Timestamp now)
+void LimitCredits::send(PendingRequest request, Timestamp now)
 {
-    const auto source = std::ranges::find_if(
-        sources_, [&](const HostId& host) { return std::ranges::find(ask.asked, host) == ask.asked.end(); });
-    if (source == sources_.end() || ask.asked.size() >= ask.mostSources) {
-        verdicts_.push_back(
-            {.handle = ask.handle, .reason = model::Reason::LimitUnknown, .retryAfter = RetryAfterUnknown});
+    const auto source = std::ranges::find_if(sources_,
+        [&](const HostId& host) { return std::ranges::find(request.askedHosts, host) == request.askedHosts.end(); });
+    if (source == sources_.end() || request.askedHosts.size() >= request.maxSources) {
+        results_.push_back(
+            {.handle = request.handle, .reason = model::Reason::LimitUnknown, .retryAfter = UnknownLimitRetryAfter});
         return;
     }
-    ask.source = *source;
-    ask.asked.push_back(*source);
-    ask.sentAt = now;
-    ask.checkAt = now + UnansweredAfter;
-    const uint64_t number = ++lastNumber_;
-    checks_.emplace(ask.checkAt, number);
-    waiting_[ask.handle] = number;
-    outgoing_[ask.source].asks.push_back({.ask = number, .limit = ask.limit, .credits = 1});
-    asks_.emplace(number, std::move(ask));
+    request.source = *source;
+    request.askedHosts.push_back(*source);
+    request.sentAt = now;
+    request.timeoutAt = now + AnswerTimeout;
+    const uint64_t requestNumber = ++lastRequestNumber_;
+    timeouts_.emplace(request.timeoutAt, requestNumber);
+    byHandle_[request.handle] = requestNumber;
+    outgoing_[request.source].asks.push_back({.ask = requestNumber, .limit = request.limit, .credits = 1});
+    pendingRequests_.emplace(requestNumber, std::move(request));
 }
 
-void LimitCredits::abandon(uint64_t number, Timestamp now)
+void LimitCredits::abandon(uint64_t requestNumber, Timestamp now)
 {
-    Ask& ask = asks_.at(number);
-    checks_.erase({ask.checkAt, number});
-    waiting_.erase(ask.handle);
-    ask.handle = {};
-    ask.checkAt = now + LateAnswerMemory;
-    checks_.emplace(ask.checkAt, number);
+    PendingRequest& request = pendingRequests_.at(requestNumber);
+    timeouts_.erase({request.timeoutAt, requestNumber});
+    byHandle_.erase(request.handle);
+    request.handle = {};
+    request.timeoutAt = now + LateAnswerTimeout;
+    timeouts_.emplace(request.timeoutAt, requestNumber);
 }
 
-void LimitCredits::askNext(uint64_t number, Timestamp now)
+void LimitCredits::requestFromNext(uint64_t requestNumber, Timestamp now)
 {
-    Ask again = asks_.at(number);
-    abandon(number, now);
-    send(std::move(again), now);
+    PendingRequest retry = pendingRequests_.at(requestNumber);
+    abandon(requestNumber, now);
+    send(std::move(retry), now);
 }
 
-void LimitCredits::forget(requests::HttpHandle handle)
+void LimitCredits::cancel(requests::HttpHandle handle)
 {
-    const auto found = waiting_.find(handle);
-    if (found == waiting_.end())
+    const auto found = byHandle_.find(handle);
+    if (found == byHandle_.end())
         return;
-    // Its check stays: until then the answer is known for what it is.
-    asks_.at(found->second).handle = {};
-    waiting_.erase(found);
+    // Its timeout stays scheduled: until then a late answer can still be matched to its limit.
+    pendingRequests_.at(found->second).handle = {};
+    byHandle_.erase(found);
 }
 
 void LimitCredits::handle(const model::LimitCreditReply& reply, Timestamp now)
 {
     answeredAt_ = now;
-    isSilent_ = false;
+    isRegistryUnresponsive_ = false;
     for (const model::LimitCreditAnswer& answer : reply.answers) {
-        const auto found = asks_.find(answer.ask);
-        if (found == asks_.end())
+        const auto found = pendingRequests_.find(answer.ask);
+        if (found == pendingRequests_.end())
             continue;
-        const Ask& ask = found->second;
-        const bool isAwaited = ask.handle != requests::HttpHandle {};
-        if (isAwaited && answer.credits == 0 && answer.retryAfter == Duration::zero()) {
-            askNext(answer.ask, now); // It doesn't know the limit, or its own share.
+        const PendingRequest& request = found->second;
+        const bool isPending = request.handle != requests::HttpHandle {};
+        if (isPending && answer.credits == 0 && answer.retryAfter == Duration::zero()) {
+            requestFromNext(answer.ask, now); // It does not know the limit, or its own share.
             continue;
         }
-        if (isAwaited) {
-            verdicts_.push_back({.handle = ask.handle,
+        if (isPending) {
+            results_.push_back({.handle = request.handle,
                 .reason = answer.credits > 0 ? model::Reason::None : model::Reason::RateLimited,
                 .retryAfter = answer.retryAfter});
-            waiting_.erase(ask.handle);
+            byHandle_.erase(request.handle);
         } else if (answer.credits > 0) {
-            giveBack(ask.limit, now);
+            returnCredit(request.limit, now);
         }
-        checks_.erase({ask.checkAt, answer.ask});
-        asks_.erase(found);
+        timeouts_.erase({request.timeoutAt, answer.ask});
+        pendingRequests_.erase(found);
     }
 }
 
-void LimitCredits::noteLinkDown(const HostId& host, Timestamp now)
+void LimitCredits::onLinkDown(const HostId& host, Timestamp now)
 {
     std::erase(sources_, host);
-    std::vector<uint64_t> lost;
-    for (const auto& [handle, number] : waiting_) {
-        if (asks_.at(number).source == host)
-            lost.push_back(number);
+    std::vector<uint64_t> affected;
+    for (const auto& [handle, requestNumber] : byHandle_) {
+        if (pendingRequests_.at(requestNumber).source == host)
+            affected.push_back(requestNumber);
     }
-    for (const uint64_t number : lost)
-        askNext(number, now);
+    for (const uint64_t requestNumber : affected)
+        requestFromNext(requestNumber, now);
 }
 
 void LimitCredits::tick(Timestamp now)
 {
-    while (!checks_.empty() && checks_.begin()->first <= now) {
-        const uint64_t number = checks_.begin()->second;
-        if (asks_.at(number).handle != requests::HttpHandle {}) {
-            noteUnanswered(asks_.at(number));
-            askNext(number, now);
+    while (!timeouts_.empty() && timeouts_.begin()->first <= now) {
+        const uint64_t requestNumber = timeouts_.begin()->second;
+        if (pendingRequests_.at(requestNumber).handle != requests::HttpHandle {}) {
+            onTimeout(pendingRequests_.at(requestNumber));
+            requestFromNext(requestNumber, now);
             continue;
         }
-        checks_.erase(checks_.begin());
-        asks_.erase(number);
+        timeouts_.erase(timeouts_.begin());
+        pendingRequests_.erase(requestNumber);
     }
     expire(now);
 }
--- a/src/gateway/internal/limitcredits.h
+++ b/src/gateway/internal/limitcredits.h
@@ -17,70 +17,70 @@
 
 namespace saltvane::gateway {
 
-/// Credits for requests that a limit over all gateways binds: each takes one to be sent to a target. Registry hosts
-/// give them out, so that all gateways together stay within the limit, also those that hear nothing of each other.
-/// docs/design/0016-client-accounts.md
+/// Credits for requests that are subject to a limit over all gateways: each request needs one before it is sent to a
+/// target. Registry hosts grant them, so that all gateways together stay within the limit even if they can't reach each
+/// other. docs/design/0016-client-accounts.md
 class LimitCredits {
 public:
-    /// What became of a request that asked.
-    struct Verdict {
+    /// Result of a request for a credit.
+    struct CreditResult {
         requests::HttpHandle handle;
-        model::Reason reason = model::Reason::None; ///< None: it has its credit.
+        model::Reason reason = model::Reason::None; ///< None: the credit was granted.
         Duration retryAfter {};
     };
 
-    /// Registry hosts that are heard, nearest first.
+    /// Sets the responsive registry hosts, nearest first.
     void setSources(std::vector<HostId> sources) { sources_ = std::move(sources); }
-    /// Takes one that is at hand.
+    /// Uses a spare credit if there is one.
     [[nodiscard]] bool trySpend(const model::LimitId& limit, Timestamp now);
-    /// The verdict follows, from one of so many registry hosts at the most.
-    void ask(requests::HttpHandle handle, const model::LimitId& limit, size_t mostSources, Timestamp now);
-    /// The request has ended before its verdict came.
-    void forget(requests::HttpHandle handle);
-    /// A credit of a request that has not run.
-    void giveBack(const model::LimitId& limit, Timestamp now);
+    /// Requests a credit from the registry, from at most `maxSources` hosts in turn; the result follows.
+    void request(requests::HttpHandle handle, const model::LimitId& limit, size_t maxSources, Timestamp now);
+    /// The request ended before its result arrived.
+    void cancel(requests::HttpHandle handle);
+    /// Returns the credit of a request that was not run.
+    void returnCredit(const model::LimitId& limit, Timestamp now);
 
     void handle(const model::LimitCreditReply& reply, Timestamp now);
-    /// Asks elsewhere what the host will not answer any more.
-    void noteLinkDown(const HostId& host, Timestamp now);
-    /// Asks elsewhere what was not answered in time.
+    /// Sends the requests pending at this host to another one.
+    void onLinkDown(const HostId& host, Timestamp now);
+    /// Sends requests that timed out to another host.
     void tick(Timestamp now);
 
-    [[nodiscard]] std::vector<Verdict> takeVerdicts() { return std::exchange(verdicts_, {}); }
+    [[nodiscard]] std::vector<CreditResult> takeResults() { return std::exchange(results_, {}); }
     [[nodiscard]] std::vector<model::Outgoing> takeOutgoing();
 
 private:
-    struct Ask {
-        requests::HttpHandle handle; ///< 0: nobody waits for it any more.
+    struct PendingRequest {
+        requests::HttpHandle handle; ///< 0: the caller's request no longer waits for it.
         model::LimitId limit;
-        size_t mostSources = 0;
+        size_t maxSources = 0;
         HostId source;
-        std::vector<HostId> asked; ///< All so far.
+        std::vector<HostId> askedHosts; ///< All hosts so far.
         Timestamp sentAt;
-        Timestamp checkAt;
+        Timestamp timeoutAt;
     };
 
-    void send(Ask ask, Timestamp now);
-    /// The next source, or the verdict that none can tell.
-    void askNext(uint64_t number, Timestamp now);
-    void abandon(uint64_t number, Timestamp now);
-    void noteUnanswered(const Ask& ask);
-    /// Whether this request shall find out if somebody answers again.
-    [[nodiscard]] bool isProbe(Timestamp now);
+    void send(PendingRequest request, Timestamp now);
+    /// Tries the next host; without one, the result is that the limit is unknown.
+    void requestFromNext(uint64_t requestNumber, Timestamp now);
+    void abandon(uint64_t requestNumber, Timestamp now);
+    void onTimeout(const PendingRequest& request);
+    /// Whether this request may probe if a registry host answers again.
+    [[nodiscard]] bool tryStartProbe(Timestamp now);
     void expire(Timestamp now);
 
     std::vector<HostId> sources_;
-    std::unordered_map<uint64_t, Ask> asks_;
-    std::unordered_map<requests::HttpHandle, uint64_t> waiting_;
-    std::set<std::pair<Timestamp, uint64_t>> checks_;
-    std::unordered_map<model::LimitId, std::deque<Timestamp>> spare_; ///< By when they expire.
-    std::deque<std::pair<Timestamp, model::LimitId>> spareByAge_;
-    uint64_t lastNumber_ = 0;
-    Timestamp answeredAt_ {}; ///< By any registry host.
-    bool isSilent_ = false; ///< Nobody has answered since an ask that went unanswered.
+    std::unordered_map<uint64_t, PendingRequest> pendingRequests_;
+    std::unordered_map<requests::HttpHandle, uint64_t> byHandle_;
+    std::set<std::pair<Timestamp, uint64_t>> timeouts_;
+    std::unordered_map<model::LimitId, std::deque<Timestamp>> spareCredits_; ///< Expiry times of unused credits.
+    std::deque<std::pair<Timestamp, model::LimitId>> spareExpiries_;
+    uint64_t lastRequestNumber_ = 0;
+    Timestamp answeredAt_ {}; ///< Last answer of any registry host.
+    bool isRegistryUnresponsive_ = false; ///< No registry host has answered since a request that timed out.
     Timestamp nextProbeAt_ {};
     std::unordered_map<HostId, model::LimitCreditRequest> outgoing_;
-    std::vector<Verdict> verdicts_;
+    std::vector<CreditResult> results_;
 };
 
 } // namespace saltvane::gateway
--- a/src/gateway/internal/linkbudget.cpp
+++ b/src/gateway/internal/linkbudget.cpp
@@ -12,33 +12,33 @@
 namespace {
 
 constexpr double BytesPerMegabit = 125'000;
-constexpr double FirstGuessBytes = 64 * 1024;
-constexpr double SizeWeight = 0.05; ///< Of one answer.
-/// Of a route's objective: the rest is for the target's work and for what else is on the link.
-constexpr double PartOfObjective = 0.5;
+constexpr double InitialAnswerBytes = 64 * 1024;
+constexpr double AverageWeight = 0.05; ///< Weight of one answer in the moving average.
+/// Fraction of a route's objective; the rest is for the target's processing and for other traffic on the link.
+constexpr double MaxObjectiveFraction = 0.5;
 
 } // namespace
 
 LinkBudget::LinkBudget(double megabits)
     : bytesPerSecond_(megabits * BytesPerMegabit)
-    , usualBytes_(FirstGuessBytes)
+    , averageBytes_(InitialAnswerBytes)
 {
 }
 
-bool LinkBudget::hasRoomFor(const model::Route& route) const
+bool LinkBudget::canCarry(const model::Route& route) const
 {
     if (bytesPerSecond_ <= 0 || inFlight_ == 0 || route.objective <= Duration::zero())
         return true;
-    const double seconds = (inFlight_ + 1) * usualBytes_ / bytesPerSecond_;
-    return seconds <= toSeconds(route.objective) * PartOfObjective;
+    const double seconds = (inFlight_ + 1) * averageBytes_ / bytesPerSecond_;
+    return seconds <= toSeconds(route.objective) * MaxObjectiveFraction;
 }
 
-void LinkBudget::noteEnded(uint64_t bytes)
+void LinkBudget::recordCompletion(uint64_t bytes)
 {
     if (inFlight_ > 0)
         --inFlight_;
     if (bytes > 0)
-        usualBytes_ += SizeWeight * (static_cast<double>(bytes) - usualBytes_);
+        averageBytes_ += AverageWeight * (static_cast<double>(bytes) - averageBytes_);
 }
 
 } // namespace saltvane::gateway
--- a/src/gateway/internal/linkbudget.h
+++ b/src/gateway/internal/linkbudget.h
@@ -11,23 +11,23 @@
 
 namespace saltvane::gateway {
 
-/// What large answers take of this host's network link. They are few but fill it, and everything else waits behind
-/// them: so no more of them are taken on than the link carries in a part of their objective.
+/// Bounds the large answers in progress by the bandwidth of this host's network link. They are few but fill the link
+/// and delay everything else, so no more are accepted than the link can carry in a fraction of their objective.
 class LinkBudget {
 public:
-    /// 0: the link's rate is not known, and nothing is limited.
+    /// 0: the link's rate is unknown and nothing is limited.
     explicit LinkBudget(double megabits);
 
-    /// Whether one more large answer can be carried in time.
-    [[nodiscard]] bool hasRoomFor(const model::Route& route) const;
-    void noteStarted() { ++inFlight_; }
-    /// `bytes`: of the whole answer; 0 where none came.
-    void noteEnded(uint64_t bytes);
+    /// Whether the link can carry one more large answer in time.
+    [[nodiscard]] bool canCarry(const model::Route& route) const;
+    void recordStart() { ++inFlight_; }
+    /// `bytes`: size of the whole answer; 0 if none was received.
+    void recordCompletion(uint64_t bytes);
 
 private:
     double bytesPerSecond_;
     uint32_t inFlight_ = 0;
-    double usualBytes_;
+    double averageBytes_;
 };
 
 } // namespace saltvane::gateway
--- a/src/gateway/internal/runwatch.cpp
+++ b/src/gateway/internal/lostruntracker.cpp
@@ -3,21 +3,21 @@
  * saltvane: global traffic steering
  * Copyright (c) 2026 the saltvane authors
  */
-#include "gateway/internal/runwatch.h"
+#include "gateway/internal/lostruntracker.h"
 
 #include <utility>
 
 namespace saltvane::gateway {
 
-void RunWatch::note(const LostRun& run)
+void LostRunTracker::record(const LostRun& run)
 {
-    if (order_.size() >= MostRuns)
+    if (expiryOrder_.size() >= MaxRuns)
         return;
     byTarget_[run.target].push_back(run);
-    order_.emplace_back(run.lostAt, run.target);
+    expiryOrder_.emplace_back(run.lostAt, run.target);
 }
 
-std::vector<LostRun> RunWatch::takeLostAt(const model::TargetIncarnation& target)
+std::vector<LostRun> LostRunTracker::takeLostAt(const model::TargetIncarnation& target)
 {
     const auto found = byTarget_.find(target);
     if (found == byTarget_.end())
@@ -27,13 +27,13 @@
     return lost;
 }
 
-void RunWatch::expire(Timestamp now)
+void LostRunTracker::expire(Timestamp now)
 {
-    for (; !order_.empty() && now - order_.front().first >= Memory; order_.pop_front()) {
-        const auto found = byTarget_.find(order_.front().second);
+    for (; !expiryOrder_.empty() && now - expiryOrder_.front().first >= MaxAge; expiryOrder_.pop_front()) {
+        const auto found = byTarget_.find(expiryOrder_.front().second);
         if (found == byTarget_.end())
             continue;
-        std::erase_if(found->second, [&](const LostRun& run) { return now - run.lostAt >= Memory; });
+        std::erase_if(found->second, [&](const LostRun& run) { return now - run.lostAt >= MaxAge; });
         if (found->second.empty())
             byTarget_.erase(found);
     }
--- a/src/gateway/internal/quarantine.cpp
+++ b/src/gateway/internal/quarantine.cpp
@@ -14,22 +14,22 @@
 
 namespace {
 
-/// A request that was answered so lately doesn't end targets all at once: its ends have other causes, such as a fatal
-/// request beside it. Requests that are asked for each second lost up to 40 tries to such a coincidence without it. One
-/// that does turn fatal while it is asked for is found that much later.
-constexpr Duration AnswerSpeaksFor = 5s;
+/// A request that was answered this recently is not considered fatal: its losses have other causes, such as a fatal
+/// request at the same targets. Without this rule, popular requests lost up to 40 attempts by coincidence. A request
+/// that does turn fatal while it is popular is detected later by this time.
+constexpr Duration RecentAnswerWindow = 5s;
 
 } // namespace
 
 Quarantine::Quarantine(Options options)
     : options_(std::move(options))
     , table_(membership::SuspectTable::Limits {})
-    , outbox_({.perSecond = ToldPerSecond, .burst = MostToldAtOnce})
+    , outbox_({.perSecond = MaxReportsPerSecond, .burst = MaxReportBurst})
     , prober_(options_.headers)
 {
 }
 
-std::optional<Duration> Quarantine::refusal(const model::RequestDigest& digest, Timestamp now)
+std::optional<Duration> Quarantine::retryDelay(const model::RequestDigest& digest, Timestamp now)
 {
     if (!table_.isBlamed(digest))
         return std::nullopt;
@@ -45,26 +45,26 @@
     return untilTrial;
 }
 
-bool Quarantine::mayRepeat(const model::RequestDigest& digest) const
+bool Quarantine::mayRetry(const model::RequestDigest& digest) const
 {
-    return table_.endsInARow(digest) < MostLostToARepeat;
+    return table_.endsInARow(digest) < MaxLostTargetsForRetry;
 }
 
-void Quarantine::noteAnswered(const model::RequestDigest& digest, Timestamp now)
+void Quarantine::onAnswered(const model::RequestDigest& digest, Timestamp now)
 {
-    endRate_.noteAnswered(now);
-    answered_.note(digest, now);
-    makeVoid(digest, now);
+    lossRate_.recordAnswer(now);
+    recentAnswers_.record(digest, now);
+    clearLosses(digest, now);
 }
 
-void Quarantine::clearAnswered(const model::RequestDigest& digest, Timestamp now)
+void Quarantine::clearIfAnswered(const model::RequestDigest& digest, Timestamp now)
 {
     const std::optional<Timestamp> firstEndAt = table_.firstEndAt(digest);
-    if (firstEndAt && answered_.wasAnsweredSince(digest, *firstEndAt - AnswerSpeaksFor))
-        makeVoid(digest, now);
+    if (firstEndAt && recentAnswers_.wasAnsweredSince(digest, *firstEndAt - RecentAnswerWindow))
+        clearLosses(digest, now);
 }
 
-void Quarantine::makeVoid(const model::RequestDigest& digest, Timestamp now)
+void Quarantine::clearLosses(const model::RequestDigest& digest, Timestamp now)
 {
     const bool wasBlamed = table_.isBlamed(digest);
     if (!table_.noteAnswered(digest, now))
@@ -74,41 +74,41 @@
         log(host::LogSeverity::Warning, LogText("request_cleared").add("request", model::toString(digest)).text(), now);
 }
 
-void Quarantine::noteBroken(const LostRun& run, bool isGone, Timestamp now)
+void Quarantine::onConnectionLost(const LostRun& run, bool hasStopped, Timestamp now)
 {
     const GatewayTarget* target = options_.targets.find(run.target);
-    // Its end is announced: it would have come without any request.
+    // The target announced that it is leaving: it would have stopped without any request.
     if (target != nullptr && target->record.isLeaving)
         return;
-    watch_.note(run);
-    if (isGone || target == nullptr)
-        return noteGone(run.target, now);
+    lostRuns_.record(run);
+    if (hasStopped || target == nullptr)
+        return onTargetStopped(run.target, now);
     prober_.probe(*target, options_.probePathOf(target->record.service), now);
 }
 
-void Quarantine::noteGone(const model::TargetIncarnation& target, Timestamp now)
+void Quarantine::onTargetStopped(const model::TargetIncarnation& target, Timestamp now)
 {
-    for (const LostRun& run : watch_.takeLostAt(target))
-        noteEnded(run, now);
+    for (const LostRun& run : lostRuns_.takeLostAt(target))
+        recordLoss(run, now);
 }
 
-void Quarantine::noteEnded(const LostRun& run, Timestamp now)
+void Quarantine::recordLoss(const LostRun& run, Timestamp now)
 {
     const bool wasBlamed = table_.isBlamed(run.digest);
-    const double usual = endRate_.share(now);
-    const bool isNews = table_.noteEnd(run.digest,
+    const double expectedLossFraction = lossRate_.lossFraction(now);
+    const bool isNew = table_.noteEnd(run.digest,
         {.target = model::incarnationHash(run.target),
             .sentAt = run.sentAt,
             .endedAt = run.lostAt,
-            .usualShare = usual},
+            .usualShare = expectedLossFraction},
         now);
     const size_t inARow = table_.endsInARow(run.digest);
-    // What a suspect ends says nothing of how others fare.
-    if (inARow < MostLostToARepeat)
-        endRate_.noteEnded(now);
-    if (!isNews)
+    // Losses under a suspect request say nothing about other requests.
+    if (inARow < MaxLostTargetsForRetry)
+        lossRate_.recordLoss(now);
+    if (!isNew)
         return;
-    clearAnswered(run.digest, now);
+    clearIfAnswered(run.digest, now);
     options_.counters.add(model::Counter::TargetsLostUnderRequests);
     outbox_.add(run.digest, table_);
     const bool isBlamed = table_.isBlamed(run.digest);
@@ -117,31 +117,31 @@
         .add("target", run.target.target.value())
         .addMilliseconds("after_ms", run.lostAt - run.sentAt)
         .add("in_a_row", inARow)
-        .add("usual_percent", static_cast<int>(usual * 100))
+        .add("usual_percent", static_cast<int>(expectedLossFraction * 100))
         .add("blamed", isBlamed ? "yes" : "no");
     if (isBlamed && !wasBlamed)
         options_.counters.add(model::Counter::RequestsBlamed);
     log(host::LogSeverity::Warning, line.text(), now);
-    tellExplained(now);
+    reportExplained(now);
 }
 
 void Quarantine::handle(const model::SuspectReport& report, Timestamp now)
 {
-    for (const model::SuspectRequest& told : report.requests) {
-        const bool wasBlamed = table_.isBlamed(told.digest);
-        if (!table_.merge(told, now))
+    for (const model::SuspectRequest& reported : report.requests) {
+        const bool wasBlamed = table_.isBlamed(reported.digest);
+        if (!table_.merge(reported, now))
             continue;
-        clearAnswered(told.digest, now);
-        if (wasBlamed == table_.isBlamed(told.digest))
+        clearIfAnswered(reported.digest, now);
+        if (wasBlamed == table_.isBlamed(reported.digest))
             continue;
         LogText line(wasBlamed ? "request_cleared" : "request_blamed");
-        line.add("request", model::toString(told.digest)).add("ends", told.ends.size());
+        line.add("request", model::toString(reported.digest)).add("ends", reported.ends.size());
         log(host::LogSeverity::Warning, line.text(), now);
     }
-    tellExplained(now);
+    reportExplained(now);
 }
 
-void Quarantine::tellExplained(Timestamp now)
+void Quarantine::reportExplained(Timestamp now)
 {
     for (const model::RequestDigest& digest : table_.takeExplained()) {
         outbox_.add(digest, table_);
@@ -151,24 +151,24 @@
 
 void Quarantine::handle(const requests::TargetEvent& event, Timestamp now)
 {
-    const std::optional<TargetProber::Probed> probed = prober_.handle(event);
-    if (!probed)
+    const std::optional<TargetProber::ProbeResult> result = prober_.handle(event);
+    if (!result)
         return;
-    if (probed->finding == TargetProber::Finding::Alive)
-        return noteAlive(probed->target);
-    if (GatewayTarget* target = options_.targets.find(probed->target))
-        target->noteFailure(now, true);
-    noteGone(probed->target, now);
+    if (result->status == TargetProber::Status::Alive)
+        return onTargetAlive(result->target);
+    if (GatewayTarget* target = options_.targets.find(result->target))
+        target->onFailure(now, true);
+    onTargetStopped(result->target, now);
 }
 
 void Quarantine::tick(Timestamp now)
 {
     prober_.tick(now);
-    watch_.expire(now);
+    lostRuns_.expire(now);
     table_.expire(now);
 }
 
-std::vector<model::SuspectRequest> Quarantine::takeNews(Timestamp now)
+std::vector<model::SuspectRequest> Quarantine::takeReports(Timestamp now)
 {
     if (outbox_.isEmpty())
         return {};
@@ -177,8 +177,8 @@
 
 void Quarantine::log(host::LogSeverity severity, std::string text, Timestamp now)
 {
-    if (lineBudget_.trySpend(now))
-        lines_.push_back({.severity = severity, .module = "gateway", .text = std::move(text)});
+    if (logLineBudget_.trySpend(now))
+        logLines_.push_back({.severity = severity, .module = "gateway", .text = std::move(text)});
 }
 
 } // namespace saltvane::gateway
--- a/src/gateway/internal/quarantine.h
+++ b/src/gateway/internal/quarantine.h
@@ -5,12 +5,12 @@
  */
 #pragma once
 
-#include "gateway/internal/answeredrequests.h"
-#include "gateway/internal/endrate.h"
-#include "gateway/internal/ratebudget.h"
-#include "gateway/internal/runwatch.h"
+#include "gateway/internal/lostruntracker.h"
+#include "gateway/internal/recentanswers.h"
+#include "gateway/internal/targetlossrate.h"
 #include "gateway/internal/targetprober.h"
 #include "gateway/internal/targetset.h"
+#include "gateway/internal/tokenbucket.h"
 #include "host/hosttypes.h"
 #include "membership/suspectoutbox.h"
 #include "membership/suspecttable.h"
@@ -23,8 +23,8 @@
 
 namespace saltvane::gateway {
 
-/// Finds requests that end the targets that run them, and keeps them from targets. What one gateway sees all gateways
-/// hear, so that three targets are lost to such a request, not two for each of its caller's tries.
+/// Detects requests that crash the targets that run them, and stops sending them to targets. All gateways share their
+/// observations, so that such a request costs three targets in total instead of two per attempt of its caller.
 /// docs/design/0013-fatal-requests.md
 class Quarantine {
 public:
@@ -32,71 +32,72 @@
         settings::HeaderNames headers;
         TargetSet& targets;
         model::Counters& counters;
-        /// Where targets of a service answer probes; empty: not known.
+        /// Path at which a service's targets answer probes; empty if unknown.
         std::function<std::string(const ServiceName&)> probePathOf;
     };
     explicit Quarantine(Options options);
 
-    /// A request that lost two targets is not repeated by this host: the third one would be lost to the same try,
-    /// before any other gateway has heard of the first two. Its caller may try again.
-    static constexpr size_t MostLostToARepeat = 2;
+    /// A request that lost two targets is not retried by this host: the third target would be lost to the same attempt,
+    /// before any other gateway has heard of the first two. The caller may send it again.
+    static constexpr size_t MaxLostTargetsForRetry = 2;
 
-    /// Before a request is sent to a target. A time: it isn't sent, and may come back after it.
-    [[nodiscard]] std::optional<Duration> refusal(const model::RequestDigest& digest, Timestamp now);
-    /// Whether a try that lost its target may go on at another one.
-    [[nodiscard]] bool mayRepeat(const model::RequestDigest& digest) const;
+    /// Called before a request is sent to a target. Returns the retry delay if the request must not be sent.
+    [[nodiscard]] std::optional<Duration> retryDelay(const model::RequestDigest& digest, Timestamp now);
+    /// Whether an attempt that lost its target may continue at another one.
+    [[nodiscard]] bool mayRetry(const model::RequestDigest& digest) const;
 
-    /// The whole answer came.
-    void noteAnswered(const model::RequestDigest& digest, Timestamp now);
-    /// The target answers, whatever it was asked.
-    void noteAlive(const model::TargetIncarnation& target) { watch_.forget(target); }
-    /// The run's connection broke. `isGone`: the target is known to be gone.
-    void noteBroken(const LostRun& run, bool isGone, Timestamp now);
-    /// The run was given up, and its target has said nothing to anybody since it was sent.
-    void noteGivenUp(const LostRun& run) { watch_.note(run); }
-    /// This start of a target is no more.
-    void noteGone(const model::TargetIncarnation& target, Timestamp now);
+    /// The complete answer was received.
+    void onAnswered(const model::RequestDigest& digest, Timestamp now);
+    /// The target answered some request or probe.
+    void onTargetAlive(const model::TargetIncarnation& target) { lostRuns_.forget(target); }
+    /// The run's connection was lost. `hasStopped`: the target is known to have stopped.
+    void onConnectionLost(const LostRun& run, bool hasStopped, Timestamp now);
+    /// The run was abandoned, and its target has answered nothing since it was sent.
+    void onRunAbandoned(const LostRun& run) { lostRuns_.record(run); }
+    /// This incarnation of a target has stopped.
+    void onTargetStopped(const model::TargetIncarnation& target, Timestamp now);
 
     void handle(const model::SuspectReport& report, Timestamp now);
-    /// Of a probe.
+    /// Handles an event of a probe.
     void handle(const requests::TargetEvent& event, Timestamp now);
-    [[nodiscard]] std::optional<TargetProber::Question> questionOf(const requests::TargetResponseHead& head) const
+    [[nodiscard]] std::optional<TargetProber::SentProbe> findSentProbe(const requests::TargetResponseHead& head) const
     {
-        return prober_.questionOf(head);
+        return prober_.findSentProbe(head);
     }
     void tick(Timestamp now);
 
-    /// What all registry hosts are to hear.
-    [[nodiscard]] std::vector<model::SuspectRequest> takeNews(Timestamp now);
-    /// What a registry host that may know nothing is to hear.
-    [[nodiscard]] std::vector<model::SuspectRequest> blamed(Timestamp now) const { return table_.blamed(now); }
+    /// Changes to report to all registry hosts.
+    [[nodiscard]] std::vector<model::SuspectRequest> takeReports(Timestamp now);
+    /// All blamed requests, for a registry host that may have lost them.
+    [[nodiscard]] std::vector<model::SuspectRequest> blamedRequests(Timestamp now) const { return table_.blamed(now); }
     [[nodiscard]] std::vector<requests::Action> takeActions() { return prober_.takeActions(); }
-    [[nodiscard]] std::vector<host::LogLine> takeLines() { return std::exchange(lines_, {}); }
+    [[nodiscard]] std::vector<host::LogLine> takeLogLines() { return std::exchange(logLines_, {}); }
 
 private:
-    /// So many requests lose their targets at one gateway in a second when a third of 1,356 targets end within one, and
-    /// it takes under a tenth of a link of 2.6 Mbit/s to say so to nine registry hosts.
-    static constexpr double ToldPerSecond = 100;
-    static constexpr double MostToldAtOnce = 50;
-    static constexpr double LinesPerSecond = 5;
-    static constexpr double MostSavedLines = 20;
+    /// When a third of 1,356 targets stop within one second, this many requests lose their targets at one gateway in a
+    /// second; reporting them to nine registry hosts takes less than a tenth of a 2.6 Mbit/s link.
+    static constexpr double MaxReportsPerSecond = 100;
+    static constexpr double MaxReportBurst = 50;
+    static constexpr double MaxLogLinesPerSecond = 5;
+    static constexpr double MaxLogLineBurst = 20;
 
-    void noteEnded(const LostRun& run, Timestamp now);
-    /// Where this gateway had an answer to it since its first end, or shortly before, its ends are void.
-    void clearAnswered(const model::RequestDigest& digest, Timestamp now);
-    void makeVoid(const model::RequestDigest& digest, Timestamp now);
-    void tellExplained(Timestamp now);
+    void recordLoss(const LostRun& run, Timestamp now);
+    /// Discards the losses if this gateway received an answer to the request since the first of them, or shortly
+    /// before.
+    void clearIfAnswered(const model::RequestDigest& digest, Timestamp now);
+    void clearLosses(const model::RequestDigest& digest, Timestamp now);
+    void reportExplained(Timestamp now);
     void log(host::LogSeverity severity, std::string text, Timestamp now);
 
     Options options_;
     membership::SuspectTable table_;
     membership::SuspectOutbox outbox_;
-    EndRate endRate_;
-    AnsweredRequests answered_;
-    RunWatch watch_;
+    TargetLossRate lossRate_;
+    RecentAnswers recentAnswers_;
+    LostRunTracker lostRuns_;
     TargetProber prober_;
-    RateBudget lineBudget_ {{.perSecond = LinesPerSecond, .burst = MostSavedLines}};
-    std::vector<host::LogLine> lines_;
+    TokenBucket logLineBudget_ {{.perSecond = MaxLogLinesPerSecond, .burst = MaxLogLineBurst}};
+    std::vector<host::LogLine> logLines_;
 };
 
 } // namespace saltvane::gateway
--- a/src/gateway/internal/regionsplit.cpp
+++ b/src/gateway/internal/regionsplit.cpp
@@ -11,59 +11,61 @@
 
 namespace {
 
-/// The cap holds from one window of two seconds to the next; a third of it is left to chance and to single requests.
+/// The cap applies to the change between consecutive two-second windows. Half of it is used: at least a third has to
+/// remain for random variation and for single requests to other regions.
 constexpr double CapWindowSeconds = 2;
-constexpr double UsedPartOfCap = 0.5;
-constexpr double LongestStepSeconds = 1;
-/// Of the region's slots: above, requests leave the region; below, they come back.
+constexpr double UsedCapFraction = 0.5;
+constexpr double MaxStepSeconds = 1;
+/// Load relative to the region's slots: above HighLoad requests are moved to other regions, below LowLoad they are
+/// moved back.
 constexpr double HighLoad = 0.85;
 constexpr double LowLoad = 0.65;
-/// A region with this multiple of its even share of all slots needs no other region before it has seen any load.
+/// A region whose slots are this multiple of an even share needs no other region until load has been observed.
 constexpr double EvenShareMargin = 1.4;
-/// Small requests that a region with slots for all of them keeps; the rest lets objects that are too many for their
-/// target find their second choice elsewhere.
-constexpr double MostHomeShare = 0.9;
-/// A smaller part of the slots than before is a loss of targets, not a change of load.
+/// Maximum share of small requests that stay in a region with slots for all of them. The rest lets objects that are too
+/// popular for their target use a second choice in another region.
+constexpr double MaxLocalShare = 0.9;
+/// A decrease of the slots below this ratio is a loss of targets, not a change of load.
 constexpr double LossRatio = 0.8;
 
 } // namespace
 
 RegionSplit::RegionSplit(double shiftCap)
-    : stepPerSecond_(shiftCap * UsedPartOfCap / CapWindowSeconds)
+    : stepPerSecond_(shiftCap * UsedCapFraction / CapWindowSeconds)
 {
 }
 
-void RegionSplit::move(State& state, const ServiceRoom& room, double largestStep)
+void RegionSplit::move(State& state, const ServiceCapacity& capacity, double maxStep)
 {
-    const double before = state.homeSlots;
-    state.homeSlots = room.homeSlots;
-    if (room.homeSlots <= 0)
-        return; // All of them go elsewhere meanwhile, whatever the share says.
+    const double before = state.localSlots;
+    state.localSlots = capacity.localSlots;
+    if (capacity.localSlots <= 0)
+        return; // All requests go to other regions meanwhile, whatever the share is.
     if (!state.isUsed || before <= 0) {
-        const double evenShare = room.allSlots / static_cast<double>(std::max<size_t>(room.regions, 1));
-        state.share = std::min(1.0, room.homeSlots / evenShare * EvenShareMargin);
+        const double evenShare = capacity.allSlots / static_cast<double>(std::max<size_t>(capacity.regions, 1));
+        state.share = std::min(1.0, capacity.localSlots / evenShare * EvenShareMargin);
         return;
     }
-    if (room.homeSlots < before * LossRatio) {
-        state.share *= room.homeSlots / before;
+    if (capacity.localSlots < before * LossRatio) {
+        state.share *= capacity.localSlots / before;
         return;
     }
-    const double load = room.homeLoad / room.homeSlots;
+    const double load = capacity.localLoad / capacity.localSlots;
     if (load > HighLoad)
-        state.share -= largestStep;
+        state.share -= maxStep;
     else if (load < LowLoad)
-        state.share += largestStep;
+        state.share += maxStep;
     state.share = std::clamp(state.share, 0.0, 1.0);
 }
 
-double RegionSplit::weightOf(const ServiceRoom& room)
+double RegionSplit::weightOf(const ServiceCapacity& capacity)
 {
-    const double awaySlots = room.allSlots - room.homeSlots;
-    if (room.homeSlots <= 0 || awaySlots <= 0)
+    const double remoteSlots = capacity.allSlots - capacity.localSlots;
+    if (capacity.localSlots <= 0 || remoteSlots <= 0)
         return 1;
-    const double evenShare = room.allSlots / static_cast<double>(std::max<size_t>(room.regions, 1));
-    const double share = std::min(room.homeSlots / evenShare, MostHomeShare);
-    return std::max(1.0, share / (1 - share) * awaySlots / room.homeSlots);
+    const double evenShare = capacity.allSlots / static_cast<double>(std::max<size_t>(capacity.regions, 1));
+    const double share = std::min(capacity.localSlots / evenShare, MaxLocalShare);
+    return std::max(1.0, share / (1 - share) * remoteSlots / capacity.localSlots);
 }
 
 void RegionSplit::install(const model::RoutePlan& plan)
@@ -75,28 +77,28 @@
 
 void RegionSplit::tick(const TargetSet& targets, Timestamp now)
 {
-    const double seconds = std::min(toSeconds(now - movedAt_), LongestStepSeconds);
+    const double seconds = std::min(toSeconds(now - movedAt_), MaxStepSeconds);
     movedAt_ = now;
     for (const ServiceName& service : services_) {
         State& state = states_[service];
-        const ServiceRoom room = targets.roomOf(service);
-        state.homeWeight = weightOf(room);
-        move(state, room, stepPerSecond_ * seconds);
+        const ServiceCapacity capacity = targets.capacityOf(service);
+        state.localWeight = weightOf(capacity);
+        move(state, capacity, stepPerSecond_ * seconds);
     }
 }
 
-double RegionSplit::homeShare(const ServiceName& service) const
+double RegionSplit::localShare(const ServiceName& service) const
 {
     const auto found = states_.find(service);
     return found == states_.end() ? 1 : found->second.share;
 }
 
-double RegionSplit::homeWeight(const ServiceName& service) const
+double RegionSplit::localWeight(const ServiceName& service) const
 {
     const auto found = states_.find(service);
-    return found == states_.end() ? 1 : found->second.homeWeight;
+    return found == states_.end() ? 1 : found->second.localWeight;
 }
 
-void RegionSplit::noteUsed(const ServiceName& service) { states_[service].isUsed = true; }
+void RegionSplit::recordUse(const ServiceName& service) { states_[service].isUsed = true; }
 
 } // namespace saltvane::gateway
--- a/src/gateway/internal/regionsplit.h
+++ b/src/gateway/internal/regionsplit.h
@@ -11,36 +11,36 @@
 
 namespace saltvane::gateway {
 
-/// How much of each service's requests this gateway keeps in its own region. Large answers: a share that follows the
-/// load of the region's targets, but never faster than the shift cap allows; only the loss of targets moves it at once.
-/// Small ones: a weight that follows the targets' slots alone, so that objects stay where they are warm when load
-/// moves.
+/// Divides each service's requests between this gateway's region and the others. Large answers use a share that follows
+/// the load of the region's targets, but no faster than the shift cap allows; only a loss of targets changes it at
+/// once. Small answers use a weight that follows the targets' slots alone, so that objects stay where they are warm
+/// when the load moves.
 class RegionSplit {
 public:
     explicit RegionSplit(double shiftCap);
 
     void install(const model::RoutePlan& plan);
-    /// Moves every service's share by what its targets' load asks for.
+    /// Adjusts every service's share to the load of its targets.
     void tick(const TargetSet& targets, Timestamp now);
-    /// Share of large requests, by object, that stay in the region: 1 where nothing is known of the service.
-    [[nodiscard]] double homeShare(const ServiceName& service) const;
-    /// How many times more a slot of the region weighs than one elsewhere when a small request's target is chosen.
-    [[nodiscard]] double homeWeight(const ServiceName& service) const;
-    /// Requests went to this service: its share is not free to jump any more.
-    void noteUsed(const ServiceName& service);
+    /// Share of large requests, by object, that stay in the region: 1 for an unknown service.
+    [[nodiscard]] double localShare(const ServiceName& service) const;
+    /// Weight of a slot in the region relative to a slot elsewhere, for the target selection of small requests.
+    [[nodiscard]] double localWeight(const ServiceName& service) const;
+    /// Requests were sent to this service: from now on its share is subject to the shift cap.
+    void recordUse(const ServiceName& service);
 
 private:
     struct State {
         double share = 1;
-        double homeWeight = 1;
-        double homeSlots = 0;
+        double localWeight = 1;
+        double localSlots = 0;
         bool isUsed = false;
     };
-    static void move(State& state, const ServiceRoom& room, double largestStep);
-    [[nodiscard]] static double weightOf(const ServiceRoom& room);
+    static void move(State& state, const ServiceCapacity& capacity, double maxStep);
+    [[nodiscard]] static double weightOf(const ServiceCapacity& capacity);
 
     double stepPerSecond_;
-    std::vector<ServiceName> services_; ///< Of the plan in force.
+    std::vector<ServiceName> services_; ///< Services of the plan in force.
     std::map<ServiceName, State> states_;
     Timestamp movedAt_ {};
 };
--- a/src/gateway/internal/registrywatch.cpp
+++ b/src/gateway/internal/registrywatch.cpp
@@ -12,46 +12,46 @@
 
 namespace {
 
-/// Of the time until a leaving target may get nothing more; the rest is for the way to the target.
-constexpr double UnansweredPart = 0.6;
-/// Of the time until a plan has to be in force; the rest is for the requests that are on their way by the old one.
-constexpr double ReplacedPart = 0.8;
-/// Registry hosts say something each 0.3 s to 1 s: one that says nothing for so long is not there.
-constexpr Duration SilentAfter = 1s;
-/// Ticks come each 20 ms: what came while there was none waits unread.
-constexpr Duration StandstillAfter = 250ms;
+/// Fraction of the limit after which a leaving target must not get requests; the rest is for their way to the target.
+constexpr double MaxUnansweredFraction = 0.6;
+/// Fraction of the limit after which a plan has to be in force; the rest is for requests in transit by the old plan.
+constexpr double MaxReplacedFraction = 0.8;
+/// Registry hosts send something every 0.3 s to 1 s; one that sends nothing for longer is unreachable.
+constexpr Duration UnresponsiveTimeout = 1s;
+/// Ticks come every 20 ms; messages that arrived during a longer gap are still unread.
+constexpr Duration StallThreshold = 250ms;
 
 } // namespace
 
-std::string_view toString(RegistryWord word)
+std::string_view toString(RegistryFreshness freshness)
 {
     static constexpr std::array<std::string_view, 3> Names {"current", "late", "cut-off"};
-    return Names.at(static_cast<size_t>(word));
+    return Names.at(static_cast<size_t>(freshness));
 }
 
 RegistryWatch::RegistryWatch(const Limits& limits)
-    : longestUnanswered_(fromSeconds(toSeconds(std::min(limits.leave, limits.plan)) * UnansweredPart))
-    , longestReplaced_(fromSeconds(toSeconds(limits.plan) * ReplacedPart))
+    : maxAnswerAge_(fromSeconds(toSeconds(std::min(limits.leave, limits.plan)) * MaxUnansweredFraction))
+    , maxReplacedPlanAge_(fromSeconds(toSeconds(limits.plan) * MaxReplacedFraction))
 {
 }
 
-void RegistryWatch::noteAwake(Timestamp now)
+void RegistryWatch::onActivity(Timestamp now)
 {
-    if (now - seenAt_ >= StandstillAfter)
-        awakeSince_ = now;
-    seenAt_ = now;
+    if (now - lastActivityAt_ >= StallThreshold)
+        runningSince_ = now;
+    lastActivityAt_ = now;
 }
 
-RegistryWord RegistryWatch::word(const control::IBundleHolder& holder, Timestamp now) const
+RegistryFreshness RegistryWatch::freshness(const control::IBundleHolder& replica, Timestamp now) const
 {
-    const bool isAnswered = holder.answerAge(now) <= longestUnanswered_;
-    // Without a proof at its sources nothing newer can have been acknowledged, as far as it can know.
-    const bool isPlanReplaced = holder.isFetching() && holder.age(now) > longestReplaced_
-        && holder.provenAnswerAge(now) <= longestUnanswered_;
+    const bool isAnswered = replica.answerAge(now) <= maxAnswerAge_;
+    // Without a proof at the registry hosts themselves, nothing newer can have been acknowledged as far as they know.
+    const bool isPlanReplaced = replica.isFetching() && replica.age(now) > maxReplacedPlanAge_
+        && replica.provenAnswerAge(now) <= maxAnswerAge_;
     if (isAnswered && !isPlanReplaced)
-        return RegistryWord::Current;
-    const bool isSilent = now - std::max(heardAt_, awakeSince_) > SilentAfter;
-    return isSilent ? RegistryWord::CutOff : RegistryWord::Late;
+        return RegistryFreshness::Current;
+    const bool isUnresponsive = now - std::max(lastMessageAt_, runningSince_) > UnresponsiveTimeout;
+    return isUnresponsive ? RegistryFreshness::CutOff : RegistryFreshness::Late;
 }
 
 } // namespace saltvane::gateway
--- a/src/gateway/internal/registrywatch.h
+++ b/src/gateway/internal/registrywatch.h
@@ -11,37 +11,41 @@
 
 namespace saltvane::gateway {
 
-/// How far this gateway may go by what the registry has told it.
-enum class RegistryWord {
-    Current, ///< Whatever was acknowledged a while ago is known here.
-    Late, ///< The registry is there, but its word comes late, or has not been read yet: it may not be gone by.
-    CutOff ///< Nothing is heard of the registry: what was known last is what there is.
+/// How current the registry's information is that this gateway has.
+enum class RegistryFreshness {
+    /// Everything that was acknowledged more than a limit ago is known here.
+    Current,
+    /// The registry is reachable, but its messages arrive late or were not read yet: no requests may be sent by them.
+    Late,
+    /// Nothing is received from the registry: the last known state is used.
+    CutOff
 };
-[[nodiscard]] std::string_view toString(RegistryWord word);
+[[nodiscard]] std::string_view toString(RegistryFreshness freshness);
 
-/// Judges the registry's word by what it answers: links keep the order of what is said on them, so an answer comes
-/// after everything that was said before it. Targets that leave get nothing, and plans are in force, within the limits
-/// that operators set, also at gateways that stood still or whose links are full.
+/// Determines how current the registry's information is from its answers: links preserve the order of messages, so
+/// everything that was sent before an answer has been received with it. This way leaving targets get no more requests
+/// and plans are in force within the operator's limits, even at gateways whose process was stalled or whose links are
+/// congested.
 class RegistryWatch {
 public:
     struct Limits {
-        Duration leave; ///< From the acknowledgement that a target leaves until it gets nothing more.
-        Duration plan; ///< From a plan's acknowledgement until it is in force.
+        Duration leave; ///< From the acknowledgement that a target is leaving until it must not get new requests.
+        Duration plan; ///< From a plan's acknowledgement until it has to be in force.
     };
     explicit RegistryWatch(const Limits& limits);
 
-    /// To be told of each event and tick, before anything else.
-    void noteAwake(Timestamp now);
-    /// Something came from a registry host.
-    void noteHeard(Timestamp now) { heardAt_ = now; }
-    [[nodiscard]] RegistryWord word(const control::IBundleHolder& holder, Timestamp now) const;
+    /// Has to be called for each event and tick, before anything else.
+    void onActivity(Timestamp now);
+    /// A message arrived from a registry host.
+    void onMessage(Timestamp now) { lastMessageAt_ = now; }
+    [[nodiscard]] RegistryFreshness freshness(const control::IBundleHolder& replica, Timestamp now) const;
 
 private:
-    Duration longestUnanswered_;
-    Duration longestReplaced_;
-    Timestamp seenAt_ {};
-    Timestamp awakeSince_ {};
-    Timestamp heardAt_ {};
+    Duration maxAnswerAge_;
+    Duration maxReplacedPlanAge_;
+    Timestamp lastActivityAt_ {};
+    Timestamp runningSince_ {};
+    Timestamp lastMessageAt_ {};
 };
 
 } // namespace saltvane::gateway
--- a/src/gateway/internal/requestanswers.cpp
+++ b/src/gateway/internal/requestanswers.cpp
@@ -8,14 +8,14 @@
 
 #include <utility>
 
-/// What RequestRunner makes of what targets answer, and of targets that fail.
+/// RequestRunner: answers and failures of targets.
 namespace saltvane::gateway {
 
 namespace {
 
-/// Answers up to it are gathered whole, so that a request whose answer breaks off can be repeated. Larger ones would
-/// cross the gateway's link twice, one time after the other.
-constexpr uint64_t LargestGathered = 16 * 1024;
+/// Answers up to this size are buffered, so that the request can be retried if the answer breaks off. For larger ones,
+/// receiving and sending one after the other would use the gateway's link twice in sequence.
+constexpr uint64_t MaxBufferedAnswerBytes = 16 * 1024;
 
 constexpr int StatusMisdirected = 421;
 
@@ -30,43 +30,43 @@
     const std::string_view id = requests::firstFieldValue(head.headers, options_.headers.requestId);
     const bool isNotRun = !requests::firstFieldValue(head.headers, options_.headers.notRun).empty();
     const bool isRefusal = isNotRun || head.status == StatusMisdirected;
-    // A surplus answer of an earlier request carries another id. Only a refusal may come without any.
-    const bool isOwn = id == exchange.id.value() || (id.empty() && isRefusal);
-    if (!isOwn) {
+    // An extra answer to an earlier request carries another id. Only refusals may come without an id.
+    const bool isOwnAnswer = id == exchange.id.value() || (id.empty() && isRefusal);
+    if (!isOwnAnswer) {
         actions_.emplace_back(requests::TargetCancel {.dispatch = exchange.dispatch});
         exchange.mayHaveRun = true;
         exchange.lastFailure = "answer of another request";
-        return tryElsewhere(exchange, model::Reason::TargetFailed, now);
+        return retryElsewhere(exchange, model::Reason::TargetFailed, now);
     }
-    // Another target's word says nothing of the one that was asked.
+    // An answer of another target says nothing about the selected one.
     if (head.status != StatusMisdirected)
-        options_.backpressure.note({.target = exchange.target,
-                                       .status = head.status,
-                                       .headers = head.headers,
-                                       .isNotRun = isNotRun,
-                                       .sentAt = exchange.sentAt},
+        options_.backpressure.onAnswer({.target = exchange.target,
+                                           .status = head.status,
+                                           .headers = head.headers,
+                                           .isNotRun = isNotRun,
+                                           .sentAt = exchange.sentAt},
             now);
     if (isRefusal)
-        return noteRefusedByTarget(exchange, head.status, now);
-    options_.quarantine.noteAlive(exchange.target);
-    exchange.toHead = now - exchange.sentAt;
-    options_.latencies.add(exchange.route.kind, Stage::Target, exchange.toHead);
+        return onRefusedByTarget(exchange, head.status, now);
+    options_.quarantine.onTargetAlive(exchange.target);
+    exchange.timeToHead = now - exchange.sentAt;
+    options_.latencies.add(exchange.route.kind, Stage::Target, exchange.timeToHead);
     if (target != nullptr)
-        options_.placement.noteAnswer(*target,
+        options_.placement.recordAnswer(*target,
             {.route = exchange.route.name,
                 .object = exchange.object,
-                .taken = now - exchange.sentAt,
-                .loadAtStart = exchange.loadAtStart,
+                .duration = now - exchange.sentAt,
+                .loadAtSend = exchange.loadAtSend,
                 .choice = exchange.choice},
             now);
-    doubts_.erase({exchange.checkAt, exchange.handle});
+    stallChecks_.erase({exchange.stallCheckAt, exchange.handle});
     exchange.phase = Exchange::Phase::ReceivingAnswer;
     exchange.answer = {.handle = exchange.handle,
         .status = head.status,
         .headers = requests::endToEndHeaders(head.headers),
         .bodyLength = head.bodyLength,
         .isLast = false};
-    if (head.bodyLength.value_or(0) > LargestGathered)
+    if (head.bodyLength.value_or(0) > MaxBufferedAnswerBytes)
         startStreaming(exchange);
 }
 
@@ -79,17 +79,17 @@
     exchange.answer = {};
 }
 
-void RequestRunner::noteRefusedByTarget(Exchange& exchange, int status, Timestamp now)
+void RequestRunner::onRefusedByTarget(Exchange& exchange, int status, Timestamp now)
 {
     actions_.emplace_back(requests::TargetCancel {.dispatch = exchange.dispatch});
-    exchange.hasCredit = true; // Only runs use credits up.
+    exchange.hasCredit = true; // Credits are used by runs only.
     if (status == StatusMisdirected) {
-        options_.targets.noteGone(exchange.target);
-        options_.quarantine.noteGone(exchange.target, now);
+        options_.targets.markStopped(exchange.target);
+        options_.quarantine.onTargetStopped(exchange.target, now);
     } else if (GatewayTarget* target = options_.targets.find(exchange.target)) {
-        target->noteRefusal(now);
+        target->onRefusal(now);
     }
-    tryElsewhere(exchange, model::Reason::TargetShed, now);
+    retryElsewhere(exchange, model::Reason::TargetShed, now);
 }
 
 void RequestRunner::accept(requests::TargetResponseBody& body, Exchange& exchange, Timestamp /*now*/)
@@ -101,14 +101,14 @@
     }
     actions_.emplace_back(requests::TargetResponseWindow {.dispatch = exchange.dispatch, .bytes = body.bytes.size()});
     exchange.answer.bytes += body.bytes;
-    if (exchange.answer.bytes.size() > LargestGathered)
+    if (exchange.answer.bytes.size() > MaxBufferedAnswerBytes)
         startStreaming(exchange);
 }
 
 void RequestRunner::accept(requests::TargetResponseDone& /*done*/, Exchange& exchange, Timestamp now)
 {
     releaseTarget(exchange);
-    options_.quarantine.noteAnswered(exchange.digest, now);
+    options_.quarantine.onAnswered(exchange.digest, now);
     const int status = exchange.answer.status;
     if (exchange.phase == Exchange::Phase::Streaming) {
         actions_.emplace_back(requests::HttpResponseBody {.handle = exchange.handle, .isLast = true});
@@ -127,10 +127,10 @@
 void RequestRunner::accept(requests::TargetFailed& failed, Exchange& exchange, Timestamp now)
 {
     if (GatewayTarget* target = options_.targets.find(exchange.target))
-        target->noteFailure(now, !failed.mayHaveReachedTarget);
+        target->onFailure(now, !failed.mayHaveReachedTarget);
     exchange.lastFailure = std::move(failed.message);
     exchange.isLastTargetGone = failed.isRefused;
-    noteLost(failed, exchange, now);
+    onTargetLost(failed, exchange, now);
     if (exchange.isAnswerStarted) {
         abort(exchange);
         options_.counters.add(model::Counter::BrokenBodies);
@@ -139,7 +139,7 @@
     }
     exchange.hasCredit = !failed.mayHaveReachedTarget;
     exchange.mayHaveRun = exchange.mayHaveRun || failed.mayHaveReachedTarget;
-    tryElsewhere(
+    retryElsewhere(
         exchange, failed.mayHaveReachedTarget ? model::Reason::TargetFailed : model::Reason::ConnectFailed, now);
 }
 
--- a/src/gateway/internal/requestends.cpp
+++ b/src/gateway/internal/requestcompletion.cpp
@@ -6,12 +6,13 @@
 #include "gateway/internal/requestrunner.h"
 #include "requests/headerfilter.h"
 
-/// How RequestRunner ends requests: refusals, unknown outcomes, answers, and what has to be given back.
+/// RequestRunner: completion of requests by a refusal, an unknown outcome or an answer, and the release of what they
+/// used.
 namespace saltvane::gateway {
 
 namespace {
 
-/// Callers know by these that a request has not run, and may send it again.
+/// Statuses that tell callers that the request was not run and may be sent again.
 constexpr int StatusUnavailable = 503;
 constexpr int StatusTooManyRequests = 429;
 
@@ -22,37 +23,37 @@
 
 std::string secondsText(Duration duration)
 {
-    // Thousandths are all that a caller can use.
+    // Milliseconds are precise enough for callers.
     std::string text = std::to_string(toSeconds(duration));
     return text.substr(0, text.size() - 3);
 }
 
 } // namespace
 
-/// After the last try: "not run" only where that is known.
-void RequestRunner::giveUp(Exchange& exchange, model::Reason reason, Timestamp now)
+/// Called after the last attempt. Reports "not run" only if that is certain.
+void RequestRunner::fail(Exchange& exchange, model::Reason reason, Timestamp now)
 {
     if (!exchange.mayHaveRun)
-        return refuse(exchange, reason, UsualRetryAfter, now);
+        return refuse(exchange, reason, DefaultRetryAfter, now);
     options_.counters.add(model::Counter::RequestsUnknown);
     options_.counters.addUnknown(reason);
     const int status = model::httpStatus(model::Outcome::Unknown, reason);
-    refuseAtOnce(exchange.handle, status, reason, Duration::zero());
+    respondWithError(exchange.handle, status, reason, Duration::zero());
     finish(
         exchange, {.exchange = exchange, .outcome = model::Outcome::Unknown, .reason = reason, .status = status}, now);
 }
 
 void RequestRunner::refuse(Exchange& exchange, model::Reason reason, Duration retryAfter, Timestamp now)
 {
-    if (exchange.mayHaveRun) // A repeat found no place; the first try may have run.
-        return giveUp(exchange, exchange.lastReason, now);
-    refuseAtOnce(exchange.handle, 0, reason, retryAfter, true);
+    if (exchange.mayHaveRun) // No target accepted the retry; the first attempt may have been run.
+        return fail(exchange, exchange.lastReason, now);
+    respondWithError(exchange.handle, 0, reason, retryAfter, true);
     finish(exchange,
         {.exchange = exchange, .outcome = model::Outcome::NotRun, .reason = reason, .status = notRunStatus(reason)},
         now);
 }
 
-void RequestRunner::refuseEarly(
+void RequestRunner::refuseOnArrival(
     const requests::HttpRequestStarted& request, const PlannedRoute* route, const EarlyRefusal& refusal, Timestamp now)
 {
     Exchange exchange {.handle = request.handle,
@@ -65,12 +66,13 @@
     const int status = refusal.status == 0 ? StatusUnavailable : refusal.status;
     options_.onDecided(
         {.exchange = exchange, .outcome = model::Outcome::NotRun, .reason = refusal.reason, .status = status}, now);
-    // With a body still on its way the close could reset the connection before the answer is read.
+    // While the body is still arriving, closing could reset the connection before the caller reads the answer.
     const bool isWhole = request.bodyLength == 0;
-    refuseAtOnce(request.handle, refusal.status, refusal.reason, refusal.retryAfter, refusal.status == 0 && isWhole);
+    respondWithError(
+        request.handle, refusal.status, refusal.reason, refusal.retryAfter, refusal.status == 0 && isWhole);
 }
 
-void RequestRunner::refuseAtOnce(
+void RequestRunner::respondWithError(
     requests::HttpHandle handle, int status, model::Reason reason, Duration retryAfter, bool isConnectionClosed)
 {
     const bool isNotRun = status == 0;
@@ -89,7 +91,7 @@
         .bytes = std::move(text)};
     if (isNotRun)
         answer.headers.push_back({.name = std::string(requests::RetryAfterHeader),
-            .value = secondsText(isLeaving_ ? StopRetryAfter : retryAfter)});
+            .value = secondsText(isLeaving_ ? StoppingRetryAfter : retryAfter)});
     respond(std::move(answer), isConnectionClosed);
 }
 
@@ -97,39 +99,39 @@
 {
     if (isLeaving_ || isConnectionClosed)
         answer.headers.push_back({.name = "Connection", .value = "close"});
-    answering_.insert(answer.handle);
+    pendingAnswers_.insert(answer.handle);
     actions_.emplace_back(std::move(answer));
 }
 
 void RequestRunner::abort(const Exchange& exchange)
 {
-    answering_.erase(exchange.handle);
+    pendingAnswers_.erase(exchange.handle);
     actions_.emplace_back(requests::HttpAbort {.handle = exchange.handle});
 }
 
 void RequestRunner::finish(Exchange& exchange, Decision decision, Timestamp now)
 {
     options_.onDecided(decision, now);
-    giveBackCredit(exchange, now);
+    returnUnusedCredit(exchange, now);
     erase(exchange);
 }
 
-void RequestRunner::giveBackCredit(const Exchange& exchange, Timestamp now)
+void RequestRunner::returnUnusedCredit(const Exchange& exchange, Timestamp now)
 {
     const bool isAwaiting
         = exchange.phase == Exchange::Phase::AwaitingCredit || exchange.phase == Exchange::Phase::AwaitingTargetCredit;
     if (isAwaiting)
-        options_.credits.forget(exchange.handle);
+        options_.credits.cancel(exchange.handle);
     if (exchange.hasCredit && exchange.account && exchange.account->account.limit)
-        options_.credits.giveBack(model::limitIdOf(exchange.account->account.name), now);
+        options_.credits.returnCredit(model::limitIdOf(exchange.account->account.name), now);
 }
 
 void RequestRunner::erase(Exchange& exchange)
 {
     releaseTarget(exchange);
     deadlines_.erase({exchange.deadline, exchange.handle});
-    if (exchange.isOnLink)
-        options_.link.noteEnded(exchange.answerBytes);
+    if (exchange.isInLinkBudget)
+        options_.link.recordCompletion(exchange.answerBytes);
     const requests::HttpHandle handle = exchange.handle;
     exchanges_.erase(handle);
 }
--- a/src/gateway/internal/requestcredits.cpp
+++ b/src/gateway/internal/requestcredits.cpp
@@ -5,21 +5,21 @@
  */
 #include "gateway/internal/requestrunner.h"
 
-/// How RequestRunner comes by credits of limits: of client accounts before a target is chosen, of targets after.
+/// RequestRunner: credits of limits, of client accounts before a target is selected and of targets after that.
 namespace saltvane::gateway {
 
 namespace {
 
-/// Registry hosts asked for one credit, one after the other.
-constexpr size_t MostSourcesForAccounts = 3;
-/// There are other targets meanwhile.
-constexpr size_t MostSourcesForTargets = 2;
-/// Targets asked for on behalf of one request: those without a credit are left out of the next requests' choices.
-constexpr size_t MostTargetsAsked = 3;
+/// Registry hosts that are asked in turn for an account's credit.
+constexpr size_t MaxSourcesPerAccountCredit = 3;
+/// Fewer for a target's credit, since other targets may take the request.
+constexpr size_t MaxSourcesPerTargetCredit = 2;
+/// Targets for which one request may ask for a credit. Targets without one are skipped by the next requests.
+constexpr size_t MaxTargetsAskedForCredit = 3;
 
 } // namespace
 
-bool RequestRunner::hasCredit(Exchange& exchange, Timestamp now)
+bool RequestRunner::tryAcquireCredit(Exchange& exchange, Timestamp now)
 {
     if (!exchange.account || !exchange.account->account.limit || exchange.hasCredit)
         return true;
@@ -28,65 +28,67 @@
     if (exchange.hasCredit)
         return true;
     exchange.phase = Exchange::Phase::AwaitingCredit;
-    options_.credits.ask(exchange.handle, limit, MostSourcesForAccounts, now);
+    options_.credits.request(exchange.handle, limit, MaxSourcesPerAccountCredit, now);
     return false;
 }
 
-bool RequestRunner::hasTargetCredit(Exchange& exchange, const Placed& placed, Timestamp now)
+bool RequestRunner::tryAcquireTargetCredit(Exchange& exchange, const TargetSelection& selection, Timestamp now)
 {
-    const model::TargetIncarnation start = placed.target->start();
-    if (!placed.target->backpressure.limit || options_.credits.trySpend(model::limitIdOf(start), now))
+    const model::TargetIncarnation targetIncarnation = selection.target->targetIncarnation();
+    if (!selection.target->backpressure.limit || options_.credits.trySpend(model::limitIdOf(targetIncarnation), now))
         return true;
     exchange.phase = Exchange::Phase::AwaitingTargetCredit;
-    exchange.awaited
-        = {.start = start, .choice = placed.choice, .isLikelyWarm = placed.isLikelyWarm, .work = placed.work};
-    options_.credits.ask(exchange.handle, model::limitIdOf(start), MostSourcesForTargets, now);
+    exchange.awaited = {.targetIncarnation = targetIncarnation,
+        .choice = selection.choice,
+        .isLikelyWarm = selection.isLikelyWarm,
+        .processingTime = selection.processingTime};
+    options_.credits.request(exchange.handle, model::limitIdOf(targetIncarnation), MaxSourcesPerTargetCredit, now);
     return false;
 }
 
-void RequestRunner::noteCredits(Timestamp now)
+void RequestRunner::onCreditResults(Timestamp now)
 {
-    for (const LimitCredits::Verdict& verdict : options_.credits.takeVerdicts()) {
-        Exchange* exchange = find(verdict.handle);
+    for (const LimitCredits::CreditResult& result : options_.credits.takeResults()) {
+        Exchange* exchange = find(result.handle);
         if (exchange == nullptr)
             continue;
         if (exchange->phase == Exchange::Phase::AwaitingTargetCredit) {
-            noteTargetCredit(*exchange, verdict, now);
+            onTargetCreditResult(*exchange, result, now);
             continue;
         }
-        exchange->hasCredit = verdict.reason == model::Reason::None;
+        exchange->hasCredit = result.reason == model::Reason::None;
         if (exchange->hasCredit)
             dispatch(*exchange, now);
         else
-            refuse(*exchange, verdict.reason, verdict.retryAfter, now);
+            refuse(*exchange, result.reason, result.retryAfter, now);
     }
 }
 
-void RequestRunner::noteTargetCredit(Exchange& exchange, const LimitCredits::Verdict& verdict, Timestamp now)
+void RequestRunner::onTargetCreditResult(Exchange& exchange, const LimitCredits::CreditResult& result, Timestamp now)
 {
     exchange.phase = Exchange::Phase::ReceivingBody;
     const Exchange::AwaitedTarget& awaited = exchange.awaited;
-    GatewayTarget* target = options_.targets.find(awaited.start);
-    if (verdict.reason == model::Reason::None) {
+    GatewayTarget* target = options_.targets.find(awaited.targetIncarnation);
+    if (result.reason == model::Reason::None) {
         const model::RoutedService* service = routes_->plan().findService(exchange.service);
-        const bool isUsable = target != nullptr && service != nullptr && !options_.isWordLate(now)
+        const bool isUsable = target != nullptr && service != nullptr && !options_.isRegistryLate(now)
             && options_.targets.isUsable(*target, *service, now);
         if (isUsable)
             return send(exchange,
                 {.target = target,
                     .choice = awaited.choice,
                     .isLikelyWarm = awaited.isLikelyWarm,
-                    .work = awaited.work},
+                    .processingTime = awaited.processingTime},
                 now);
-        options_.credits.giveBack(model::limitIdOf(awaited.start), now);
+        options_.credits.returnCredit(model::limitIdOf(awaited.targetIncarnation), now);
         return dispatch(exchange, now);
     }
     if (target != nullptr)
-        target->backpressure.noCreditUntil = now + verdict.retryAfter;
-    if (verdict.reason == model::Reason::LimitUnknown)
-        options_.backpressure.noteUnknown(awaited.start);
-    if (++exchange.targetCreditsRefused >= MostTargetsAsked)
-        return refuse(exchange, model::Reason::BackPressure, verdict.retryAfter, now);
+        target->backpressure.noCreditUntil = now + result.retryAfter;
+    if (result.reason == model::Reason::LimitUnknown)
+        options_.backpressure.reportAgain(awaited.targetIncarnation);
+    if (++exchange.targetCreditsRefused >= MaxTargetsAskedForCredit)
+        return refuse(exchange, model::Reason::BackPressure, result.retryAfter, now);
     dispatch(exchange, now);
 }
 
--- a/src/gateway/internal/requesthasher.cpp
+++ b/src/gateway/internal/requesthasher.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// Sets this key apart from any other use of the link key.
+/// Separates this key from other uses of the link secret.
 constexpr std::string_view KeyContext = "saltvane request digest v1 key";
 static_assert(KeyContext.size() >= crypto_generichash_KEYBYTES_MIN);
 static_assert(KeyContext.size() <= crypto_generichash_KEYBYTES_MAX);
@@ -38,7 +38,7 @@
         addSized(field);
 }
 
-/// With its length in front, so that no two heads look alike.
+/// Prefixes the field with its length, so that different heads never hash the same bytes.
 void RequestHasher::addSized(std::string_view field)
 {
     const uint64_t size = field.size();
--- a/src/gateway/internal/requesthasher.h
+++ b/src/gateway/internal/requesthasher.h
@@ -17,22 +17,22 @@
 /// Key of request digests; the same on all hosts of a deployment.
 using DigestKey = std::array<unsigned char, crypto_generichash_KEYBYTES>;
 
-/// From the key that the hosts share for their links.
+/// Derives the key from the secret that the hosts share for their links.
 [[nodiscard]] DigestKey deriveDigestKey(std::string_view linkKey);
 
-/// Takes a request's digest while its body comes in.
+/// Computes a request's digest while its body arrives.
 class RequestHasher {
 public:
     struct Head {
-        std::string_view clientAccount; ///< Empty where callers don't name it.
+        std::string_view clientAccount; ///< Empty if callers do not state it.
         std::string_view method;
         std::string_view host;
-        std::string_view path; ///< With the query.
+        std::string_view path; ///< Including the query.
     };
     RequestHasher(const DigestKey& key, const Head& head);
 
     void addBody(std::string_view bytes);
-    /// Once, after the whole body.
+    /// To be called once, after the whole body.
     [[nodiscard]] model::RequestDigest finish();
 
 private:
--- a/src/gateway/internal/requestintake.cpp
+++ b/src/gateway/internal/requestintake.cpp
@@ -12,13 +12,13 @@
 #include <utility>
 #include <xxhash.h>
 
-/// How RequestRunner takes requests in: who calls, which route, what is refused at once, and the body.
+/// RequestRunner: arrival of requests, which covers the caller's account, the route, immediate refusals and the body.
 namespace saltvane::gateway {
 
 namespace {
 
-constexpr Duration UsualDeadline = 30s; ///< Of callers that state none.
-constexpr double LargestDeadlineMs = 3.6e6;
+constexpr Duration DefaultDeadline = 30s; ///< For callers that state none.
+constexpr double MaxDeadlineMs = 3.6e6;
 constexpr int StatusUnauthorized = 401;
 constexpr int StatusNotFound = 404;
 constexpr int StatusTooLarge = 413;
@@ -29,7 +29,7 @@
     const auto parsed = std::from_chars(text.data(), text.data() + text.size(), value);
     if (parsed.ec != std::errc {} || !std::isfinite(value) || value < 0)
         return std::nullopt;
-    return fromSeconds(std::min(value, LargestDeadlineMs) / 1000);
+    return fromSeconds(std::min(value, MaxDeadlineMs) / 1000);
 }
 
 std::optional<uint64_t> objectHash(std::string_view object)
@@ -45,7 +45,7 @@
 {
     const auto isKey
         = [&](const model::Header& header) { return model::isSameFieldName(header.name, options_.headers.clientKey); };
-    // Of two keys nobody could tell which one is meant.
+    // With two keys it is ambiguous which one is meant.
     if (std::ranges::count_if(request.headers, isKey) != 1)
         return nullptr;
     return routes_->findAccount(std::ranges::find_if(request.headers, isKey)->value);
@@ -87,7 +87,7 @@
     exchange->planVersion = routes_->plan().version;
     exchange->startedAt = now;
     const Duration stated
-        = parseMilliseconds(requests::firstFieldValue(request.headers, names.deadline)).value_or(UsualDeadline);
+        = parseMilliseconds(requests::firstFieldValue(request.headers, names.deadline)).value_or(DefaultDeadline);
     exchange->deadline = now + std::min(stated, route.route.timeout);
     return exchange;
 }
@@ -96,35 +96,42 @@
 {
     options_.counters.add(model::Counter::Requests);
     if (isRefusing_)
-        return refuseEarly(request, nullptr, {.reason = model::Reason::Stopping, .retryAfter = StopRetryAfter}, now);
+        return refuseOnArrival(
+            request, nullptr, {.reason = model::Reason::Stopping, .retryAfter = StoppingRetryAfter}, now);
     if (!routes_)
-        return refuseEarly(request, nullptr, {.reason = model::Reason::NotReady, .retryAfter = StartRetryAfter}, now);
-    if (options_.isWordLate(now))
-        return refuseEarly(request, nullptr, {.reason = model::Reason::StaleState, .retryAfter = StartRetryAfter}, now);
+        return refuseOnArrival(
+            request, nullptr, {.reason = model::Reason::NotReady, .retryAfter = NotReadyRetryAfter}, now);
+    if (options_.isRegistryLate(now))
+        return refuseOnArrival(
+            request, nullptr, {.reason = model::Reason::StaleState, .retryAfter = NotReadyRetryAfter}, now);
     PlannedRoute* route = routes_->find(requests::firstFieldValue(request.headers, "Host"), request.path);
-    if (route == nullptr && isPlanDoubtful_)
-        return refuseEarly(request, nullptr, {.reason = model::Reason::NotReady, .retryAfter = StartRetryAfter}, now);
+    if (route == nullptr && isPlanUncertain_)
+        return refuseOnArrival(
+            request, nullptr, {.reason = model::Reason::NotReady, .retryAfter = NotReadyRetryAfter}, now);
     if (route == nullptr)
-        return refuseEarly(request, nullptr, {.status = StatusNotFound, .reason = model::Reason::UnknownService}, now);
-    const bool isKeyNeeded = routes_->plan().hasAccounts && !route->route.isPublic;
-    model::AccountRef account = isKeyNeeded ? accountOf(request) : nullptr;
-    if (isKeyNeeded && !account && isPlanDoubtful_)
-        return refuseEarly(request, route, {.reason = model::Reason::NotReady, .retryAfter = StartRetryAfter}, now);
-    if (isKeyNeeded && !account)
-        return refuseEarly(request, route, {.status = StatusUnauthorized, .reason = model::Reason::UnknownKey}, now);
+        return refuseOnArrival(
+            request, nullptr, {.status = StatusNotFound, .reason = model::Reason::UnknownService}, now);
+    const bool needsKey = routes_->plan().hasAccounts && !route->route.isPublic;
+    model::AccountRef account = needsKey ? accountOf(request) : nullptr;
+    if (needsKey && !account && isPlanUncertain_)
+        return refuseOnArrival(
+            request, route, {.reason = model::Reason::NotReady, .retryAfter = NotReadyRetryAfter}, now);
+    if (needsKey && !account)
+        return refuseOnArrival(
+            request, route, {.status = StatusUnauthorized, .reason = model::Reason::UnknownKey}, now);
     if (request.bodyLength.value_or(0) > routes_->plan().limits.bodyBytes)
-        return refuseEarly(request, route, {.status = StatusTooLarge, .reason = model::Reason::BodyTooLarge}, now);
+        return refuseOnArrival(request, route, {.status = StatusTooLarge, .reason = model::Reason::BodyTooLarge}, now);
     const bool isLarge = route->route.kind == model::RouteKind::LargeRead;
-    if (isLarge && !options_.link.hasRoomFor(route->route))
-        return refuseEarly(
-            request, route, {.reason = model::Reason::LinkLimitReached, .retryAfter = UsualRetryAfter}, now);
-    std::unique_ptr<Exchange> made = makeExchange(request, *route, std::move(account), now);
-    made->isOnLink = isLarge;
+    if (isLarge && !options_.link.canCarry(route->route))
+        return refuseOnArrival(
+            request, route, {.reason = model::Reason::LinkLimitReached, .retryAfter = DefaultRetryAfter}, now);
+    std::unique_ptr<Exchange> newExchange = makeExchange(request, *route, std::move(account), now);
+    newExchange->isInLinkBudget = isLarge;
     if (isLarge)
-        options_.link.noteStarted();
-    Exchange& exchange = *made;
-    options_.retries.noteRequest(exchange.service, now);
-    exchanges_.emplace(request.handle, std::move(made));
+        options_.link.recordStart();
+    Exchange& exchange = *newExchange;
+    options_.retries.recordRequest(exchange.service, now);
+    exchanges_.emplace(request.handle, std::move(newExchange));
     deadlines_.emplace(exchange.deadline, exchange.handle);
     if (request.bodyLength == 0)
         start(exchange, now);
@@ -138,7 +145,7 @@
     exchange->body += body.bytes;
     exchange->hasher->addBody(body.bytes);
     if (exchange->body.size() > routes_->plan().limits.bodyBytes) {
-        refuseAtOnce(body.handle, StatusTooLarge, model::Reason::BodyTooLarge, Duration::zero());
+        respondWithError(body.handle, StatusTooLarge, model::Reason::BodyTooLarge, Duration::zero());
         return erase(*exchange);
     }
     if (!body.isLast) {
--- a/src/gateway/internal/requestlosses.cpp
+++ b/src/gateway/internal/requestlosses.cpp
@@ -7,14 +7,14 @@
 
 #include <algorithm>
 
-/// How RequestRunner notes that a request lost its target, or may have.
+/// RequestRunner: requests that lost their target, or may have.
 namespace saltvane::gateway {
 
 namespace {
 
-/// Of a target that is known to be gone: what it sent before may still be under way, over two regions and a slow link.
-/// Then its requests are repeated or ended, instead of being held for the seconds that their route allows.
-constexpr Duration LastAnswers = 500ms;
+/// How long answers of a target that has stopped may still arrive, over two regions and a slow link. After that its
+/// requests are retried or failed, instead of waiting until the route's timeout.
+constexpr Duration LastAnswersTimeout = 500ms;
 
 } // namespace
 
@@ -23,44 +23,44 @@
     return {.digest = exchange.digest, .target = exchange.target, .sentAt = exchange.sentAt, .lostAt = now};
 }
 
-void RequestRunner::noteGivenUp(const Exchange& exchange, Timestamp now)
+void RequestRunner::onRunAbandoned(const Exchange& exchange, Timestamp now)
 {
     const GatewayTarget* target = options_.targets.find(exchange.target);
     if (target == nullptr || (!target->record.isLeaving && target->answeredAt < exchange.sentAt))
-        options_.quarantine.noteGivenUp(lostRunOf(exchange, now));
+        options_.quarantine.onRunAbandoned(lostRunOf(exchange, now));
 }
 
-void RequestRunner::noteLost(const requests::TargetFailed& failed, Exchange& exchange, Timestamp now)
+void RequestRunner::onTargetLost(const requests::TargetFailed& failed, Exchange& exchange, Timestamp now)
 {
     if (failed.mayHaveReachedTarget) {
         ++exchange.targetsLost;
-        options_.quarantine.noteBroken(lostRunOf(exchange, now), failed.isRefused, now);
+        options_.quarantine.onConnectionLost(lostRunOf(exchange, now), failed.isRefused, now);
     } else if (failed.isRefused) {
-        options_.quarantine.noteGone(exchange.target, now);
+        options_.quarantine.onTargetStopped(exchange.target, now);
     }
 }
 
-void RequestRunner::noteReplaced(std::span<const model::TargetIncarnation> starts, Timestamp now)
+void RequestRunner::onTargetsReplaced(std::span<const model::TargetIncarnation> targetIncarnations, Timestamp now)
 {
-    if (starts.empty())
+    if (targetIncarnations.empty())
         return;
-    for (const model::TargetIncarnation& start : starts)
-        options_.quarantine.noteGone(start, now);
+    for (const model::TargetIncarnation& targetIncarnation : targetIncarnations)
+        options_.quarantine.onTargetStopped(targetIncarnation, now);
     for (const auto& [dispatch, exchange] : dispatches_) {
-        const bool isAtOne = std::ranges::find(starts, exchange->target) != starts.end();
-        if (isAtOne && exchange->phase == Exchange::Phase::AwaitingHead)
-            doubtAt(*exchange, std::min(exchange->checkAt, now + LastAnswers));
+        const bool isAffected = std::ranges::find(targetIncarnations, exchange->target) != targetIncarnations.end();
+        if (isAffected && exchange->phase == Exchange::Phase::AwaitingHead)
+            scheduleStallCheck(*exchange, std::min(exchange->stallCheckAt, now + LastAnswersTimeout));
     }
 }
 
-void RequestRunner::leaveGone(Exchange& exchange, Timestamp now)
+void RequestRunner::abandonStopped(Exchange& exchange, Timestamp now)
 {
     actions_.emplace_back(requests::TargetCancel {.dispatch = exchange.dispatch});
     exchange.mayHaveRun = true;
     exchange.lastFailure = "target started anew";
     exchange.isLastTargetGone = true;
-    options_.quarantine.noteBroken(lostRunOf(exchange, now), true, now);
-    tryElsewhere(exchange, model::Reason::TargetFailed, now);
+    options_.quarantine.onConnectionLost(lostRunOf(exchange, now), true, now);
+    retryElsewhere(exchange, model::Reason::TargetFailed, now);
 }
 
 } // namespace saltvane::gateway
--- a/src/gateway/internal/requestrunner.cpp
+++ b/src/gateway/internal/requestrunner.cpp
@@ -13,16 +13,17 @@
 
 namespace {
 
-/// A target is doubted when it takes longer than this many times the slowest answer lately, and than the objective.
-constexpr double DoubtFactor = 1.3;
-/// A repeat needs at least this much time to be of use.
-constexpr Duration LeastTimeToRepeat = 30ms;
-/// A connection that rested longer may be about to be closed by the target, and a request lost with it.
-constexpr Duration LongestIdle = 4s;
-constexpr Duration LongestIdleForOnce = 2s;
+/// A target is checked when its answer takes longer than this multiple of the slowest recent answer, and longer than
+/// the objective.
+constexpr double StallFactor = 1.3;
+/// A retry with less time left is of no use.
+constexpr Duration MinTimeToRetry = 30ms;
+/// Targets may close connections that were idle for longer, which would lose a request that was just sent.
+constexpr Duration MaxIdle = 4s;
+constexpr Duration MaxIdleForAtMostOnce = 2s;
 
-/// A connection that rested since before the present start took the address is one of the start before.
-constexpr Duration RestPrecision = 1s;
+/// A connection that was idle since before the present incarnation took the address belongs to the previous one.
+constexpr Duration IdlePrecision = 1s;
 
 std::string millisecondsText(Duration duration)
 {
@@ -38,15 +39,15 @@
 
 void RequestRunner::handle(requests::HttpEvent event, Timestamp now)
 {
-    std::visit([&](const auto& one) { accept(one, now); }, event);
+    std::visit([&](const auto& item) { accept(item, now); }, event);
 }
 
 void RequestRunner::handle(requests::TargetEvent event, Timestamp now)
 {
     std::visit(
-        [&](auto& one) {
-            if (Exchange* exchange = find(one.dispatch))
-                accept(one, *exchange, now);
+        [&](auto& item) {
+            if (Exchange* exchange = find(item.dispatch))
+                accept(item, *exchange, now);
         },
         event);
 }
@@ -67,17 +68,17 @@
 
 void RequestRunner::accept(const requests::HttpRequestAborted& aborted, Timestamp now)
 {
-    answering_.erase(aborted.handle);
+    pendingAnswers_.erase(aborted.handle);
     Exchange* exchange = find(aborted.handle);
     if (exchange == nullptr)
         return;
     options_.onDecided(
         {.exchange = *exchange, .outcome = model::Outcome::Unknown, .reason = model::Reason::ClientGone}, now);
     if (exchange->dispatch.value != 0) {
-        noteGivenUp(*exchange, now);
+        onRunAbandoned(*exchange, now);
         actions_.emplace_back(requests::TargetCancel {.dispatch = exchange->dispatch});
     }
-    giveBackCredit(*exchange, now);
+    returnUnusedCredit(*exchange, now);
     erase(*exchange);
 }
 
@@ -88,33 +89,36 @@
         actions_.emplace_back(requests::TargetResponseWindow {.dispatch = exchange->dispatch, .bytes = progress.bytes});
 }
 
-void RequestRunner::accept(const requests::HttpResponseDone& done, Timestamp /*now*/) { answering_.erase(done.handle); }
+void RequestRunner::accept(const requests::HttpResponseDone& done, Timestamp /*now*/)
+{
+    pendingAnswers_.erase(done.handle);
+}
 
-std::variant<Placed, PlacementRefusal> RequestRunner::choose(
+std::variant<TargetSelection, PlacementRefusal> RequestRunner::choose(
     const Exchange& exchange, Timestamp now, bool mayAwaitCredit)
 {
     const model::RoutedService* service = routes_->plan().findService(exchange.service);
     if (service == nullptr)
-        return PlacementRefusal {.reason = model::Reason::UnknownService, .retryAfter = UsualRetryAfter};
+        return PlacementRefusal {.reason = model::Reason::UnknownService, .retryAfter = DefaultRetryAfter};
     return options_.placement.choose({.route = exchange.route,
                                          .service = *service,
                                          .account = exchange.account ? &exchange.account->account : nullptr,
                                          .object = exchange.object,
                                          .elapsed = now - exchange.startedAt,
-                                         .left = exchange.deadline - now,
-                                         .isRepeat = !exchange.tried.empty(),
-                                         .isWithoutCredit = !mayAwaitCredit,
-                                         .tried = exchange.tried},
+                                         .remaining = exchange.deadline - now,
+                                         .isRetry = !exchange.attemptedTargets.empty(),
+                                         .needsNoCredit = !mayAwaitCredit,
+                                         .attemptedTargets = exchange.attemptedTargets},
         now);
 }
 
 void RequestRunner::dispatch(Exchange& exchange, Timestamp now)
 {
-    if (options_.isWordLate(now))
-        return refuse(exchange, model::Reason::StaleState, StartRetryAfter, now);
-    if (const std::optional<Duration> wait = options_.quarantine.refusal(exchange.digest, now))
+    if (options_.isRegistryLate(now))
+        return refuse(exchange, model::Reason::StaleState, NotReadyRetryAfter, now);
+    if (const std::optional<Duration> wait = options_.quarantine.retryDelay(exchange.digest, now))
         return refuse(exchange, model::Reason::RequestQuarantined, *wait, now);
-    if (!hasCredit(exchange, now))
+    if (!tryAcquireCredit(exchange, now))
         return;
     const auto choice = choose(exchange, now);
     if (const auto* refusal = std::get_if<PlacementRefusal>(&choice)) {
@@ -122,41 +126,41 @@
         exchange.targetsUsable = refusal->usable;
         return refuse(exchange, refusal->reason, refusal->retryAfter, now);
     }
-    const Placed& placed = std::get<Placed>(choice);
-    if (hasTargetCredit(exchange, placed, now))
-        send(exchange, placed, now);
+    const TargetSelection& selection = std::get<TargetSelection>(choice);
+    if (tryAcquireTargetCredit(exchange, selection, now))
+        send(exchange, selection, now);
 }
 
-void RequestRunner::send(Exchange& exchange, const Placed& placed, Timestamp now)
+void RequestRunner::send(Exchange& exchange, const TargetSelection& selection, Timestamp now)
 {
     exchange.hasCredit = false;
-    GatewayTarget& target = *placed.target;
+    GatewayTarget& target = *selection.target;
     const model::RoutedService& service = *routes_->plan().findService(exchange.service);
-    exchange.loadAtStart = target.load(now);
-    exchange.loadAge = now - target.loadAt;
-    exchange.targetAge = now - target.heardAt;
+    exchange.loadAtSend = target.load(now);
+    exchange.loadAge = now - target.loadUpdatedAt;
+    exchange.targetAge = now - target.lastReportAt;
     exchange.limit = target.backpressure.limit;
     if (exchange.limit)
         options_.counters.add(model::Counter::LimitedDispatches);
-    options_.targets.noteSent(target, service, now);
-    options_.split.noteUsed(service.name);
+    options_.targets.recordSent(target, service, now);
+    options_.split.recordUse(service.name);
     options_.counters.add(model::Counter::Dispatches);
     exchange.phase = Exchange::Phase::AwaitingHead;
     exchange.dispatch = {++lastDispatch_};
-    exchange.target = target.start();
-    exchange.tried.push_back(target.id());
+    exchange.target = target.targetIncarnation();
+    exchange.attemptedTargets.push_back(target.id());
     exchange.sentAt = now;
     dispatches_.emplace(exchange.dispatch, &exchange);
 
-    options_.placement.noteSent(service.name, placed);
-    exchange.choice = placed.choice;
-    exchange.isLikelyWarm = placed.isLikelyWarm;
-    const double slowest = toSeconds(options_.placement.workTimes().ofService(service.name).slowest);
-    const double patience = std::max(slowest * DoubtFactor, toSeconds(exchange.route.objective));
-    doubtAt(exchange, now + fromSeconds(patience));
+    options_.placement.recordSent(service.name, selection);
+    exchange.choice = selection.choice;
+    exchange.isLikelyWarm = selection.isLikelyWarm;
+    const double slowest = toSeconds(options_.placement.processingTimes().ofService(service.name).slowest);
+    const double stallTimeout = std::max(slowest * StallFactor, toSeconds(exchange.route.objective));
+    scheduleStallCheck(exchange, now + fromSeconds(stallTimeout));
 
-    const Duration idleLimit = exchange.route.kind == model::RouteKind::AtMostOnce ? LongestIdleForOnce : LongestIdle;
-    const Duration heldFor = now - target.addressSince;
+    const Duration idleLimit = exchange.route.kind == model::RouteKind::AtMostOnce ? MaxIdleForAtMostOnce : MaxIdle;
+    const Duration addressAge = now - target.addressSince;
     std::vector<model::Header> headers = exchange.headers;
     headers.push_back({.name = options_.headers.deadline, .value = millisecondsText(exchange.deadline - now)});
     headers.push_back({.name = options_.headers.expectedTarget, .value = target.id().value()});
@@ -168,8 +172,8 @@
         .headers = std::move(headers),
         .bodyLength = exchange.body.size(),
         .isRepeatable = exchange.route.kind != model::RouteKind::AtMostOnce,
-        .reuseIdleLimit = std::min(idleLimit, std::max(heldFor - RestPrecision, RestPrecision)),
-        .needsNewConnection = heldFor < RestPrecision * 2,
+        .reuseIdleLimit = std::min(idleLimit, std::max(addressAge - IdlePrecision, IdlePrecision)),
+        .needsNewConnection = addressAge < IdlePrecision * 2,
         .echoedHeader = options_.headers.requestId});
     if (!exchange.body.empty())
         actions_.emplace_back(
@@ -181,76 +185,76 @@
     if (exchange.dispatch.value == 0)
         return;
     dispatches_.erase(exchange.dispatch);
-    doubts_.erase({exchange.checkAt, exchange.handle});
+    stallChecks_.erase({exchange.stallCheckAt, exchange.handle});
     exchange.dispatch = {};
     GatewayTarget* target = options_.targets.find(exchange.target);
     if (target != nullptr)
-        TargetSet::noteReleased(*target);
+        TargetSet::recordReleased(*target);
 }
 
-void RequestRunner::doubtAt(Exchange& exchange, Timestamp at)
+void RequestRunner::scheduleStallCheck(Exchange& exchange, Timestamp at)
 {
-    doubts_.erase({exchange.checkAt, exchange.handle});
-    exchange.checkAt = at;
+    stallChecks_.erase({exchange.stallCheckAt, exchange.handle});
+    exchange.stallCheckAt = at;
     if (at < exchange.deadline)
-        doubts_.emplace(at, exchange.handle);
+        stallChecks_.emplace(at, exchange.handle);
 }
 
-bool RequestRunner::mayTryElsewhere(const Exchange& exchange, Timestamp now)
+bool RequestRunner::mayRetryElsewhere(const Exchange& exchange, Timestamp now)
 {
-    const bool mayRepeat = exchange.route.kind != model::RouteKind::AtMostOnce || !exchange.mayHaveRun;
-    if (!mayRepeat || exchange.tried.size() >= exchange.route.attempts)
+    const bool mayRetry = exchange.route.kind != model::RouteKind::AtMostOnce || !exchange.mayHaveRun;
+    if (!mayRetry || exchange.attemptedTargets.size() >= exchange.route.attempts)
         return false;
-    if (exchange.targetsLost >= Quarantine::MostLostToARepeat || !options_.quarantine.mayRepeat(exchange.digest))
+    if (exchange.targetsLost >= Quarantine::MaxLostTargetsForRetry || !options_.quarantine.mayRetry(exchange.digest))
         return false;
-    return exchange.deadline - now >= LeastTimeToRepeat && options_.retries.trySpend(exchange.service);
+    return exchange.deadline - now >= MinTimeToRetry && options_.retries.trySpend(exchange.service);
 }
 
-void RequestRunner::tryElsewhere(Exchange& exchange, model::Reason reason, Timestamp now)
+void RequestRunner::retryElsewhere(Exchange& exchange, model::Reason reason, Timestamp now)
 {
     exchange.lastReason = reason;
     releaseTarget(exchange);
     exchange.answer = {};
-    if (mayTryElsewhere(exchange, now)) {
+    if (mayRetryElsewhere(exchange, now)) {
         options_.counters.add(model::Counter::Retries);
         options_.counters.addRetry(reason);
         return dispatch(exchange, now);
     }
-    giveUp(exchange, reason, now);
+    fail(exchange, reason, now);
 }
 
-void RequestRunner::doubt(Exchange& exchange, Timestamp now)
+void RequestRunner::checkStalled(Exchange& exchange, Timestamp now)
 {
     GatewayTarget* target = options_.targets.find(exchange.target);
     if (target == nullptr)
-        return leaveGone(exchange, now);
-    // One that answers others is only slow.
-    if (target->answeredAt >= exchange.sentAt || options_.isWordLate(now))
+        return abandonStopped(exchange, now);
+    // A target that answers other requests is only slow.
+    if (target->answeredAt >= exchange.sentAt || options_.isRegistryLate(now))
         return;
-    target->noteFailure(now, false);
-    // The target may still answer: it is left only for another one that can take the request.
+    target->onFailure(now, false);
+    // The target may still answer: the request moves only to another target that can take it.
     const auto choice = choose(exchange, now, false);
-    const bool mayRepeat = exchange.route.kind != model::RouteKind::AtMostOnce;
-    if (!mayRepeat || std::holds_alternative<PlacementRefusal>(choice) || !mayTryElsewhere(exchange, now))
+    const bool mayRetry = exchange.route.kind != model::RouteKind::AtMostOnce;
+    if (!mayRetry || std::holds_alternative<PlacementRefusal>(choice) || !mayRetryElsewhere(exchange, now))
         return;
     exchange.mayHaveRun = true;
-    noteGivenUp(exchange, now);
+    onRunAbandoned(exchange, now);
     exchange.lastReason = model::Reason::TargetStalled;
     actions_.emplace_back(requests::TargetCancel {.dispatch = exchange.dispatch});
     releaseTarget(exchange);
     options_.counters.add(model::Counter::Retries);
     options_.counters.addRetry(model::Reason::TargetStalled);
-    if (hasCredit(exchange, now))
-        send(exchange, std::get<Placed>(choice), now);
+    if (tryAcquireCredit(exchange, now))
+        send(exchange, std::get<TargetSelection>(choice), now);
 }
 
 void RequestRunner::tick(Timestamp now)
 {
-    while (!doubts_.empty() && doubts_.begin()->first <= now) {
-        const requests::HttpHandle handle = doubts_.begin()->second;
-        doubts_.erase(doubts_.begin());
+    while (!stallChecks_.empty() && stallChecks_.begin()->first <= now) {
+        const requests::HttpHandle handle = stallChecks_.begin()->second;
+        stallChecks_.erase(stallChecks_.begin());
         if (Exchange* exchange = find(handle))
-            doubt(*exchange, now);
+            checkStalled(*exchange, now);
     }
     while (!deadlines_.empty() && deadlines_.begin()->first <= now) {
         Exchange* exchange = find(deadlines_.begin()->second);
@@ -259,7 +263,7 @@
             continue;
         if (exchange->dispatch.value != 0) {
             exchange->mayHaveRun = true;
-            noteGivenUp(*exchange, now);
+            onRunAbandoned(*exchange, now);
             actions_.emplace_back(requests::TargetCancel {.dispatch = exchange->dispatch});
         }
         if (exchange->isAnswerStarted) {
@@ -267,7 +271,7 @@
             finish(*exchange, {.exchange = *exchange, .reason = model::Reason::DeadlineExceeded}, now);
             continue;
         }
-        giveUp(*exchange, model::Reason::DeadlineExceeded, now);
+        fail(*exchange, model::Reason::DeadlineExceeded, now);
     }
 }
 
--- a/src/gateway/internal/requestrunner.h
+++ b/src/gateway/internal/requestrunner.h
@@ -5,7 +5,7 @@
  */
 #pragma once
 
-#include "gateway/internal/backpressurewatch.h"
+#include "gateway/internal/backpressuremonitor.h"
 #include "gateway/internal/exchange.h"
 #include "gateway/internal/limitcredits.h"
 #include "gateway/internal/linkbudget.h"
@@ -28,7 +28,7 @@
 
 namespace saltvane::gateway {
 
-/// How one request ended, for the log.
+/// Outcome of one request, for the log.
 struct Decision {
     const Exchange& exchange;
     model::Outcome outcome = model::Outcome::Unknown;
@@ -36,7 +36,7 @@
     int status = 0;
 };
 
-/// The life of callers' requests: body, choice of a target, dispatch, repeats, answer, time limits.
+/// Processes callers' requests: body, target selection, dispatch, retries, answer and time limits.
 class RequestRunner {
 public:
     struct Options {
@@ -47,45 +47,45 @@
         RegionSplit& split;
         RetryAllowance& retries;
         Quarantine& quarantine;
-        BackpressureWatch& backpressure;
+        BackpressureMonitor& backpressure;
         model::Counters& counters;
         RequestLatencies& latencies;
         LinkBudget& link;
         LimitCredits& credits;
-        /// Whether what is known of targets and the plan is too old to send requests by.
-        std::function<bool(Timestamp)> isWordLate;
+        /// Whether the state of targets and the plan is too old to send requests by.
+        std::function<bool(Timestamp)> isRegistryLate;
         std::function<void(const Decision&, Timestamp)> onDecided;
     };
     explicit RequestRunner(Options options);
 
-    static constexpr Duration UsualRetryAfter = 200ms;
-    /// Of a gateway without a plan, or behind with the registry's word. A start takes 0.2 to 0.6 s: a caller that comes
-    /// back sooner is refused again, and gives up.
-    static constexpr Duration StartRetryAfter = 400ms;
-    static constexpr Duration StopRetryAfter = 50ms; ///< Other gateways serve meanwhile.
+    static constexpr Duration DefaultRetryAfter = 200ms;
+    /// Retry delay while the gateway has no plan or its registry information is late. A start takes 0.2 to 0.6 s: a
+    /// caller that comes back sooner is refused again, and gives up.
+    static constexpr Duration NotReadyRetryAfter = 400ms;
+    static constexpr Duration StoppingRetryAfter = 50ms; ///< Other gateways serve the caller meanwhile.
 
     void install(std::shared_ptr<const RouteTable> routes) { routes_ = std::move(routes); }
-    /// Whether a newer plan may be in force. Callers take "no such route" for final, so a request that only the newer
-    /// one may know is asked to come back instead.
-    void setPlanDoubtful(bool isDoubtful) { isPlanDoubtful_ = isDoubtful; }
-    /// From now on every answer asks the caller to leave its connection.
+    /// Whether a newer plan may be in force. Callers treat "no such route" as final, so a request whose route may exist
+    /// in the newer plan only is asked to come back instead.
+    void setPlanUncertain(bool isUncertain) { isPlanUncertain_ = isUncertain; }
+    /// From now on every answer asks the caller to close its connection.
     void startLeaving() { isLeaving_ = true; }
-    /// From now on new requests are refused, so that those under way can end before the process does.
+    /// From now on new requests are refused, so that those in progress can complete before the process stops.
     void startRefusing() { isRefusing_ = true; }
 
-    /// Starts of targets that are gone: another start has their id or their address.
-    void noteReplaced(std::span<const model::TargetIncarnation> starts, Timestamp now);
+    /// Handles incarnations of targets that have stopped, because another one took their id or their address.
+    void onTargetsReplaced(std::span<const model::TargetIncarnation> targetIncarnations, Timestamp now);
 
-    /// Goes on with requests whose credits were given or refused.
-    void noteCredits(Timestamp now);
+    /// Continues requests whose credits were granted or refused.
+    void onCreditResults(Timestamp now);
     void handle(requests::HttpEvent event, Timestamp now);
     void handle(requests::TargetEvent event, Timestamp now);
-    /// Ends what is over its time; doubts targets that are silent.
+    /// Fails requests whose deadline has passed; checks targets that are unresponsive.
     void tick(Timestamp now);
     [[nodiscard]] std::vector<requests::Action> takeActions();
     [[nodiscard]] size_t inFlight() const { return exchanges_.size(); }
-    /// Answers that are not yet with their callers whole.
-    [[nodiscard]] size_t answersOnTheirWay() const { return answering_.size(); }
+    /// Answers that were not delivered to their callers completely.
+    [[nodiscard]] size_t pendingAnswers() const { return pendingAnswers_.size(); }
 
 private:
     using Exchanges = std::unordered_map<requests::HttpHandle, std::unique_ptr<Exchange>>;
@@ -103,57 +103,57 @@
 
     [[nodiscard]] std::unique_ptr<Exchange> makeExchange(const requests::HttpRequestStarted& request,
         PlannedRoute& route, model::AccountRef account, Timestamp now) const;
-    /// The client account that holds the request's key; null where none does.
+    /// Returns the client account that holds the request's key, or null.
     [[nodiscard]] model::AccountRef accountOf(const requests::HttpRequestStarted& request) const;
-    /// False: the request waits for a credit of its account's limit.
-    [[nodiscard]] bool hasCredit(Exchange& exchange, Timestamp now);
-    /// False: the request waits for a credit of the limit that this target names.
-    [[nodiscard]] bool hasTargetCredit(Exchange& exchange, const Placed& placed, Timestamp now);
-    void noteTargetCredit(Exchange& exchange, const LimitCredits::Verdict& verdict, Timestamp now);
-    /// The request is whole.
+    /// Returns false if the request has to wait for a credit of its account's limit.
+    [[nodiscard]] bool tryAcquireCredit(Exchange& exchange, Timestamp now);
+    /// Returns false if the request has to wait for a credit of the limit that this target stated.
+    [[nodiscard]] bool tryAcquireTargetCredit(Exchange& exchange, const TargetSelection& selection, Timestamp now);
+    void onTargetCreditResult(Exchange& exchange, const LimitCredits::CreditResult& result, Timestamp now);
+    /// The request was received completely.
     void start(Exchange& exchange, Timestamp now);
-    /// Chooses a target and sends the request; refuses it where none can be had.
+    /// Selects a target and sends the request; refuses it if no target is available.
     void dispatch(Exchange& exchange, Timestamp now);
-    /// `mayAwaitCredit`: of a target that names a limit.
-    [[nodiscard]] std::variant<Placed, PlacementRefusal> choose(
+    /// `mayAwaitCredit`: targets with a limit may be selected.
+    [[nodiscard]] std::variant<TargetSelection, PlacementRefusal> choose(
         const Exchange& exchange, Timestamp now, bool mayAwaitCredit = true);
-    void send(Exchange& exchange, const Placed& placed, Timestamp now);
-    /// The target refused it, or failed: elsewhere, or the end.
-    void tryElsewhere(Exchange& exchange, model::Reason reason, Timestamp now);
-    [[nodiscard]] bool mayTryElsewhere(const Exchange& exchange, Timestamp now);
-    /// The current target has nothing more to do with it.
+    void send(Exchange& exchange, const TargetSelection& selection, Timestamp now);
+    /// The target refused the request or failed: retries at another target, or fails the request.
+    void retryElsewhere(Exchange& exchange, model::Reason reason, Timestamp now);
+    [[nodiscard]] bool mayRetryElsewhere(const Exchange& exchange, Timestamp now);
+    /// Releases the current target from the request.
     void releaseTarget(Exchange& exchange);
-    /// Its run at the current target, which got no whole answer.
+    /// The run at the current target, which did not get a complete answer.
     [[nodiscard]] static LostRun lostRunOf(const Exchange& exchange, Timestamp now);
-    void noteLost(const requests::TargetFailed& failed, Exchange& exchange, Timestamp now);
-    /// A run is given up. Where its target has said nothing since it was sent, it may have ended.
-    void noteGivenUp(const Exchange& exchange, Timestamp now);
-    void doubt(Exchange& exchange, Timestamp now);
-    /// The target's start is gone: nothing more will come of it.
-    void leaveGone(Exchange& exchange, Timestamp now);
-    void doubtAt(Exchange& exchange, Timestamp at);
-    void noteRefusedByTarget(Exchange& exchange, int status, Timestamp now);
+    void onTargetLost(const requests::TargetFailed& failed, Exchange& exchange, Timestamp now);
+    /// A run is abandoned. If its target has answered nothing since it was sent, the target may have stopped.
+    void onRunAbandoned(const Exchange& exchange, Timestamp now);
+    void checkStalled(Exchange& exchange, Timestamp now);
+    /// The target's incarnation has stopped: no answer will arrive any more.
+    void abandonStopped(Exchange& exchange, Timestamp now);
+    void scheduleStallCheck(Exchange& exchange, Timestamp at);
+    void onRefusedByTarget(Exchange& exchange, int status, Timestamp now);
     void startStreaming(Exchange& exchange);
 
     void refuse(Exchange& exchange, model::Reason reason, Duration retryAfter, Timestamp now);
-    void giveUp(Exchange& exchange, model::Reason reason, Timestamp now);
-    /// A request that is not taken on at all. Status 0: it has not run, and may come back.
+    void fail(Exchange& exchange, model::Reason reason, Timestamp now);
+    /// A refusal on arrival. Status 0: the request was not run and may be sent again.
     struct EarlyRefusal {
         int status = 0;
         model::Reason reason = model::Reason::None;
         Duration retryAfter {};
     };
-    void refuseEarly(const requests::HttpRequestStarted& request, const PlannedRoute* route,
+    void refuseOnArrival(const requests::HttpRequestStarted& request, const PlannedRoute* route,
         const EarlyRefusal& refusal, Timestamp now);
-    /// Callers come back to a refusal on a new connection. Closing the old one keeps a gateway's connections and
+    /// Callers send a refused request again on a new connection. Closing the old one keeps a gateway's connections and
     /// memory at what its callers use.
-    void refuseAtOnce(requests::HttpHandle handle, int status, model::Reason reason, Duration retryAfter,
+    void respondWithError(requests::HttpHandle handle, int status, model::Reason reason, Duration retryAfter,
         bool isConnectionClosed = false);
     void respond(requests::HttpRespond answer, bool isConnectionClosed = false);
     void abort(const Exchange& exchange);
     void finish(Exchange& exchange, Decision decision, Timestamp now);
-    /// What the request got of its account's limit and has not used up.
-    void giveBackCredit(const Exchange& exchange, Timestamp now);
+    /// Returns a credit of the account's limit that the request has not used.
+    void returnUnusedCredit(const Exchange& exchange, Timestamp now);
     void erase(Exchange& exchange);
     [[nodiscard]] Exchange* find(requests::HttpHandle handle) const;
     [[nodiscard]] Exchange* find(requests::DispatchId dispatch) const;
@@ -163,10 +163,10 @@
     Exchanges exchanges_;
     std::unordered_map<requests::DispatchId, Exchange*> dispatches_;
     std::set<std::pair<Timestamp, requests::HttpHandle>> deadlines_;
-    std::set<std::pair<Timestamp, requests::HttpHandle>> doubts_;
-    std::unordered_set<requests::HttpHandle> answering_;
+    std::set<std::pair<Timestamp, requests::HttpHandle>> stallChecks_;
+    std::unordered_set<requests::HttpHandle> pendingAnswers_;
     uint64_t lastDispatch_ = 0;
-    bool isPlanDoubtful_ = false;
+    bool isPlanUncertain_ = false;
     bool isLeaving_ = false;
     bool isRefusing_ = false;
     std::vector<requests::Action> actions_;
--- a/src/gateway/internal/retryallowance.cpp
+++ b/src/gateway/internal/retryallowance.cpp
@@ -12,34 +12,35 @@
 
 namespace {
 
-/// Of the ratio: the rest is what may be saved up, so that sends of one window stay below the limit also where the
-/// savings of calmer seconds go at once.
-constexpr double UsedPartOfRatio = 0.8;
-/// Of what the rest of the ratio earns in so many seconds: half of the shortest window that a limit was set for.
-constexpr double SavedSeconds = 5;
-/// Of the slack, for gateways with too few requests to save anything; the number of gateways isn't known here.
-constexpr double PartOfSlack = 0.02;
-constexpr double RateMemorySeconds = 1;
+/// Fraction of the ratio that is earned continuously. The rest is for savings, so that the retries of one window stay
+/// below the limit even if the savings of quieter seconds are used at once.
+constexpr double EarnedRatioFraction = 0.8;
+/// The savings are bounded by what the rest of the ratio earns in this time: half of the shortest window for which a
+/// limit was set.
+constexpr double MaxSavingsSeconds = 5;
+/// Fraction of the slack for gateways with too few requests to save anything; the number of gateways is not known here.
+constexpr double SlackFraction = 0.02;
+constexpr double RateLifetimeSeconds = 1;
 
 } // namespace
 
-void RetryAllowance::noteRequest(const ServiceName& service, Timestamp now)
+void RetryAllowance::recordRequest(const ServiceName& service, Timestamp now)
 {
-    Account& account = accounts_[service];
-    account.perSecond *= std::exp(-toSeconds(now - account.notedAt) / RateMemorySeconds);
-    account.perSecond += 1 / RateMemorySeconds;
-    account.notedAt = now;
-    const double saved = options_.ratio * (1 - UsedPartOfRatio) * SavedSeconds * account.perSecond;
-    const double most = std::max(1.0, options_.slack * PartOfSlack) + saved;
-    account.balance = std::min(most, account.balance + options_.ratio * UsedPartOfRatio);
+    ServiceState& state = services_[service];
+    state.perSecond *= std::exp(-toSeconds(now - state.updatedAt) / RateLifetimeSeconds);
+    state.perSecond += 1 / RateLifetimeSeconds;
+    state.updatedAt = now;
+    const double maxSavings = options_.ratio * (1 - EarnedRatioFraction) * MaxSavingsSeconds * state.perSecond;
+    const double maxBalance = std::max(1.0, options_.slack * SlackFraction) + maxSavings;
+    state.balance = std::min(maxBalance, state.balance + options_.ratio * EarnedRatioFraction);
 }
 
 bool RetryAllowance::trySpend(const ServiceName& service)
 {
-    Account& account = accounts_[service];
-    if (account.balance < 1)
+    ServiceState& state = services_[service];
+    if (state.balance < 1)
         return false;
-    account.balance -= 1;
+    state.balance -= 1;
     return true;
 }
 
--- a/src/gateway/internal/retryallowance.h
+++ b/src/gateway/internal/retryallowance.h
@@ -12,34 +12,34 @@
 
 namespace saltvane::gateway {
 
-/// How many requests this gateway may send to a second target. The limit of the settings binds a service, over all
-/// gateways: further sends within some seconds are at most a part of the requests for it and a fixed rest. So each
-/// gateway earns its part by the requests that callers send it for the service, whatever becomes of them, and one
-/// service's trouble can't spend what another one's requests earned.
+/// Limits the retries of this gateway. The limit in the settings applies to a service over all gateways: within some
+/// seconds, retries are at most a fraction of the service's requests plus a fixed slack. Each gateway earns its part
+/// through the requests that callers send it for the service, whatever their outcome; one service's failures can't use
+/// up retries earned by another one.
 class RetryAllowance {
 public:
     struct Options {
-        double ratio = 0; ///< Further sends by request, over all gateways.
-        double slack = 0; ///< Further sends beyond that, over all gateways.
+        double ratio = 0; ///< Retries per request, over all gateways.
+        double slack = 0; ///< Retries beyond that, over all gateways.
     };
     explicit RetryAllowance(Options options)
         : options_(options)
     {
     }
 
-    /// A caller's request for the service came in.
-    void noteRequest(const ServiceName& service, Timestamp now);
+    /// A caller's request for the service arrived.
+    void recordRequest(const ServiceName& service, Timestamp now);
     [[nodiscard]] bool trySpend(const ServiceName& service);
 
 private:
-    struct Account {
-        double balance = 1; ///< Sends that may be made now.
-        double perSecond = 0; ///< Requests, lately.
-        Timestamp notedAt;
+    struct ServiceState {
+        double balance = 1; ///< Retries that may be sent now.
+        double perSecond = 0; ///< Recent request rate.
+        Timestamp updatedAt;
     };
 
     Options options_;
-    std::map<ServiceName, Account> accounts_;
+    std::map<ServiceName, ServiceState> services_;
 };
 
 } // namespace saltvane::gateway
--- a/src/gateway/internal/routetable.cpp
+++ b/src/gateway/internal/routetable.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-std::string normalHost(std::string_view host)
+std::string normalizeHost(std::string_view host)
 {
     const size_t colon = host.rfind(':');
     const bool hasPort = colon != std::string_view::npos && host.find(']', colon) == std::string_view::npos;
@@ -29,13 +29,13 @@
 {
     double sum = 0;
     size_t best = 0;
-    for (size_t i = 0; i < credits.size(); ++i) {
-        credits[i] += route.services[i].weight;
+    for (size_t i = 0; i < currentWeights.size(); ++i) {
+        currentWeights[i] += route.services[i].weight;
         sum += route.services[i].weight;
-        if (credits[i] > credits[best])
+        if (currentWeights[i] > currentWeights[best])
             best = i;
     }
-    credits[best] -= sum;
+    currentWeights[best] -= sum;
     return route.services[best].service;
 }
 
@@ -44,12 +44,14 @@
     const std::vector<model::RouteRef>& before = plan_.routes;
     const std::vector<model::RouteRef>& after = plan.routes;
     const auto [beforeEnd, afterEnd] = std::ranges::mismatch(before, after);
-    const auto front = static_cast<size_t>(beforeEnd - before.begin());
-    size_t back = 0;
-    const size_t most = std::min(before.size(), after.size()) - front;
-    while (back < most && before[before.size() - 1 - back] == after[after.size() - 1 - back])
-        ++back;
-    replace(front, before.size() - back - front, std::span(after).subspan(front, after.size() - back - front));
+    const auto commonPrefix = static_cast<size_t>(beforeEnd - before.begin());
+    size_t commonSuffix = 0;
+    const size_t maxSuffix = std::min(before.size(), after.size()) - commonPrefix;
+    while (
+        commonSuffix < maxSuffix && before[before.size() - 1 - commonSuffix] == after[after.size() - 1 - commonSuffix])
+        ++commonSuffix;
+    replace(commonPrefix, before.size() - commonSuffix - commonPrefix,
+        std::span(after).subspan(commonPrefix, after.size() - commonSuffix - commonPrefix));
     accounts_.install(plan.accounts);
     plan_ = std::move(plan);
 }
@@ -61,32 +63,32 @@
     const auto begin = routes_.begin() + static_cast<ptrdiff_t>(first);
     const auto end = begin + static_cast<ptrdiff_t>(count);
     for (auto route = begin; route != end; ++route) {
-        hosts.insert(normalHost((*route)->route.host));
+        hosts.insert(normalizeHost((*route)->route.host));
         former.emplace((*route)->shared.get(), std::move(*route));
     }
-    Routes now;
-    now.reserve(routes.size());
+    Routes updated;
+    updated.reserve(routes.size());
     for (const model::RouteRef& route : routes) {
         if (auto kept = former.extract(route.get())) {
-            now.push_back(std::move(kept.mapped()));
+            updated.push_back(std::move(kept.mapped()));
             continue;
         }
-        now.push_back(std::make_unique<PlannedRoute>(route));
-        const std::string host = normalHost(route->route.host);
+        updated.push_back(std::make_unique<PlannedRoute>(route));
+        const std::string host = normalizeHost(route->route.host);
         hosts.insert(host);
-        byHost_[host].push_back(now.back().get());
+        byHost_[host].push_back(updated.back().get());
     }
     for (const auto& [shared, route] : former)
-        std::erase(byHost_[normalHost(route->route.host)], route.get());
-    const auto rest = routes_.erase(begin, end);
-    routes_.insert(rest, std::make_move_iterator(now.begin()), std::make_move_iterator(now.end()));
+        std::erase(byHost_[normalizeHost(route->route.host)], route.get());
+    const auto insertPosition = routes_.erase(begin, end);
+    routes_.insert(insertPosition, std::make_move_iterator(updated.begin()), std::make_move_iterator(updated.end()));
     for (size_t position = first; position < routes_.size(); ++position)
         routes_[position]->position = position;
     for (const std::string& host : hosts)
-        order(host);
+        sortRoutes(host);
 }
 
-void RouteTable::order(const std::string& host)
+void RouteTable::sortRoutes(const std::string& host)
 {
     const auto found = byHost_.find(host);
     if (found->second.empty()) {
@@ -102,7 +104,7 @@
 
 PlannedRoute* RouteTable::find(std::string_view host, std::string_view target) const
 {
-    const auto found = byHost_.find(normalHost(host));
+    const auto found = byHost_.find(normalizeHost(host));
     if (found == byHost_.end())
         return nullptr;
     const std::string_view path = target.substr(0, target.find('?'));
--- a/src/gateway/internal/routetable.h
+++ b/src/gateway/internal/routetable.h
@@ -17,48 +17,50 @@
 
 namespace saltvane::gateway {
 
-/// A route with what its requests share: whose turn it is among its services.
+/// A route with the state that its requests share: which of its services is next.
 struct PlannedRoute {
-    explicit PlannedRoute(model::RouteRef given)
-        : shared(std::move(given))
+    explicit PlannedRoute(model::RouteRef planRoute)
+        : shared(std::move(planRoute))
         , route(shared->route)
-        , credits(route.services.size(), 0.0)
+        , currentWeights(route.services.size(), 0.0)
     {
     }
 
     model::RouteRef shared;
     const model::Route& route;
-    size_t position = 0; ///< In the plan.
-    std::vector<double> credits; ///< By service of the route; the highest is next (smooth weighted round robin).
+    size_t position = 0; ///< Index in the plan.
+    /// By service of the route: current weights of the smooth weighted round robin; the highest is next.
+    std::vector<double> currentWeights;
 
-    /// The service of the next request, by the weights.
+    /// Selects the service of the next request by the weights.
     [[nodiscard]] const ServiceName& nextService();
 };
 
-/// A plan compiled for look-up by host name and longest path prefix.
+/// A plan indexed for look-up by host name and longest path prefix.
 class RouteTable {
 public:
-    /// Takes the place of the plan before, and keeps what the two share: costs what differs.
+    /// Replaces the plan and keeps the state of routes that are in both; the cost is proportional to the number of
+    /// changed routes.
     void install(model::RoutePlan plan);
 
-    /// Null where no route matches. `host` may carry a port.
+    /// Returns null if no route matches. `host` may include a port.
     [[nodiscard]] PlannedRoute* find(std::string_view host, std::string_view target) const;
-    /// Null where no client account holds the key.
+    /// Returns null if no client account holds the key.
     [[nodiscard]] model::AccountRef findAccount(std::string_view key) const { return accounts_.find(key); }
     [[nodiscard]] const model::RoutePlan& plan() const { return plan_; }
 
 private:
     using Routes = std::vector<std::unique_ptr<PlannedRoute>>;
 
-    /// Puts these routes in place of those from `first` on, as many as there were more before.
+    /// Replaces `count` routes from index `first` on by these.
     void replace(size_t first, size_t count, std::span<const model::RouteRef> routes);
-    void order(const std::string& host);
+    void sortRoutes(const std::string& host);
 
     model::RoutePlan plan_;
     AccountTable accounts_;
     Routes routes_; ///< In the plan's order.
-    std::unordered_map<std::string, std::vector<PlannedRoute*>>
-        byHost_; ///< Longest prefix first, then the plan's order.
+    /// Routes by host name; the longest prefix first, then in the plan's order.
+    std::unordered_map<std::string, std::vector<PlannedRoute*>> byHost_;
 };
 
 } // namespace saltvane::gateway
--- a/src/gateway/internal/targetbackpressure.cpp
+++ b/src/gateway/internal/targetbackpressure.cpp
@@ -27,30 +27,30 @@
 
 } // namespace
 
-NamedLimit readNamedLimit(std::span<const model::Header> headers, std::string_view field)
+StatedLimit readStatedLimit(std::span<const model::Header> headers, std::string_view field)
 {
-    NamedLimit named;
+    StatedLimit stated;
     for (const std::string_view text : requests::fieldValues(headers, field)) {
-        named.isNamed = true;
+        stated.isStated = true;
         const std::optional<double> number = readDecimal(text);
         if (number)
-            named.perSecond = std::min(named.perSecond.value_or(*number), *number);
+            stated.perSecond = std::min(stated.perSecond.value_or(*number), *number);
     }
-    return named;
+    return stated;
 }
 
-WantedRest readWantedRest(std::span<const model::Header> headers)
+RequestedBackoff readRequestedBackoff(std::span<const model::Header> headers)
 {
-    WantedRest rest;
+    RequestedBackoff backoff;
     for (const std::string_view text : requests::fieldValues(headers, requests::RetryAfterHeader)) {
-        rest.isWanted = true;
+        backoff.isRequested = true;
         const std::optional<double> seconds = readDecimal(text);
         if (!seconds)
             continue;
-        const Duration duration = fromSeconds(std::min(*seconds, toSeconds(LongestRest)));
-        rest.duration = std::max(rest.duration.value_or(duration), duration);
+        const Duration duration = fromSeconds(std::min(*seconds, toSeconds(MaxBackoff)));
+        backoff.duration = std::max(backoff.duration.value_or(duration), duration);
     }
-    return rest;
+    return backoff;
 }
 
 } // namespace saltvane::gateway
--- a/src/gateway/internal/targetbackpressure.h
+++ b/src/gateway/internal/targetbackpressure.h
@@ -15,42 +15,42 @@
 
 namespace saltvane::gateway {
 
-/// What one start of a target said in its answers of how much it takes.
+/// Back-pressure that one incarnation of a target signalled in its answers.
 struct TargetBackpressure {
-    std::optional<double> limit; ///< Requests a second, of all gateways together.
-    Timestamp limitAt {}; ///< When an answer last told of it, naming one or none.
-    Timestamp toldAt {}; ///< When the registry was last told.
+    std::optional<double> limit; ///< Requests per second, of all gateways together.
+    Timestamp limitUpdatedAt {}; ///< When an answer last stated a limit or that there is none.
+    Timestamp reportedAt {}; ///< When the limit was last reported to the registry.
     Timestamp noCreditUntil {}; ///< No credit can be expected before.
 
-    Timestamp restUntil {}; ///< It turned requests of this gateway away, and wants none of them before.
+    Timestamp backoffUntil {}; ///< It refused requests of this gateway and wants none before.
 
-    [[nodiscard]] bool isEmpty() const { return limitAt == Timestamp {} && restUntil == Timestamp {}; }
-    /// New work is not sent before.
-    [[nodiscard]] Timestamp closedUntil() const { return std::max(noCreditUntil, restUntil); }
+    [[nodiscard]] bool isEmpty() const { return limitUpdatedAt == Timestamp {} && backoffUntil == Timestamp {}; }
+    /// New requests are not sent before this time.
+    [[nodiscard]] Timestamp unavailableUntil() const { return std::max(noCreditUntil, backoffUntil); }
 };
 
-/// A limit as the head of an answer names it.
-struct NamedLimit {
-    bool isNamed = false;
-    std::optional<double> perSecond; ///< None: what is named can't be read.
+/// A limit stated in the head of an answer.
+struct StatedLimit {
+    bool isStated = false;
+    std::optional<double> perSecond; ///< None if the value can't be parsed.
 };
 
-/// How long a target that turned a request away wants nothing.
-struct WantedRest {
-    bool isWanted = false;
-    std::optional<Duration> duration; ///< None: what is said can't be read.
+/// Backoff that a target requested when it refused a request.
+struct RequestedBackoff {
+    bool isRequested = false;
+    std::optional<Duration> duration; ///< None if the value can't be parsed.
 };
 
-/// A longer one is cut to it: what the target wants by then, its next answer tells.
-inline constexpr Duration LongestRest = std::chrono::hours(1);
+/// Longer backoffs are cut to this; the next answer after it tells whether the target still wants no requests.
+inline constexpr Duration MaxBackoff = std::chrono::hours(1);
 
-/// Reads `Retry-After` (RFC 9110, 10.2.3) in seconds, fractions included. Of several fields the longest counts.
-[[nodiscard]] WantedRest readWantedRest(std::span<const model::Header> headers);
+/// Reads `Retry-After` (RFC 9110, 10.2.3) in seconds, including fractions. The longest of several fields is used.
+[[nodiscard]] RequestedBackoff readRequestedBackoff(std::span<const model::Header> headers);
 
-/// Larger limits bind nobody.
-inline constexpr double LargestLimit = 1e6;
+/// Larger limits have no effect.
+inline constexpr double MaxLimitPerSecond = 1e6;
 
-/// Reads a decimal number that is not negative. Of several fields the lowest that can be read counts.
-[[nodiscard]] NamedLimit readNamedLimit(std::span<const model::Header> headers, std::string_view field);
+/// Reads a non-negative decimal number. The lowest valid value of several fields is used.
+[[nodiscard]] StatedLimit readStatedLimit(std::span<const model::Header> headers, std::string_view field);
 
 } // namespace saltvane::gateway
--- a/src/gateway/internal/targetprober.cpp
+++ b/src/gateway/internal/targetprober.cpp
@@ -14,24 +14,24 @@
 
 namespace {
 
-/// Set in the dispatches of probes, so that they are none of a request's.
+/// Set in the dispatch ids of probes, to distinguish them from those of requests.
 constexpr uint64_t ProbeBit = uint64_t {1} << 63U;
 constexpr int StatusMisdirected = 421;
 
 } // namespace
 
-bool TargetProber::isOfProbe(requests::DispatchId dispatch) { return (dispatch.value & ProbeBit) != 0; }
+bool TargetProber::isProbe(requests::DispatchId dispatch) { return (dispatch.value & ProbeBit) != 0; }
 
 void TargetProber::probe(const GatewayTarget& target, std::string_view path, Timestamp now)
 {
-    const bool isUnderWay
-        = std::ranges::any_of(probes_, [&](const auto& one) { return one.second.target == target.start(); });
-    // A probe takes a slot as a request does.
-    const bool isUnwanted = target.backpressure.limit || now < target.backpressure.closedUntil();
-    if (path.empty() || isUnderWay || isUnwanted || probes_.size() >= MostAtOnce)
+    const bool isInProgress = std::ranges::any_of(
+        probes_, [&](const auto& item) { return item.second.target == target.targetIncarnation(); });
+    // A probe occupies a slot as a request does.
+    const bool isDisallowed = target.backpressure.limit || now < target.backpressure.unavailableUntil();
+    if (path.empty() || isInProgress || isDisallowed || probes_.size() >= MaxConcurrentProbes)
         return;
-    const requests::DispatchId dispatch {ProbeBit | ++last_};
-    probes_.emplace(dispatch.value, Probe {.target = target.start(), .endsAt = now + Limit});
+    const requests::DispatchId dispatch {ProbeBit | ++lastProbe_};
+    probes_.emplace(dispatch.value, Probe {.target = target.targetIncarnation(), .timeoutAt = now + Timeout});
     actions_.emplace_back(requests::TargetStart {.dispatch = dispatch,
         .target = target.id(),
         .address = target.record.address,
@@ -44,45 +44,46 @@
         .needsNewConnection = true});
 }
 
-std::optional<TargetProber::Probed> TargetProber::handle(const requests::TargetEvent& event)
+std::optional<TargetProber::ProbeResult> TargetProber::handle(const requests::TargetEvent& event)
 {
-    const auto dispatch = std::visit([](const auto& one) { return one.dispatch; }, event);
+    const auto dispatch = std::visit([](const auto& item) { return item.dispatch; }, event);
     const auto found = probes_.find(dispatch.value);
     if (found == probes_.end())
         return std::nullopt;
     const Probe probe = found->second;
     if (const auto* failed = std::get_if<requests::TargetFailed>(&event)) {
         probes_.erase(found);
-        // A connection that breaks says nothing: targets refuse connections over their limit that way.
+        // A lost connection says nothing: targets close connections beyond their limit this way.
         if (!failed->isRefused)
             return std::nullopt;
-        return Probed {.target = probe.target, .finding = Finding::Gone};
+        return ProbeResult {.target = probe.target, .status = Status::Stopped};
     }
     const auto* head = std::get_if<requests::TargetResponseHead>(&event);
     if (head == nullptr)
         return std::nullopt;
     probes_.erase(found);
     actions_.emplace_back(requests::TargetCancel {.dispatch = dispatch});
-    return Probed {.target = probe.target, .finding = isOfOther(*head, probe) ? Finding::Gone : Finding::Alive};
+    return ProbeResult {
+        .target = probe.target, .status = isFromOtherTarget(*head, probe) ? Status::Stopped : Status::Alive};
 }
 
-bool TargetProber::isOfOther(const requests::TargetResponseHead& head, const Probe& probe) const
+bool TargetProber::isFromOtherTarget(const requests::TargetResponseHead& head, const Probe& probe) const
 {
     const std::string_view id = requests::firstFieldValue(head.headers, headers_.targetId);
     return head.status == StatusMisdirected || (!id.empty() && id != probe.target.target.value());
 }
 
-std::optional<TargetProber::Question> TargetProber::questionOf(const requests::TargetResponseHead& head) const
+std::optional<TargetProber::SentProbe> TargetProber::findSentProbe(const requests::TargetResponseHead& head) const
 {
     const auto found = probes_.find(head.dispatch.value);
-    if (found == probes_.end() || isOfOther(head, found->second))
+    if (found == probes_.end() || isFromOtherTarget(head, found->second))
         return std::nullopt;
-    return Question {.target = found->second.target, .sentAt = found->second.endsAt - Limit};
+    return SentProbe {.target = found->second.target, .sentAt = found->second.timeoutAt - Timeout};
 }
 
 void TargetProber::tick(Timestamp now)
 {
-    while (!probes_.empty() && probes_.begin()->second.endsAt <= now) {
+    while (!probes_.empty() && probes_.begin()->second.timeoutAt <= now) {
         actions_.emplace_back(requests::TargetCancel {.dispatch = {probes_.begin()->first}});
         probes_.erase(probes_.begin());
     }
