--- a/src/gateway/internal/targetprober.h
+++ b/src/gateway/internal/targetprober.h
@@ -16,8 +16,9 @@
 
 namespace saltvane::gateway {
 
-/// Asks targets that broke a request off whether they are still there: one that ended refuses a connection within a
-/// round trip, where the next request for it would show that a quarter of a second later on average.
+/// Probes targets that lost the connection of a request, to find out whether they have stopped: a stopped target
+/// refuses a connection within a round trip, while the next request to it would show that a quarter of a second later
+/// on average.
 class TargetProber {
 public:
     explicit TargetProber(settings::HeaderNames headers)
@@ -25,43 +26,44 @@
     {
     }
 
-    /// One probe a target at a time. `path`: where its service answers probes; empty: it can't be asked.
+    /// Sends at most one probe to a target at a time. `path`: path at which its service answers probes; without one the
+    /// target is not probed.
     void probe(const GatewayTarget& target, std::string_view path, Timestamp now);
 
-    enum class Finding { Gone, Alive };
-    struct Probed {
+    enum class Status { Stopped, Alive };
+    struct ProbeResult {
         model::TargetIncarnation target;
-        Finding finding = Finding::Alive;
+        Status status = Status::Alive;
     };
-    /// Whether an event is of a probe, and not of a request.
-    [[nodiscard]] static bool isOfProbe(requests::DispatchId dispatch);
-    /// What this is the answer to; none where another target answers.
-    struct Question {
+    /// Whether an event belongs to a probe and not to a request.
+    [[nodiscard]] static bool isProbe(requests::DispatchId dispatch);
+    /// The probe that this head answers; none if another target answers.
+    struct SentProbe {
         model::TargetIncarnation target;
         Timestamp sentAt;
     };
-    [[nodiscard]] std::optional<Question> questionOf(const requests::TargetResponseHead& head) const;
-    /// None while nothing is known, or nothing will be.
-    [[nodiscard]] std::optional<Probed> handle(const requests::TargetEvent& event);
-    /// Ends probes that nobody answers.
+    [[nodiscard]] std::optional<SentProbe> findSentProbe(const requests::TargetResponseHead& head) const;
+    /// The result of the probe, if this event decides it.
+    [[nodiscard]] std::optional<ProbeResult> handle(const requests::TargetEvent& event);
+    /// Cancels probes that timed out.
     void tick(Timestamp now);
     [[nodiscard]] std::vector<requests::Action> takeActions();
 
 private:
-    /// Two round trips between the furthest regions, and a slow target's time for the answer.
-    static constexpr Duration Limit = 500ms;
-    static constexpr size_t MostAtOnce = 64;
+    /// Two round trips between the most distant regions, plus the answer time of a slow target.
+    static constexpr Duration Timeout = 500ms;
+    static constexpr size_t MaxConcurrentProbes = 64;
 
     struct Probe {
         model::TargetIncarnation target;
-        Timestamp endsAt;
+        Timestamp timeoutAt;
     };
 
-    [[nodiscard]] bool isOfOther(const requests::TargetResponseHead& head, const Probe& probe) const;
+    [[nodiscard]] bool isFromOtherTarget(const requests::TargetResponseHead& head, const Probe& probe) const;
 
     settings::HeaderNames headers_;
-    std::map<uint64_t, Probe> probes_; ///< By dispatch: the oldest first.
-    uint64_t last_ = 0;
+    std::map<uint64_t, Probe> probes_; ///< By dispatch id, so the oldest is first.
+    uint64_t lastProbe_ = 0;
     std::vector<requests::Action> actions_;
 };
 
--- a/src/gateway/internal/targetranking.h
+++ b/src/gateway/internal/targetranking.h
@@ -16,14 +16,14 @@
 
 namespace saltvane::gateway {
 
-/// How near a target is to this gateway.
-enum class Nearness : uint8_t { Zone, Region, Away };
-inline constexpr std::array AllNearnesses {Nearness::Zone, Nearness::Region, Nearness::Away};
-
-/// The targets of one service in the order in which an object's requests choose among them: weighted rendezvous
-/// hashing, the chance to rank highest goes with the slots, and where a target comes or goes only its own objects move.
-/// The best of each object are kept, so that a request costs the same at 30 and at 10,000 targets; a target that comes
-/// or goes costs some work for each object kept.
+/// Proximity of a target to this gateway.
+enum class Proximity : uint8_t { Zone, Region, Remote };
+inline constexpr std::array AllProximities {Proximity::Zone, Proximity::Region, Proximity::Remote};
+
+/// Ranks the targets of one service for each object by weighted rendezvous hashing: the probability of ranking highest
+/// is proportional to the slots, and when a target is added or removed only its own objects move. The best targets of
+/// each object are cached, so that the cost of a request is the same with 30 and with 10,000 targets; adding or
+/// removing a target costs some work for each cached object.
 class TargetRanking {
 public:
     struct Ranked {
@@ -31,29 +31,29 @@
         double score = 0; ///< The highest is the object's first choice.
     };
 
-    void add(GatewayTarget& target, Nearness nearness);
-    void remove(const GatewayTarget& target, Nearness nearness);
+    void add(GatewayTarget& target, Proximity proximity);
+    void remove(const GatewayTarget& target, Proximity proximity);
     [[nodiscard]] size_t size() const;
-    /// The best for an object, best first, at most Kept; valid until the next call of any of these.
-    [[nodiscard]] std::span<const Ranked> best(uint64_t object, Nearness nearness);
-    /// Some targets by lot, for requests about no object: at most Kept, best first.
-    [[nodiscard]] std::vector<Ranked> draw(Nearness nearness, boost::random::mt19937_64& random) const;
+    /// The best targets for an object, best first, at most Kept; valid until the next call of a non-const function.
+    [[nodiscard]] std::span<const Ranked> best(uint64_t object, Proximity proximity);
+    /// A random sample of targets, for requests without an object: at most Kept, best first.
+    [[nodiscard]] std::vector<Ranked> sample(Proximity proximity, boost::random::mt19937_64& random) const;
 
-    /// Of an object, each nearness. Half of an object's targets may be closed or lost before others take its requests
-    /// that it would not rank so high.
-    static constexpr size_t Kept = 16;
+    /// Cached targets per object and proximity. Half of an object's targets may be closed or lost before its requests
+    /// go to targets that are not among its best.
+    static constexpr size_t MaxRanked = 16;
 
 private:
     struct Lists {
-        std::array<std::vector<Ranked>, AllNearnesses.size()> best;
-        std::array<bool, AllNearnesses.size()> isValid {};
+        std::array<std::vector<Ranked>, AllProximities.size()> best;
+        std::array<bool, AllProximities.size()> isValid {};
     };
 
     [[nodiscard]] static double scoreOf(const GatewayTarget& target, uint64_t object);
     static void insert(std::vector<Ranked>& list, const Ranked& ranked, bool hasAll);
-    void rank(std::vector<Ranked>& list, uint64_t object, Nearness nearness) const;
+    void rank(std::vector<Ranked>& list, uint64_t object, Proximity proximity) const;
 
-    std::array<std::vector<GatewayTarget*>, AllNearnesses.size()> members_;
+    std::array<std::vector<GatewayTarget*>, AllProximities.size()> members_;
     std::unordered_map<uint64_t, Lists> objects_;
 };
 
--- a/src/gateway/internal/targetset.cpp
+++ b/src/gateway/internal/targetset.cpp
@@ -12,24 +12,25 @@
 
 namespace {
 
-/// Share of its service's rate that a slow target is sent: two gateways may both think that it is theirs for a moment.
-constexpr double SlowStartShare = 0.8;
+/// Fraction of its service's rate that a target in slow start is sent: for a moment, two gateways may both consider it
+/// theirs.
+constexpr double SlowStartRateFraction = 0.8;
 constexpr double SlowStartBurst = 1;
-/// The registry repeats its word of a target every 30 s: one that no registry host names for so long is forgotten
-/// together with the registry host that it reported to.
-constexpr Duration UnnamedLimit = 75s;
-constexpr Duration RegistryMemory = 3s;
-constexpr size_t MostRetired = 16384;
-constexpr size_t MostFormerBackpressure = 1024;
-/// The room of so many targets is counted anew in a tick, so that all 1,356 of a large deployment are in under half a
-/// second of ticks of 20 ms, which is as often as shares of regions may move.
-constexpr size_t RecountsPerTick = 64;
+/// The registry repeats its record of a target every 30 s. A target that no registry host lists for this long is
+/// removed, since the registry host it reported to is lost as well.
+constexpr Duration UnlistedTimeout = 75s;
+constexpr Duration RegistryTimeout = 3s;
+constexpr size_t MaxRetired = 16384;
+constexpr size_t MaxFormerBackpressure = 1024;
+/// Targets whose capacity is recounted per tick: with ticks of 20 ms, all 1,356 targets of a large deployment are
+/// recounted in less than half a second, as often as shares of regions may move.
+constexpr size_t CapacityUpdatesPerTick = 64;
 
 } // namespace
 
-TargetSet::TargetSet(Place place, const std::map<ZoneName, RegionName>& zones)
-    : place_(std::move(place))
-    , retired_(MostRetired)
+TargetSet::TargetSet(Location location, const std::map<ZoneName, RegionName>& zones)
+    : location_(std::move(location))
+    , retired_(MaxRetired)
 {
     for (const auto& [zone, region] : zones)
         zones_.emplace(zone, TargetZone {.name = zone, .region = region});
@@ -41,13 +42,13 @@
 {
     reportedAt_ = now;
     ++reports_;
-    noteOrders(report, now);
-    noteRetired(report.retired);
+    applyOrders(report, now);
+    applyRetired(report.retired);
     for (const model::TargetRecord& record : report.targets)
-        noteRecord(record, now);
+        applyRecord(record, now);
 }
 
-void TargetSet::noteOrders(const model::TargetReport& report, Timestamp now)
+void TargetSet::applyOrders(const model::TargetReport& report, Timestamp now)
 {
     if (report.orders <= orders_)
         return;
@@ -64,20 +65,20 @@
     }
 }
 
-void TargetSet::noteRetired(std::span<const model::TargetIncarnation> retired)
+void TargetSet::applyRetired(std::span<const model::TargetIncarnation> retired)
 {
-    for (model::TargetIncarnation start : retired) {
-        GatewayTarget* known = findById(start.target);
-        // An order that doesn't tell the start binds the one that is known now.
-        if (start.incarnation.value == 0 && known != nullptr)
-            start.incarnation = known->record.incarnation;
-        retired_.note(start);
-        if (known != nullptr && known->record.incarnation <= start.incarnation)
-            noteLeaving(*known);
+    for (model::TargetIncarnation targetIncarnation : retired) {
+        GatewayTarget* known = findById(targetIncarnation.target);
+        // An order without an incarnation applies to the one known now.
+        if (targetIncarnation.incarnation.value == 0 && known != nullptr)
+            targetIncarnation.incarnation = known->record.incarnation;
+        retired_.note(targetIncarnation);
+        if (known != nullptr && known->record.incarnation <= targetIncarnation.incarnation)
+            markLeaving(*known);
     }
 }
 
-void TargetSet::noteRecord(const model::TargetRecord& record, Timestamp now)
+void TargetSet::applyRecord(const model::TargetRecord& record, Timestamp now)
 {
     GatewayTarget* known = findById(record.target);
     const bool isKnownStart = known != nullptr && known->record.incarnation == record.incarnation;
@@ -93,7 +94,7 @@
     const bool isAddressUsed = atAddress(record.address) != nullptr;
     displaceOtherAt(record, now);
     if (known != nullptr) {
-        replaced_.push_back(known->start());
+        replaced_.push_back(known->targetIncarnation());
         remove(*known);
     }
     GatewayTarget& target = add(record);
@@ -107,7 +108,7 @@
     const GatewayTarget* other = atAddress(record.address);
     if (other == nullptr || other->id() == record.target)
         return true;
-    // Starts that don't tell are taken in the order in which word of them comes.
+    // Records without an incarnation are accepted in the order in which they arrive.
     const bool isOfEarlier = record.incarnation.value != 0 && record.incarnation < other->record.incarnation;
     return !record.isRecalled && !isOfEarlier;
 }
@@ -118,51 +119,51 @@
     slot = std::make_unique<GatewayTarget>();
     GatewayTarget& target = *slot;
     target.record = record;
-    target.record.isLeaving = false; // update() tells.
+    target.record.isLeaving = false; // Set by update().
     target.zone = &zoneOf(record.zone);
     target.hash = model::targetHash(record.target);
-    target.startHash = model::incarnationHash(target.start());
-    target.sumsAt = &sumsAt_;
-    if (const auto former = formerBackpressure_.extract(target.start()))
+    target.incarnationHash = model::incarnationHash(target.targetIncarnation());
+    target.totalsAt = &totalsAt_;
+    if (const auto former = formerBackpressure_.extract(target.targetIncarnation()))
         target.backpressure = former.mapped();
     target.position = all_.size();
     all_.push_back(&target);
-    byStartHash_.insert_or_assign(target.startHash, &target);
-    enter(target);
+    byIncarnationHash_.insert_or_assign(target.incarnationHash, &target);
+    addToIndexes(target);
     return target;
 }
 
-void TargetSet::enter(GatewayTarget& target)
+void TargetSet::addToIndexes(GatewayTarget& target)
 {
     byAddress_.insert_or_assign(target.record.address, &target);
     if (!target.record.isLeaving)
-        services_[target.record.service].ranking.add(target, nearnessOf(target));
+        services_[target.record.service].ranking.add(target, proximityOf(target));
 }
 
-void TargetSet::leave(GatewayTarget& target)
+void TargetSet::removeFromIndexes(GatewayTarget& target)
 {
     if (atAddress(target.record.address) == &target)
         byAddress_.erase(target.record.address);
     Service& service = services_[target.record.service];
     if (!target.record.isLeaving)
-        service.ranking.remove(target, nearnessOf(target));
-    Service::Room& room = service.rooms[target.zone->region];
-    room.slots -= target.countedSlots;
-    room.load -= target.countedLoad;
-    room.targets -= target.countedSlots > 0 ? 1 : 0;
+        service.ranking.remove(target, proximityOf(target));
+    Service::Capacity& capacity = service.capacityByRegion[target.zone->region];
+    capacity.slots -= target.countedSlots;
+    capacity.load -= target.countedLoad;
+    capacity.targets -= target.countedSlots > 0 ? 1 : 0;
     target.countedSlots = 0;
     target.countedLoad = 0;
 }
 
 void TargetSet::remove(GatewayTarget& target)
 {
-    leave(target);
-    if (!target.backpressure.isEmpty() && formerBackpressure_.size() < MostFormerBackpressure)
-        formerBackpressure_.emplace(target.start(), target.backpressure);
+    removeFromIndexes(target);
+    if (!target.backpressure.isEmpty() && formerBackpressure_.size() < MaxFormerBackpressure)
+        formerBackpressure_.emplace(target.targetIncarnation(), target.backpressure);
     all_.back()->position = target.position;
     std::swap(all_[target.position], all_.back());
     all_.pop_back();
-    byStartHash_.erase(target.startHash);
+    byIncarnationHash_.erase(target.incarnationHash);
     targets_.erase(target.record.target);
 }
 
@@ -173,27 +174,27 @@
         || record.service != target.record.service || record.slots != target.record.slots;
     if (isMoved) {
         displaceOtherAt(record, now);
-        leave(target);
+        removeFromIndexes(target);
     }
     target.record = record;
     target.record.isLeaving = wasLeaving;
     if (isMoved) {
         target.zone = &zoneOf(record.zone);
-        enter(target);
+        addToIndexes(target);
     }
-    if (record.isLeaving || retired_.contains(target.start()))
-        noteLeaving(target);
-    target.heardAt = now - record.age;
-    target.namedAt = now;
-    target.namedByReport = reports_;
-    target.slowUntil = target.heardAt + record.slowStartLeft;
-    target.namedHook.unlink();
-    byNamed_.push_back(target);
-    target.isSilent = record.age >= model::TargetSilenceLimit;
-    target.silentHook.unlink();
-    if (target.isSilent)
-        silent_.push_back(target);
-    recount(target, now);
+    if (record.isLeaving || retired_.contains(target.targetIncarnation()))
+        markLeaving(target);
+    target.lastReportAt = now - record.age;
+    target.lastListedAt = now;
+    target.lastListedInReport = reports_;
+    target.slowUntil = target.lastReportAt + record.slowStartLeft;
+    target.listedHook.unlink();
+    byLastListed_.push_back(target);
+    target.isUnresponsive = record.age >= model::TargetSilenceLimit;
+    target.unresponsiveHook.unlink();
+    if (target.isUnresponsive)
+        unresponsive_.push_back(target);
+    updateCapacity(target, now);
 }
 
 void TargetSet::displaceOtherAt(const model::TargetRecord& record, Timestamp now)
@@ -201,8 +202,8 @@
     GatewayTarget* other = atAddress(record.address);
     if (other == nullptr || other->id() == record.target)
         return;
-    displaced_.note(other->start(), now);
-    replaced_.push_back(other->start());
+    displaced_.note(other->targetIncarnation(), now);
+    replaced_.push_back(other->targetIncarnation());
     remove(*other);
 }
 
@@ -217,105 +218,108 @@
     return zones_.try_emplace(name, TargetZone {.name = name, .region = {}}).first->second;
 }
 
-Nearness TargetSet::nearnessOf(const GatewayTarget& target) const
+Proximity TargetSet::proximityOf(const GatewayTarget& target) const
 {
-    if (target.zone->region != place_.region)
-        return Nearness::Away;
-    return target.zone->name == place_.zone ? Nearness::Zone : Nearness::Region;
+    if (target.zone->region != location_.region)
+        return Proximity::Remote;
+    return target.zone->name == location_.zone ? Proximity::Zone : Proximity::Region;
 }
 
 void TargetSet::noteLoads(const model::TargetLoads& loads, Timestamp now)
 {
-    sumsAt_ = now;
+    totalsAt_ = now;
     if (!loads.isChange) {
-        for (GatewayTarget& target : summed_)
-            target.sumInFlight = 0;
-        summed_.clear();
+        for (GatewayTarget& target : withTotals_)
+            target.totalInFlight = 0;
+        withTotals_.clear();
     }
     for (size_t i = 0; i < loads.targets.size(); ++i) {
-        const auto found = byStartHash_.find(loads.targets[i]);
-        if (found == byStartHash_.end())
+        const auto found = byIncarnationHash_.find(loads.targets[i]);
+        if (found == byIncarnationHash_.end())
             continue;
         GatewayTarget& target = *found->second;
-        target.sumInFlight = loads.inFlight[i];
-        target.summedHook.unlink();
-        if (target.sumInFlight > 0)
-            summed_.push_back(target);
+        target.totalInFlight = loads.inFlight[i];
+        target.totalHook.unlink();
+        if (target.totalInFlight > 0)
+            withTotals_.push_back(target);
     }
 }
 
 model::TargetLoads TargetSet::takeOwnLoads()
 {
-    for (GatewayTarget& target : told_)
-        target.toldInFlight = 0;
-    told_.clear();
+    for (GatewayTarget& target : published_)
+        target.publishedInFlight = 0;
+    published_.clear();
     model::TargetLoads loads;
     for (GatewayTarget& target : busy_) {
-        target.toldInFlight = target.inFlight;
-        told_.push_back(target);
-        loads.targets.push_back(target.startHash);
+        target.publishedInFlight = target.inFlight;
+        published_.push_back(target);
+        loads.targets.push_back(target.incarnationHash);
         loads.inFlight.push_back(target.inFlight);
     }
     return loads;
 }
 
-void TargetSet::noteLeaving(const model::TargetIncarnation& start) { noteRetired({&start, 1}); }
+void TargetSet::markLeaving(const model::TargetIncarnation& targetIncarnation)
+{
+    applyRetired({&targetIncarnation, 1});
+}
 
-void TargetSet::noteGone(const model::TargetIncarnation& start)
+void TargetSet::markStopped(const model::TargetIncarnation& targetIncarnation)
 {
-    if (GatewayTarget* known = find(start))
-        noteLeaving(*known);
+    if (GatewayTarget* known = find(targetIncarnation))
+        markLeaving(*known);
 }
 
-void TargetSet::noteLeaving(GatewayTarget& target)
+void TargetSet::markLeaving(GatewayTarget& target)
 {
     if (std::exchange(target.record.isLeaving, true))
         return;
-    services_[target.record.service].ranking.remove(target, nearnessOf(target));
+    services_[target.record.service].ranking.remove(target, proximityOf(target));
 }
 
 void TargetSet::tick(Timestamp now)
 {
     expire(now);
-    for (size_t i = 0; i < std::min(all_.size(), RecountsPerTick); ++i) {
-        nextRecount_ = (nextRecount_ + 1) % all_.size();
-        recount(*all_[nextRecount_], now);
+    for (size_t i = 0; i < std::min(all_.size(), CapacityUpdatesPerTick); ++i) {
+        nextCapacityUpdate_ = (nextCapacityUpdate_ + 1) % all_.size();
+        updateCapacity(*all_[nextCapacityUpdate_], now);
     }
 }
 
-void TargetSet::recount(GatewayTarget& target, Timestamp now)
+void TargetSet::updateCapacity(GatewayTarget& target, Timestamp now)
 {
-    // Counted without a look at credits, which come and go several times a second.
-    const bool isResting = now < target.backpressure.restUntil;
-    const bool isCounted = !isResting && target.isAvailable(now) && !target.isSlowStarting(now);
+    // Counted without regard to credits, which change several times per second.
+    const bool isBackingOff = now < target.backpressure.backoffUntil;
+    const bool isCounted = !isBackingOff && target.isAvailable(now) && !target.isSlowStarting(now);
     const double slots = isCounted ? target.usableSlots() : 0;
     const double load = isCounted ? target.load(now) : 0;
-    Service::Room& room = services_[target.record.service].rooms[target.zone->region];
-    room.slots += slots - target.countedSlots;
-    room.load += load - target.countedLoad;
-    room.targets += (slots > 0 ? 1 : 0);
-    room.targets -= (target.countedSlots > 0 ? 1 : 0);
+    Service::Capacity& capacity = services_[target.record.service].capacityByRegion[target.zone->region];
+    capacity.slots += slots - target.countedSlots;
+    capacity.load += load - target.countedLoad;
+    capacity.targets += (slots > 0 ? 1 : 0);
+    capacity.targets -= (target.countedSlots > 0 ? 1 : 0);
     target.countedSlots = slots;
     target.countedLoad = load;
 }
 
 void TargetSet::expire(Timestamp now)
 {
-    if (now - reportedAt_ > RegistryMemory)
+    if (now - reportedAt_ > RegistryTimeout)
         return;
-    std::vector<GatewayTarget*> gone;
-    for (GatewayTarget& target : silent_) {
+    std::vector<GatewayTarget*> removable;
+    for (GatewayTarget& target : unresponsive_) {
         if (target.inFlight == 0)
-            gone.push_back(&target);
+            removable.push_back(&target);
     }
-    for (GatewayTarget& target : byNamed_) {
-        const bool isDue = now - target.namedAt > UnnamedLimit && target.inFlight == 0;
-        if (!isDue)
+    for (GatewayTarget& target : byLastListed_) {
+        const bool isExpired = now - target.lastListedAt > UnlistedTimeout && target.inFlight == 0;
+        if (!isExpired)
             break;
-        if (!target.isSilent)
-            gone.push_back(&target);
+        if (!target.isUnresponsive)
+            removable.push_back(&target);
     }
-    for (GatewayTarget* target : gone)
+    for (GatewayTarget* target : removable)
         remove(*target);
 }
 
@@ -327,10 +331,10 @@
     return found == targets_.end() ? nullptr : found->second.get();
 }
 
-GatewayTarget* TargetSet::find(const model::TargetIncarnation& start) const
+GatewayTarget* TargetSet::find(const model::TargetIncarnation& targetIncarnation) const
 {
-    GatewayTarget* known = findById(start.target);
-    return known != nullptr && known->record.incarnation == start.incarnation ? known : nullptr;
+    GatewayTarget* known = findById(targetIncarnation.target);
+    return known != nullptr && known->record.incarnation == targetIncarnation.incarnation ? known : nullptr;
 }
 
 TargetRanking* TargetSet::ranking(const ServiceName& service)
@@ -345,28 +349,28 @@
     return found == services_.end() ? 0 : found->second.ranking.size();
 }
 
-ServiceRoom TargetSet::roomOf(const ServiceName& service) const
+ServiceCapacity TargetSet::capacityOf(const ServiceName& service) const
 {
-    ServiceRoom all;
+    ServiceCapacity all;
     const auto found = services_.find(service);
     if (found == services_.end())
         return all;
-    for (const auto& [region, room] : found->second.rooms) {
-        if (room.targets == 0)
+    for (const auto& [region, capacity] : found->second.capacityByRegion) {
+        if (capacity.targets == 0)
             continue;
         ++all.regions;
-        all.allSlots += room.slots;
-        if (region != place_.region)
+        all.allSlots += capacity.slots;
+        if (region != location_.region)
             continue;
-        all.homeSlots = room.slots;
-        all.homeLoad = room.load;
+        all.localSlots = capacity.slots;
+        all.localLoad = capacity.load;
     }
     return all;
 }
 
 double TargetSet::slowStartBalance(const GatewayTarget& target, const model::RoutedService& service, Timestamp now)
 {
-    const double rate = service.slowStartPerSecond * SlowStartShare;
+    const double rate = service.slowStartPerSecond * SlowStartRateFraction;
     return std::min(SlowStartBurst, target.slowStartBalance + toSeconds(now - target.slowStartAt) * rate);
 }
 
@@ -376,11 +380,11 @@
         return false;
     if (!target.isSlowStarting(now))
         return true;
-    const bool isOwn = target.record.slowStartHost == place_.self;
+    const bool isOwn = target.record.slowStartHost == location_.self;
     return isOwn && slowStartBalance(target, service, now) >= 1;
 }
 
-void TargetSet::noteSent(GatewayTarget& target, const model::RoutedService& service, Timestamp now)
+void TargetSet::recordSent(GatewayTarget& target, const model::RoutedService& service, Timestamp now)
 {
     if (++target.inFlight == 1)
         busy_.push_back(target);
@@ -390,7 +394,7 @@
     target.slowStartAt = now;
 }
 
-void TargetSet::noteReleased(GatewayTarget& target)
+void TargetSet::recordReleased(GatewayTarget& target)
 {
     if (target.inFlight > 0 && --target.inFlight == 0)
         target.busyHook.unlink();
--- a/src/gateway/internal/targetset.h
+++ b/src/gateway/internal/targetset.h
@@ -19,71 +19,72 @@
 
 namespace saltvane::gateway {
 
-/// Slots of a service's targets that may be used, and how many of them are taken.
-struct ServiceRoom {
-    double homeSlots = 0; ///< In this gateway's region.
-    double homeLoad = 0;
+/// Usable slots of a service's targets and their load.
+struct ServiceCapacity {
+    double localSlots = 0; ///< In this gateway's region.
+    double localLoad = 0;
     double allSlots = 0;
-    size_t regions = 0; ///< That have any.
+    size_t regions = 0; ///< Regions with usable slots.
 };
 
-/// All targets this gateway knows. What a report, a request or a tick costs goes with the targets it is about, not with
-/// those that are known.
+/// All targets that this gateway knows. The cost of a report, a request or a tick depends on the targets it concerns,
+/// not on the number of known targets.
 class TargetSet {
 public:
-    struct Place {
+    struct Location {
         HostId self;
         ZoneName zone;
         RegionName region;
     };
-    TargetSet(Place place, const std::map<ZoneName, RegionName>& zones);
+    TargetSet(Location location, const std::map<ZoneName, RegionName>& zones);
     ~TargetSet();
     TargetSet(const TargetSet&) = delete;
     TargetSet& operator=(const TargetSet&) = delete;
 
     void note(const model::TargetReport& report, Timestamp now);
     void noteLoads(const model::TargetLoads& loads, Timestamp now);
-    /// This gateway's own, to be told to the registry.
+    /// Loads of this gateway's own requests, to be reported to the registry.
     [[nodiscard]] model::TargetLoads takeOwnLoads();
-    /// It says that it leaves: this start gets no new work again, whatever the registry reports of it.
-    void noteLeaving(const model::TargetIncarnation& start);
-    /// It answered for another one: whatever had this id is gone.
-    void noteGone(const model::TargetIncarnation& start);
-    /// Forgets targets that the registry has not heard of for long, as long as the registry itself is heard; counts
-    /// the room of some targets anew.
+    /// The target announced that it is leaving: this incarnation gets no new requests any more, whatever the registry
+    /// reports.
+    void markLeaving(const model::TargetIncarnation& targetIncarnation);
+    /// Another target answered at its address: the target with this id has stopped.
+    void markStopped(const model::TargetIncarnation& targetIncarnation);
+    /// Removes targets of which the registry has not heard for a long time, as long as the registry itself is
+    /// reachable; recounts the capacity of some targets.
     void tick(Timestamp now);
-    /// Starts that a later one under their id replaced since the last call: requests on their way to them get no
-    /// answer any more, but for what was sent before.
+    /// Incarnations that were replaced since the last call, by a later one under their id or another target at their
+    /// address: requests sent to them get no more answers, apart from those sent before.
     [[nodiscard]] std::vector<model::TargetIncarnation> takeReplaced();
 
-    /// Null where another start has the id by now.
-    [[nodiscard]] GatewayTarget* find(const model::TargetIncarnation& start) const;
-    /// Null where no target of the service was ever named.
+    /// Returns null if the id belongs to another incarnation by now.
+    [[nodiscard]] GatewayTarget* find(const model::TargetIncarnation& targetIncarnation) const;
+    /// Returns null if no target of the service was ever listed.
     [[nodiscard]] TargetRanking* ranking(const ServiceName& service);
-    [[nodiscard]] ServiceRoom roomOf(const ServiceName& service) const;
+    [[nodiscard]] ServiceCapacity capacityOf(const ServiceName& service) const;
     [[nodiscard]] size_t countOf(const ServiceName& service) const;
-    /// Whether new work may be sent to it. Of a slow target only within its rate.
+    /// Whether new requests may be sent to the target; during its slow start only within its rate.
     [[nodiscard]] bool isUsable(const GatewayTarget& target, const model::RoutedService& service, Timestamp now) const;
-    /// One more request of this gateway's is at the target.
-    void noteSent(GatewayTarget& target, const model::RoutedService& service, Timestamp now);
-    static void noteReleased(GatewayTarget& target);
+    /// A request of this gateway was sent to the target.
+    void recordSent(GatewayTarget& target, const model::RoutedService& service, Timestamp now);
+    static void recordReleased(GatewayTarget& target);
     [[nodiscard]] size_t size() const { return all_.size(); }
 
 private:
     struct Service {
         TargetRanking ranking;
-        struct Room {
+        struct Capacity {
             double slots = 0;
             double load = 0;
             size_t targets = 0;
         };
-        std::map<RegionName, Room> rooms;
+        std::map<RegionName, Capacity> capacityByRegion;
     };
 
-    void noteOrders(const model::TargetReport& report, Timestamp now);
-    void noteRetired(std::span<const model::TargetIncarnation> retired);
-    void noteRecord(const model::TargetRecord& record, Timestamp now);
-    /// Whether a record of a start that is not known may stand for a target.
+    void applyOrders(const model::TargetReport& report, Timestamp now);
+    void applyRetired(std::span<const model::TargetIncarnation> retired);
+    void applyRecord(const model::TargetRecord& record, Timestamp now);
+    /// Whether a record of an unknown incarnation may be added as a target.
     [[nodiscard]] bool mayAdd(const model::TargetRecord& record) const;
     GatewayTarget& add(const model::TargetRecord& record);
     void remove(GatewayTarget& target);
@@ -91,18 +92,18 @@
     void displaceOtherAt(const model::TargetRecord& record, Timestamp now);
     [[nodiscard]] GatewayTarget* findById(const TargetId& target) const;
     [[nodiscard]] GatewayTarget* atAddress(const model::Address& address) const;
-    [[nodiscard]] Nearness nearnessOf(const GatewayTarget& target) const;
+    [[nodiscard]] Proximity proximityOf(const GatewayTarget& target) const;
     TargetZone& zoneOf(const ZoneName& name);
-    /// It gets no new work any more: nothing is ranked that can't come back.
-    void noteLeaving(GatewayTarget& target);
-    void enter(GatewayTarget& target);
-    void leave(GatewayTarget& target);
-    void recount(GatewayTarget& target, Timestamp now);
+    /// The target gets no new requests any more, so it is removed from the ranking.
+    void markLeaving(GatewayTarget& target);
+    void addToIndexes(GatewayTarget& target);
+    void removeFromIndexes(GatewayTarget& target);
+    void updateCapacity(GatewayTarget& target, Timestamp now);
     void expire(Timestamp now);
     [[nodiscard]] static double slowStartBalance(
         const GatewayTarget& target, const model::RoutedService& service, Timestamp now);
 
-    Place place_;
+    Location location_;
     LogPosition orders_;
     std::map<ZoneName, TargetZone> zones_;
     membership::RetiredTargets retired_;
@@ -110,21 +111,21 @@
     std::unordered_map<TargetId, std::unique_ptr<GatewayTarget>> targets_;
     std::vector<GatewayTarget*> all_;
     std::map<model::Address, GatewayTarget*> byAddress_;
-    std::unordered_map<uint64_t, GatewayTarget*> byStartHash_;
+    std::unordered_map<uint64_t, GatewayTarget*> byIncarnationHash_;
     std::map<ServiceName, Service> services_;
     std::vector<model::TargetIncarnation> replaced_;
-    /// Of starts that the registry names no more: where it does again, what they said holds on.
+    /// Back-pressure of incarnations that were removed; it applies again if the registry lists them again.
     std::map<model::TargetIncarnation, TargetBackpressure> formerBackpressure_;
     uint64_t reports_ = 0;
-    Timestamp reportedAt_ {}; ///< Last word of any registry host.
-    Timestamp sumsAt_ {}; ///< Last word of any target's load.
-    size_t nextRecount_ = 0;
-    // After the targets, so that they go first.
-    TargetList<&GatewayTarget::namedHook> byNamed_; ///< The one named longest ago first.
-    TargetList<&GatewayTarget::silentHook> silent_;
-    TargetList<&GatewayTarget::busyHook> busy_; ///< With requests of this gateway.
-    TargetList<&GatewayTarget::toldHook> told_; ///< With requests as the registry was last told.
-    TargetList<&GatewayTarget::summedHook> summed_; ///< With requests by the registry's word.
+    Timestamp reportedAt_ {}; ///< Last report of any registry host.
+    Timestamp totalsAt_ {}; ///< Last report of loads.
+    size_t nextCapacityUpdate_ = 0;
+    // Declared after the targets, so that the lists are destroyed first.
+    TargetList<&GatewayTarget::listedHook> byLastListed_; ///< The one listed longest ago first.
+    TargetList<&GatewayTarget::unresponsiveHook> unresponsive_;
+    TargetList<&GatewayTarget::busyHook> busy_; ///< Targets with requests of this gateway.
+    TargetList<&GatewayTarget::publishedHook> published_; ///< Targets with requests in the last report to the registry.
+    TargetList<&GatewayTarget::totalHook> withTotals_; ///< Targets with requests in the registry's totals.
 };
 
 } // namespace saltvane::gateway
--- a/src/gateway/internal/ratebudget.h
+++ b/src/gateway/internal/tokenbucket.h
@@ -11,14 +11,14 @@
 
 namespace saltvane::gateway {
 
-/// Bounds how often something is done, however often there is reason to: log lines, reports.
-class RateBudget {
+/// Token bucket that limits the rate of an action such as writing a log line or sending a report.
+class TokenBucket {
 public:
     struct Options {
         double perSecond = 0;
-        double burst = 0; ///< What may be done at once, also after the start.
+        double burst = 0; ///< Tokens that are available at once, also initially.
     };
-    explicit RateBudget(const Options& options)
+    explicit TokenBucket(const Options& options)
         : options_(options)
         , balance_(options.burst)
     {
--- a/src/gateway/internal/warmobjects.cpp
+++ b/src/gateway/internal/warmobjects.cpp
@@ -11,21 +11,21 @@
 
 namespace {
 
-/// Targets keep some dozens of objects; one not asked for this long has most likely made room for others.
-constexpr Duration WarmFor = 20s;
-constexpr size_t MostObjects = 4096;
+/// Targets keep some dozens of objects; an object that was not requested for this long has most likely been evicted.
+constexpr Duration WarmDuration = 20s;
+constexpr size_t MaxObjects = 4096;
 
 } // namespace
 
-void WarmObjects::note(uint64_t object, uint64_t target, Timestamp now)
+void WarmObjects::recordAnswer(uint64_t object, uint64_t target, Timestamp now)
 {
-    if (objects_.size() >= MostObjects && !objects_.contains(object))
+    if (objects_.size() >= MaxObjects && !objects_.contains(object))
         objects_.erase(objects_.begin());
-    Places& places = objects_[object];
-    auto* place = std::ranges::find(places, target, &Place::target);
-    if (place == places.end())
-        place = std::ranges::min_element(places, {}, &Place::answeredAt);
-    *place = {.target = target, .answeredAt = now};
+    Entries& entries = objects_[object];
+    auto* entry = std::ranges::find(entries, target, &Entry::target);
+    if (entry == entries.end())
+        entry = std::ranges::min_element(entries, {}, &Entry::answeredAt);
+    *entry = {.target = target, .answeredAt = now};
 }
 
 bool WarmObjects::isWarm(uint64_t object, uint64_t target, Timestamp now) const
@@ -33,16 +33,16 @@
     const auto found = objects_.find(object);
     if (found == objects_.end())
         return false;
-    const auto* const place = std::ranges::find(found->second, target, &Place::target);
-    return place != found->second.end() && now - place->answeredAt <= WarmFor;
+    const auto* const entry = std::ranges::find(found->second, target, &Entry::target);
+    return entry != found->second.end() && now - entry->answeredAt <= WarmDuration;
 }
 
 void WarmObjects::forgetTarget(uint64_t target)
 {
-    for (auto& [object, places] : objects_) {
-        for (Place& place : places) {
-            if (place.target == target)
-                place = {};
+    for (auto& [object, entries] : objects_) {
+        for (Entry& entry : entries) {
+            if (entry.target == target)
+                entry = {};
         }
     }
 }
--- a/src/gateway/internal/warmobjects.h
+++ b/src/gateway/internal/warmobjects.h
@@ -13,23 +13,23 @@
 
 namespace saltvane::gateway {
 
-/// Which targets lately answered for which objects, as far as this gateway's own requests tell. Bounded.
+/// Which targets recently answered for which objects, according to this gateway's own requests. Bounded in size.
 class WarmObjects {
 public:
-    void note(uint64_t object, uint64_t target, Timestamp now);
+    void recordAnswer(uint64_t object, uint64_t target, Timestamp now);
     [[nodiscard]] bool isWarm(uint64_t object, uint64_t target, Timestamp now) const;
-    /// The target lost what it had.
+    /// The target lost its warm objects.
     void forgetTarget(uint64_t target);
 
 private:
-    struct Place {
+    struct Entry {
         uint64_t target = 0;
         Timestamp answeredAt;
     };
-    static constexpr size_t PlacesPerObject = 4;
-    using Places = std::array<Place, PlacesPerObject>;
+    static constexpr size_t MaxTargetsPerObject = 4;
+    using Entries = std::array<Entry, MaxTargetsPerObject>;
 
-    std::unordered_map<uint64_t, Places> objects_;
+    std::unordered_map<uint64_t, Entries> objects_;
 };
 
 } // namespace saltvane::gateway
--- a/src/gateway/tests/accounttabletests.cpp
+++ b/src/gateway/tests/accounttabletests.cpp
@@ -14,15 +14,15 @@
 
 namespace saltvane::gateway::test {
 
-/// After any series of plans each key is of the account that the last plan gives it to.
-TEST(AccountTableTest, ChangedAccountsAnswerAsFreshOnes)
+/// After any series of updates, each key belongs to the account that the last update assigns it to.
+TEST(AccountTableTest, UpdatedTableMatchesFreshTable)
 {
     constexpr size_t Keys = 12;
-    std::mt19937 random(11); // NOLINT(cert-msc32-c,cert-msc51-cpp): the same each time.
+    std::mt19937 random(11); // NOLINT(cert-msc32-c,cert-msc51-cpp): reproducible sequence.
     const auto draw = [&](size_t below) { return random() % below; };
     AccountTable table;
     std::vector<model::AccountRef> accounts;
-    std::map<std::string, size_t> holders; ///< Of keys.
+    std::map<std::string, size_t> holders; ///< Account number by key.
     for (int round = 0; round < 2000; ++round) {
         for (size_t moves = draw(4); moves > 0; --moves) {
             const std::string key = "key-" + std::to_string(draw(Keys));
--- a/src/gateway/tests/accounttests.cpp
+++ b/src/gateway/tests/accounttests.cpp
@@ -30,16 +30,16 @@
         reportTargets({target("t-1"), target("t-2", "quotes", "south-a")});
     }
 
-    requests::HttpHandle ask(const std::string& key, const std::string& path = "/read/1")
+    requests::HttpHandle sendWithKey(const std::string& key, const std::string& path = "/read/1")
     {
         CallerRequest caller {.path = path};
         if (!key.empty())
-            caller.more = {keyHeader(key)};
+            caller.extraHeaders = {keyHeader(key)};
         return request(caller);
     }
-    void giveCredit(const model::LimitCreditAsk& ask)
+    void grantCredit(const model::LimitCreditAsk& request)
     {
-        deliver(model::LimitCreditReply {.answers = {{.ask = ask.ask, .credits = ask.credits}}});
+        deliver(model::LimitCreditReply {.answers = {{.ask = request.ask, .credits = request.credits}}});
     }
     int status()
     {
@@ -48,44 +48,44 @@
     }
 };
 
-TEST_F(AccountTest, TheTargetIsToldTheAccountAndNeverTheKey)
+TEST_F(AccountTest, TargetReceivesAccountButNotKey)
 {
     CallerRequest caller;
-    caller.more = {keyHeader("key-a2"), {.name = "Saltvane-Client-Account", .value = "somebody-else"}};
+    caller.extraHeaders = {keyHeader("key-a2"), {.name = "Saltvane-Client-Account", .value = "somebody-else"}};
     request(caller);
     const auto starts = takeStarts();
     ASSERT_EQ(starts.size(), 1U);
     EXPECT_EQ(header(starts[0].headers, "Saltvane-Client-Key"), "");
     EXPECT_EQ(header(starts[0].headers, "Saltvane-Client-Account"), "acme");
-    EXPECT_EQ(std::ranges::count_if(
-                  starts[0].headers, [](const model::Header& one) { return one.name == "Saltvane-Client-Account"; }),
+    EXPECT_EQ(std::ranges::count_if(starts[0].headers,
+                  [](const model::Header& field) { return field.name == "Saltvane-Client-Account"; }),
         1);
 }
 
-TEST_F(AccountTest, WithoutAKnownKeyARequestIsRefusedForGood)
+TEST_F(AccountTest, UnknownKeyIsRejectedWithoutRetry)
 {
     answerPull();
     for (const std::string& key :
         {std::string(), std::string("key-a"), std::string("key-a11"), std::string(60'000, 'k')}) {
-        ask(key);
+        sendWithKey(key);
         EXPECT_EQ(status(), 401) << key.substr(0, 10);
     }
     EXPECT_TRUE(takeStarts().empty());
 }
 
-TEST_F(AccountTest, TwoKeysAreNone)
+TEST_F(AccountTest, TwoKeysAreRejected)
 {
     answerPull();
     CallerRequest caller;
-    caller.more = {keyHeader("key-a1"), keyHeader("key-a2")};
+    caller.extraHeaders = {keyHeader("key-a1"), keyHeader("key-a2")};
     request(caller);
     EXPECT_EQ(status(), 401);
 }
 
-TEST_F(AccountTest, APublicRouteAsksForNoKeyAndTellsNoAccount)
+TEST_F(AccountTest, PublicRouteNeedsNoKeyAndForwardsNoAccount)
 {
     CallerRequest caller {.path = "/open/1"};
-    caller.more = {keyHeader("key-a1"), {.name = "Saltvane-Client-Account", .value = "acme"}};
+    caller.extraHeaders = {keyHeader("key-a1"), {.name = "Saltvane-Client-Account", .value = "acme"}};
     request(caller);
     const auto starts = takeStarts();
     ASSERT_EQ(starts.size(), 1U);
@@ -93,36 +93,36 @@
     EXPECT_EQ(header(starts[0].headers, "Saltvane-Client-Account"), "");
 }
 
-/// Callers take 401 for final: a key that only a newer plan knows must not get it.
-TEST_F(AccountTest, WhileANewerPlanIsOnItsWayAnUnknownKeyMayComeBack)
+/// Callers treat 401 as final, so a key that exists only in a newer plan must not get it.
+TEST_F(AccountTest, UnknownKeyIsRetryableWhileNewerPlanIsFetched)
 {
     startFetchingPlan(2);
-    ask("key-new");
+    sendWithKey("key-new");
     const auto response = takeResponse();
     ASSERT_TRUE(response);
     EXPECT_EQ(response->status, 503);
     EXPECT_NE(header(response->headers, "Retry-After"), "");
 }
 
-TEST_F(AccountTest, AKeyThatPassesToAnotherAccountIsThatAccountsAtOnce)
+TEST_F(AccountTest, KeyMovedToAnotherAccountTakesEffectAtOnce)
 {
     installPlan(2, PublicRoute, R"([{"name":"other","keys":["key-a1"]},{"name":"acme","keys":["key-a2"]}])");
-    ask("key-a1");
+    sendWithKey("key-a1");
     auto starts = takeStarts();
     ASSERT_EQ(starts.size(), 1U);
     EXPECT_EQ(header(starts[0].headers, "Saltvane-Client-Account"), "other");
     installPlan(3, PublicRoute, R"([{"name":"acme","keys":[]}])");
     answerPull();
-    ask("key-a2");
+    sendWithKey("key-a2");
     EXPECT_EQ(status(), 401);
     EXPECT_TRUE(takeStarts().empty());
 }
 
-TEST_F(AccountTest, RunsOnlyWhereTheAccountIsPermitted)
+TEST_F(AccountTest, RequestsStayInPermittedRegions)
 {
     for (int i = 0; i < 20; ++i) {
         CallerRequest caller {.id = "try-" + std::to_string(i), .object = std::to_string(i)};
-        caller.more = {keyHeader("key-n")};
+        caller.extraHeaders = {keyHeader("key-n")};
         request(caller);
         for (const requests::TargetStart& start : takeStarts()) {
             EXPECT_EQ(header(start.headers, "Saltvane-Expect-Target"), "t-1");
@@ -132,23 +132,23 @@
     }
 }
 
-TEST_F(AccountTest, ARequestOfALimitedAccountWaitsForItsCredit)
+TEST_F(AccountTest, LimitedAccountWaitsForCredit)
 {
-    ask("key-l");
+    sendWithKey("key-l");
     EXPECT_TRUE(takeStarts().empty());
-    const auto asks = takeCreditAsks();
-    ASSERT_EQ(asks.size(), 1U);
-    EXPECT_EQ(asks[0].limit, model::limitIdOf(model::ClientAccountName("limited")));
-    giveCredit(asks[0]);
+    const auto creditRequests = takeCreditRequests();
+    ASSERT_EQ(creditRequests.size(), 1U);
+    EXPECT_EQ(creditRequests[0].limit, model::limitIdOf(model::ClientAccountName("limited")));
+    grantCredit(creditRequests[0]);
     EXPECT_EQ(takeStarts().size(), 1U);
 }
 
-TEST_F(AccountTest, OverTheLimitItIsRefusedWithTheTimeToReturn)
+TEST_F(AccountTest, RequestOverLimitIsRefusedWithRetryAfter)
 {
-    ask("key-l");
-    const auto asks = takeCreditAsks();
-    ASSERT_EQ(asks.size(), 1U);
-    deliver(model::LimitCreditReply {.answers = {{.ask = asks[0].ask, .retryAfter = 700ms}}});
+    sendWithKey("key-l");
+    const auto creditRequests = takeCreditRequests();
+    ASSERT_EQ(creditRequests.size(), 1U);
+    deliver(model::LimitCreditReply {.answers = {{.ask = creditRequests[0].ask, .retryAfter = 700ms}}});
     const auto response = takeResponse();
     ASSERT_TRUE(response);
     EXPECT_EQ(response->status, 429);
@@ -156,44 +156,44 @@
     EXPECT_TRUE(takeStarts().empty());
 }
 
-TEST_F(AccountTest, TheCreditOfARequestThatDidNotRunServesTheNextOne)
+TEST_F(AccountTest, CreditOfRequestThatWasNotRunIsReused)
 {
-    ask("key-l");
-    const auto asks = takeCreditAsks();
-    ASSERT_EQ(asks.size(), 1U);
-    giveCredit(asks[0]);
+    sendWithKey("key-l");
+    const auto creditRequests = takeCreditRequests();
+    ASSERT_EQ(creditRequests.size(), 1U);
+    grantCredit(creditRequests[0]);
     const auto starts = takeStarts();
     ASSERT_EQ(starts.size(), 1U);
-    // Each target refuses: the request moves on with the same credit, and gives it back in the end.
-    answer(starts[0], {.status = 503, .more = {{.name = "Saltvane-Not-Run", .value = "1"}}});
-    EXPECT_TRUE(takeCreditAsks().empty());
+    // Each target refuses the request: it is retried with the same credit, which is returned in the end.
+    answer(starts[0], {.status = 503, .extraHeaders = {{.name = "Saltvane-Not-Run", .value = "1"}}});
+    EXPECT_TRUE(takeCreditRequests().empty());
     for (const requests::TargetStart& start : takeStarts())
-        answer(start, {.status = 503, .more = {{.name = "Saltvane-Not-Run", .value = "1"}}});
+        answer(start, {.status = 503, .extraHeaders = {{.name = "Saltvane-Not-Run", .value = "1"}}});
     ASSERT_EQ(status(), 503);
-    advance(1s); // The targets are asked again, but a credit does not keep so long.
-    ask("key-l");
-    EXPECT_EQ(takeCreditAsks().size(), 1U);
+    advance(1s); // By now the targets are used again, but the credit has expired.
+    sendWithKey("key-l");
+    EXPECT_EQ(takeCreditRequests().size(), 1U);
 }
 
-TEST_F(AccountTest, ARepeatOfWhatMayHaveRunNeedsAnotherCredit)
+TEST_F(AccountTest, RetryOfPossiblyRunRequestNeedsAnotherCredit)
 {
-    ask("key-l");
-    auto asks = takeCreditAsks();
-    ASSERT_EQ(asks.size(), 1U);
-    giveCredit(asks[0]);
+    sendWithKey("key-l");
+    auto creditRequests = takeCreditRequests();
+    ASSERT_EQ(creditRequests.size(), 1U);
+    grantCredit(creditRequests[0]);
     const auto starts = takeStarts();
     ASSERT_EQ(starts.size(), 1U);
     fail(starts[0], true);
     EXPECT_TRUE(takeStarts().empty());
-    asks = takeCreditAsks();
-    ASSERT_EQ(asks.size(), 1U);
-    giveCredit(asks[0]);
+    creditRequests = takeCreditRequests();
+    ASSERT_EQ(creditRequests.size(), 1U);
+    grantCredit(creditRequests[0]);
     EXPECT_EQ(takeStarts().size(), 1U);
 }
 
-TEST_F(AccountTest, WhereNoRegistryHostAnswersItIsRefusedAndMayComeBack)
+TEST_F(AccountTest, RequestIsRetryableIfNoRegistryHostAnswers)
 {
-    ask("key-l");
+    sendWithKey("key-l");
     advance(1s);
     const auto response = takeResponse();
     ASSERT_TRUE(response);
@@ -201,47 +201,47 @@
     EXPECT_EQ(header(response->headers, "Saltvane-Reason"), "limit-unknown");
 }
 
-/// Guards against requests that are held though it is known that nobody will tell.
-TEST_F(AccountTest, WhileNoRegistryHostAnswersAllButProbesAreRefusedAtOnce)
+/// Guards against requests waiting for credits although no registry host answers.
+TEST_F(AccountTest, OnlyProbesWaitWhileRegistryIsUnresponsive)
 {
-    ask("key-l");
+    sendWithKey("key-l");
     advance(1s);
     ASSERT_EQ(status(), 503);
-    (void)takeCreditAsks();
+    (void)takeCreditRequests();
     constexpr int Requests = 20;
     int refusedAtOnce = 0;
     for (int i = 0; i < Requests; ++i)
-        refusedAtOnce += ask("key-l").value != 0 && status() == 503 ? 1 : 0;
+        refusedAtOnce += sendWithKey("key-l").value != 0 && status() == 503 ? 1 : 0;
     EXPECT_EQ(refusedAtOnce, Requests - 1);
-    const auto asks = takeCreditAsks();
-    ASSERT_EQ(asks.size(), 1U);
-    giveCredit(asks[0]);
+    const auto creditRequests = takeCreditRequests();
+    ASSERT_EQ(creditRequests.size(), 1U);
+    grantCredit(creditRequests[0]);
     EXPECT_EQ(takeStarts().size(), 1U);
-    ask("key-l");
-    EXPECT_EQ(takeCreditAsks().size(), 1U);
+    sendWithKey("key-l");
+    EXPECT_EQ(takeCreditRequests().size(), 1U);
 }
 
-TEST_F(AccountTest, ACallerWhoLeavesWhileItWaitsIsNotServed)
+TEST_F(AccountTest, AbortedRequestIsNotSentWhenCreditArrives)
 {
-    abort(ask("key-l"));
-    const auto asks = takeCreditAsks();
-    ASSERT_EQ(asks.size(), 1U);
-    giveCredit(asks[0]);
+    abort(sendWithKey("key-l"));
+    const auto creditRequests = takeCreditRequests();
+    ASSERT_EQ(creditRequests.size(), 1U);
+    grantCredit(creditRequests[0]);
     EXPECT_TRUE(takeStarts().empty());
-    // Its credit is at hand for the next one.
-    ask("key-l");
+    // Its credit is used for the next request.
+    sendWithKey("key-l");
     EXPECT_EQ(takeStarts().size(), 1U);
 }
 
-TEST_F(AccountTest, NoLogLineTellsAKey)
+TEST_F(AccountTest, LogLinesContainNoKeys)
 {
     answerPull();
     for (const char* key : {"key-a1", "key-l", "secret-unknown"})
-        ask(key);
+        sendWithKey(key);
     for (const requests::TargetStart& start : takeStarts())
         fail(start, true);
     advance(2s);
-    for (const std::vector<std::string>& lines : {takeDecisions(), takeLines()}) {
+    for (const std::vector<std::string>& lines : {takeDecisions(), takeLogLines()}) {
         for (const std::string& line : lines) {
             EXPECT_EQ(line.find("key-a1"), std::string::npos) << line;
             EXPECT_EQ(line.find("key-l"), std::string::npos) << line;
--- a/src/gateway/tests/resttests.cpp
+++ b/src/gateway/tests/backofftests.cpp
@@ -8,27 +8,27 @@
 
 namespace saltvane::gateway::test {
 
-TEST(WantedRestTest, ReadsSeconds)
+TEST(RequestedBackoffTest, ReadsSeconds)
 {
     const auto read = [](const std::vector<std::string>& values) {
         std::vector<model::Header> headers;
         for (const std::string& value : values)
             headers.push_back({.name = "Retry-After", .value = value});
-        return readWantedRest(headers);
+        return readRequestedBackoff(headers);
     };
-    EXPECT_FALSE(read({}).isWanted);
+    EXPECT_FALSE(read({}).isRequested);
     EXPECT_EQ(read({"3"}).duration, 3s);
     EXPECT_EQ(read({"0.25"}).duration, 250ms);
     EXPECT_EQ(read({"0"}).duration, 0s);
-    EXPECT_EQ(read({"1e300"}).duration, LongestRest);
+    EXPECT_EQ(read({"1e300"}).duration, MaxBackoff);
     EXPECT_EQ(read({"1", "2.5"}).duration, 2500ms);
     for (const char* text : {"", "-1", "nan", "inf", "soon", "Fri, 31 Dec 1999 23:59:59 GMT"}) {
-        EXPECT_TRUE(read({text}).isWanted) << text;
+        EXPECT_TRUE(read({text}).isRequested) << text;
         EXPECT_FALSE(read({text}).duration) << text;
     }
 }
 
-TEST_F(BackpressureTest, RestAndLeavingAreLogged)
+TEST_F(BackpressureTest, BackoffAndLeavingAreLogged)
 {
     installPlan(1);
     reportTargets({target("t-1")});
@@ -36,51 +36,52 @@
     const std::vector<requests::TargetStart> starts = takeStarts();
     ASSERT_EQ(starts.size(), 1U);
     answer(starts[0],
-        {.status = 503, .more = {{"Saltvane-Not-Run", "1"}, {"Retry-After", "3"}, {"Saltvane-Leaving", "1"}}});
-    const std::vector<std::string> lines = takeLines();
+        {.status = 503, .extraHeaders = {{"Saltvane-Not-Run", "1"}, {"Retry-After", "3"}, {"Saltvane-Leaving", "1"}}});
+    const std::vector<std::string> lines = takeLogLines();
     EXPECT_EQ(std::ranges::count(lines, "event=target_rest target=t-1 service=quotes seconds=3"), 1);
     EXPECT_EQ(std::ranges::count(lines, "event=target_leaving target=t-1 service=quotes told_by=target"), 1);
 }
 
-/// How targets ask for rest: status, whether they say that the request was not run, and whether that is heard.
-struct RestCase {
+/// An answer with a Retry-After: its status, whether it states that the request was not run, and whether the backoff is
+/// applied.
+struct BackoffCase {
     int status = 503;
     bool isNotRun = true;
-    bool isHeard = true;
+    bool isApplied = true;
 };
-class RestTest : public BackpressureTest, public testing::WithParamInterface<RestCase> { };
+class BackoffTest : public BackpressureTest, public testing::WithParamInterface<BackoffCase> { };
 
-TEST_P(RestTest, ATargetThatAskedForRestIsSentNothingUntilItEnds)
+TEST_P(BackoffTest, TargetGetsNoRequestsDuringRequestedBackoff)
 {
     installPlan(1);
     reportTargets({target("t-1"), target("t-2")});
     request({});
     std::vector<requests::TargetStart> starts = takeStarts();
     ASSERT_EQ(starts.size(), 1U);
-    const TargetId resting = starts[0].target;
+    const TargetId backingOff = starts[0].target;
     std::vector<model::Header> headers {{"Retry-After", "2.5"}, {"Saltvane-Load", "0,0,3"}};
     if (GetParam().isNotRun)
         headers.push_back({"Saltvane-Not-Run", "1"});
-    answer(starts[0], {.status = GetParam().status, .more = headers});
-    (void)takeStarts(); // Its repeat.
+    answer(starts[0], {.status = GetParam().status, .extraHeaders = headers});
+    (void)takeStarts(); // The retry.
     const auto isSentThere = [&] {
         request({.id = "next"});
         starts = takeStarts();
-        return !starts.empty() && starts.front().target == resting;
+        return !starts.empty() && starts.front().target == backingOff;
     };
-    EXPECT_EQ(isSentThere(), !GetParam().isHeard);
+    EXPECT_EQ(isSentThere(), !GetParam().isApplied);
     advance(2480ms);
-    EXPECT_EQ(isSentThere(), !GetParam().isHeard);
+    EXPECT_EQ(isSentThere(), !GetParam().isApplied);
     advance(40ms);
     EXPECT_TRUE(isSentThere());
 }
 
-INSTANTIATE_TEST_SUITE_P(Answers, RestTest,
-    testing::Values(RestCase {}, RestCase {.isNotRun = false}, RestCase {.status = 429},
-        RestCase {.status = 429, .isNotRun = false, .isHeard = false},
-        RestCase {.status = 200, .isNotRun = false, .isHeard = false}));
+INSTANTIATE_TEST_SUITE_P(Answers, BackoffTest,
+    testing::Values(BackoffCase {}, BackoffCase {.isNotRun = false}, BackoffCase {.status = 429},
+        BackoffCase {.status = 429, .isNotRun = false, .isApplied = false},
+        BackoffCase {.status = 200, .isNotRun = false, .isApplied = false}));
 
-TEST_F(BackpressureTest, OfTwoRestsTheLaterEndHoldsAndOutlivesTheRegistrysWord)
+TEST_F(BackpressureTest, LaterBackoffEndAppliesAcrossRegistryReports)
 {
     installPlan(1);
     model::TargetRecord record = target("t-1");
@@ -89,8 +90,8 @@
     request({.id = "b"});
     const std::vector<requests::TargetStart> starts = takeStarts();
     ASSERT_EQ(starts.size(), 2U);
-    answer(starts[0], {.status = 503, .id = "a", .more = {{"Saltvane-Not-Run", "1"}, {"Retry-After", "3"}}});
-    answer(starts[1], {.status = 503, .id = "b", .more = {{"Saltvane-Not-Run", "1"}, {"Retry-After", "0.5"}}});
+    answer(starts[0], {.status = 503, .id = "a", .extraHeaders = {{"Saltvane-Not-Run", "1"}, {"Retry-After", "3"}}});
+    answer(starts[1], {.status = 503, .id = "b", .extraHeaders = {{"Saltvane-Not-Run", "1"}, {"Retry-After", "0.5"}}});
     advance(1s);
     record.sequence = 9;
     reportTargets({record});
@@ -101,23 +102,23 @@
     EXPECT_EQ(takeStarts().size(), 1U);
 }
 
-// Guards against requests that waited for a credit being sent into a rest that began meanwhile.
-TEST_F(BackpressureTest, ARequestThatWaitedForACreditIsNotSentIntoARest)
+// Guards against requests that waited for a credit being sent during a backoff that began meanwhile.
+TEST_F(BackpressureTest, RequestThatWaitedForCreditIsNotSentDuringBackoff)
 {
-    const TargetId limited = limitFirst();
+    const TargetId limited = serveWithLimit();
     request({.id = "a"});
-    EXPECT_EQ(answerCreditAsks({.credits = 1}), 1U);
+    EXPECT_EQ(answerCreditRequests({.credits = 1}), 1U);
     const std::vector<requests::TargetStart> starts = takeStarts();
     ASSERT_EQ(starts.size(), 1U);
     request({.id = "b"});
-    answer(starts[0], {.status = 503, .id = "a", .more = {{"Saltvane-Not-Run", "1"}, {"Retry-After", "3"}}});
+    answer(starts[0], {.status = 503, .id = "a", .extraHeaders = {{"Saltvane-Not-Run", "1"}, {"Retry-After", "3"}}});
     (void)takeStarts();
-    EXPECT_GE(answerCreditAsks({.credits = 1}), 1U);
+    EXPECT_GE(answerCreditRequests({.credits = 1}), 1U);
     for (const requests::TargetStart& start : takeStarts())
         EXPECT_NE(start.target, limited);
 }
 
-TEST_F(BackpressureTest, ATargetThatSaysThatItLeavesGetsNothingWhateverTheRegistryReports)
+TEST_F(BackpressureTest, TargetThatAnnouncesLeavingGetsNoRequests)
 {
     installPlan(1);
     model::TargetRecord record = target("t-1");
@@ -127,7 +128,7 @@
     serve({{"Saltvane-Leaving", "1"}});
     for (int report = 0; report < 3; ++report) {
         record.sequence += 2;
-        record.age = report == 1 ? model::TargetSilenceLimit : 0s; // It is forgotten, and heard of again.
+        record.age = report == 1 ? model::TargetSilenceLimit : 0s; // It is removed, and reported again.
         reportTargets({record});
         advance(100ms);
         request({});
@@ -139,7 +140,7 @@
     EXPECT_EQ(takeStarts().size(), 1U);
 }
 
-TEST_F(BackpressureTest, ATargetThatSaysSoInARefusalOrAProbesAnswerLeavesAsWell)
+TEST_F(BackpressureTest, LeavingCountsInRefusalsAndProbeAnswers)
 {
     installPlan(1);
     reportTargets({target("t-1"), target("t-2")});
@@ -147,15 +148,16 @@
     std::vector<requests::TargetStart> starts = takeStarts();
     ASSERT_EQ(starts.size(), 1U);
     const TargetId first = starts[0].target;
-    endTarget(starts[0], false);
+    stopTarget(starts[0], false);
     const std::vector<requests::TargetStart> probes = takeProbes();
     ASSERT_EQ(probes.size(), 1U);
-    answer(probes[0], {.status = 503, .id = "", .more = {{"Saltvane-Leaving", "1"}}});
+    answer(probes[0], {.status = 503, .id = "", .extraHeaders = {{"Saltvane-Leaving", "1"}}});
     request({.id = "next"});
     starts = takeStarts();
     ASSERT_EQ(starts.size(), 1U);
     EXPECT_NE(starts[0].target, first);
-    answer(starts[0], {.status = 503, .id = "next", .more = {{"Saltvane-Not-Run", "1"}, {"Saltvane-Leaving", "1"}}});
+    answer(starts[0],
+        {.status = 503, .id = "next", .extraHeaders = {{"Saltvane-Not-Run", "1"}, {"Saltvane-Leaving", "1"}}});
     request({.id = "last"});
     EXPECT_TRUE(takeStarts().empty());
 }
--- a/src/gateway/tests/backpressurefixture.h
+++ b/src/gateway/tests/backpressurefixture.h
@@ -11,31 +11,31 @@
 
 namespace saltvane::gateway::test {
 
-/// A gateway whose targets say how much they take.
+/// A gateway whose targets signal back-pressure.
 class BackpressureTest : public GatewayFixture {
 protected:
-    /// One request, answered with these headers.
+    /// Sends one request and answers it with these headers.
     void serve(const std::vector<model::Header>& headers)
     {
         request({});
-        answerCreditAsks({.credits = 1});
+        answerCreditRequests({.credits = 1});
         for (const requests::TargetStart& start : takeStarts())
-            answer(start, {.more = headers});
+            answer(start, {.extraHeaders = headers});
         (void)takeResponse();
     }
-    /// The registry answers all asks for credits so; returns how many there were.
-    size_t answerCreditAsks(const model::LimitCreditAnswer& given)
+    /// Answers all pending credit requests with `given`; returns their number.
+    size_t answerCreditRequests(const model::LimitCreditAnswer& given)
     {
-        const std::vector<model::LimitCreditAsk> asks = takeCreditAsks();
-        for (const model::LimitCreditAsk& ask : asks) {
+        const std::vector<model::LimitCreditAsk> creditRequests = takeCreditRequests();
+        for (const model::LimitCreditAsk& request : creditRequests) {
             model::LimitCreditAnswer answer = given;
-            answer.ask = ask.ask;
+            answer.ask = request.ask;
             deliver(model::LimitCreditReply {.answers = {answer}});
         }
-        return asks.size();
+        return creditRequests.size();
     }
-    /// Both targets of "quotes" are known, and the one that the usual request goes to names a limit. Returns it.
-    TargetId limitFirst(const std::string& limit = "2.1")
+    /// Reports two targets of "quotes"; the one selected for the default request states a limit. Returns that target.
+    TargetId serveWithLimit(const std::string& limit = "2.1")
     {
         installPlan(1);
         reportTargets({target("t-1"), target("t-2")});
@@ -43,13 +43,13 @@
         const std::vector<requests::TargetStart> starts = takeStarts();
         if (starts.size() != 1)
             return {};
-        answer(starts[0], {.more = {{"Saltvane-Limit", limit}}});
+        answer(starts[0], {.extraHeaders = {{"Saltvane-Limit", limit}}});
         (void)takeResponse();
         return starts[0].target;
     }
     [[nodiscard]] bool isLogged(const std::string& text)
     {
-        const std::vector<std::string> lines = takeLines();
+        const std::vector<std::string> lines = takeLogLines();
         return std::ranges::any_of(
             lines, [&](const std::string& line) { return line.find(text) != std::string::npos; });
     }
--- a/src/gateway/tests/backpressuretests.cpp
+++ b/src/gateway/tests/backpressuretests.cpp
@@ -10,19 +10,19 @@
 
 namespace {
 
-NamedLimit limitOf(const std::vector<std::string>& values)
+StatedLimit limitOf(const std::vector<std::string>& values)
 {
     std::vector<model::Header> headers;
     for (const std::string& value : values)
         headers.push_back({.name = "Saltvane-Limit", .value = value});
-    return readNamedLimit(headers, "saltvane-limit");
+    return readStatedLimit(headers, "saltvane-limit");
 }
 
 } // namespace
 
-TEST(NamedLimitTest, ReadsDecimalNumbers)
+TEST(StatedLimitTest, ReadsDecimalNumbers)
 {
-    EXPECT_FALSE(limitOf({}).isNamed);
+    EXPECT_FALSE(limitOf({}).isStated);
     EXPECT_EQ(limitOf({"2.1"}).perSecond, 2.1);
     EXPECT_EQ(limitOf({" 2.1 "}).perSecond, 2.1);
     EXPECT_EQ(limitOf({"0"}).perSecond, 0);
@@ -32,16 +32,16 @@
     EXPECT_EQ(limitOf({"7", "many"}).perSecond, 7);
 }
 
-TEST(NamedLimitTest, WhatIsNoNumberIsNamedAndNotRead)
+TEST(StatedLimitTest, MalformedNumbersAreStatedButNotParsed)
 {
     for (const char* text : {"", "many", "-1", "-0", "nan", "inf", "1e999", "2.1 1", "2,1", "0x10"}) {
-        const NamedLimit limit = limitOf({text});
-        EXPECT_TRUE(limit.isNamed) << text;
+        const StatedLimit limit = limitOf({text});
+        EXPECT_TRUE(limit.isStated) << text;
         EXPECT_FALSE(limit.perSecond) << text;
     }
 }
 
-TEST_F(BackpressureTest, ALimitIsLoggedAsItIsNamedAndAsItEnds)
+TEST_F(BackpressureTest, LimitChangesAreLogged)
 {
     installPlan(1);
     reportTargets({target("t-1")});
@@ -58,7 +58,7 @@
     EXPECT_TRUE(isLogged("event=target_limit target=t-1 service=quotes per_second=none"));
 }
 
-TEST_F(BackpressureTest, AnAnswerToAnEarlierRequestDoesNotEndALimit)
+TEST_F(BackpressureTest, AnswerToEarlierRequestDoesNotClearLimit)
 {
     installPlan(1);
     reportTargets({target("t-1")});
@@ -67,45 +67,45 @@
     request({.id = "later"});
     const std::vector<requests::TargetStart> starts = takeStarts();
     ASSERT_EQ(starts.size(), 2U);
-    answer(starts[1], {.id = "later", .more = {{"Saltvane-Limit", "2.1"}}});
+    answer(starts[1], {.id = "later", .extraHeaders = {{"Saltvane-Limit", "2.1"}}});
     answer(starts[0], {.id = "earlier"});
     EXPECT_FALSE(isLogged("per_second=none"));
 }
 
-TEST_F(BackpressureTest, ATargetWithALimitIsSentARequestForACreditOnly)
+TEST_F(BackpressureTest, TargetWithLimitGetsRequestsOnlyWithCredit)
 {
-    const TargetId limited = limitFirst();
+    const TargetId limited = serveWithLimit();
     request({});
     EXPECT_TRUE(takeStarts().empty());
-    EXPECT_EQ(answerCreditAsks({.credits = 1}), 1U);
+    EXPECT_EQ(answerCreditRequests({.credits = 1}), 1U);
     const std::vector<requests::TargetStart> starts = takeStarts();
     ASSERT_EQ(starts.size(), 1U);
     EXPECT_EQ(starts[0].target, limited);
 }
 
-TEST_F(BackpressureTest, WithoutACreditARequestGoesElsewhereAndTheNextOnesAtOnce)
+TEST_F(BackpressureTest, RequestsAvoidTargetWithoutCredit)
 {
-    const TargetId limited = limitFirst();
+    const TargetId limited = serveWithLimit();
     request({});
-    EXPECT_EQ(answerCreditAsks({.retryAfter = 700ms}), 1U);
+    EXPECT_EQ(answerCreditRequests({.retryAfter = 700ms}), 1U);
     request({.id = "try-2"});
-    EXPECT_EQ(takeCreditAsks().size(), 0U);
+    EXPECT_EQ(takeCreditRequests().size(), 0U);
     std::vector<requests::TargetStart> starts = takeStarts();
     ASSERT_EQ(starts.size(), 2U);
     EXPECT_NE(starts[0].target, limited);
     EXPECT_NE(starts[1].target, limited);
     advance(720ms);
     request({.id = "try-3"});
-    EXPECT_EQ(takeCreditAsks().size(), 1U);
+    EXPECT_EQ(takeCreditRequests().size(), 1U);
 }
 
-TEST_F(BackpressureTest, WhereNoTargetHasACreditARequestIsRefusedAtOnceWithTheTimeOfOne)
+TEST_F(BackpressureTest, RequestIsRefusedWithRetryAfterIfNoTargetHasCredit)
 {
     installPlan(1);
     reportTargets({target("t-1")});
     serve({{"Saltvane-Limit", "2.1"}});
     request({});
-    EXPECT_EQ(answerCreditAsks({.retryAfter = 700ms}), 1U);
+    EXPECT_EQ(answerCreditRequests({.retryAfter = 700ms}), 1U);
     for (int i = 0; i < 2; ++i) {
         const std::optional<requests::HttpRespond> refusal = takeResponse();
         ASSERT_TRUE(refusal);
@@ -117,7 +117,7 @@
     }
 }
 
-TEST_F(BackpressureTest, ALimitOutlivesTheRegistrysWordOfItsStartAndNotTheStart)
+TEST_F(BackpressureTest, LimitOutlivesRegistryRecordButNotIncarnation)
 {
     installPlan(1);
     model::TargetRecord record = target("t-1");
@@ -126,7 +126,8 @@
     serve({{"Saltvane-Limit", "2.1"}});
     record.sequence = 7;
     reportTargets({record});
-    // The registry has not heard of it for long, so that it is forgotten, and hears of it again.
+    // The registry has received no reports of the target for a long time, so the gateway removes it, and then receives
+    // reports again.
     record.age = model::TargetSilenceLimit;
     ++record.sequence;
     reportTargets({record});
@@ -135,76 +136,76 @@
     ++record.sequence;
     reportTargets({record});
     request({});
-    EXPECT_EQ(takeCreditAsks().size(), 1U);
+    EXPECT_EQ(takeCreditRequests().size(), 1U);
     EXPECT_TRUE(takeStarts().empty());
     record.incarnation = {6};
     reportTargets({record});
     request({.id = "try-2"});
-    EXPECT_EQ(takeCreditAsks().size(), 0U);
+    EXPECT_EQ(takeCreditRequests().size(), 0U);
     EXPECT_EQ(takeStarts().size(), 1U);
 }
 
-TEST_F(BackpressureTest, ALimitOfWhichTheRegistryTellsBindsAndEndsAsItSays)
+TEST_F(BackpressureTest, LimitReportedByRegistryAppliesUntilRegistryClearsIt)
 {
     installPlan(1);
     reportTargets({target("t-1")});
     const model::TargetIncarnation start {.target = TargetId("t-1")};
     deliver(model::BackpressureReport {.notices = {{.target = start, .limit = 2.1, .age = 50ms}}});
     request({});
-    EXPECT_EQ(answerCreditAsks({.credits = 1}), 1U);
+    EXPECT_EQ(answerCreditRequests({.credits = 1}), 1U);
     deliver(model::BackpressureReport {.notices = {{.target = start, .age = 90ms}}}); // Older.
     request({.id = "try-2"});
-    EXPECT_EQ(answerCreditAsks({.credits = 1}), 1U);
+    EXPECT_EQ(answerCreditRequests({.credits = 1}), 1U);
     deliver(model::BackpressureReport {.notices = {{.target = start, .age = 10ms}}});
     request({.id = "try-3"});
-    EXPECT_EQ(takeCreditAsks().size(), 0U);
+    EXPECT_EQ(takeCreditRequests().size(), 0U);
     EXPECT_EQ(takeStarts().size(), 3U);
 }
 
-TEST_F(BackpressureTest, WhatIsHeardOfALimitIsToldAndAgainWhereNobodyKnowsIt)
+TEST_F(BackpressureTest, LimitIsReportedAgainIfRegistryDoesNotKnowIt)
 {
-    limitFirst();
-    std::vector<model::BackpressureNotice> told = takeBackpressure();
-    ASSERT_EQ(told.size(), 1U);
-    EXPECT_EQ(told[0].limit, 2.1);
+    serveWithLimit();
+    std::vector<model::BackpressureNotice> reported = takeBackpressure();
+    ASSERT_EQ(reported.size(), 1U);
+    EXPECT_EQ(reported[0].limit, 2.1);
     request({});
     EXPECT_TRUE(takeBackpressure().empty());
-    EXPECT_EQ(answerCreditAsks({}), 1U); // It knows of no such limit.
+    EXPECT_EQ(answerCreditRequests({}), 1U); // The registry does not know the limit.
     advance(100ms);
     EXPECT_EQ(takeBackpressure().size(), 1U);
 }
 
-TEST_F(BackpressureTest, ACreditWhoseCallerLeftServesTheNextRequest)
+TEST_F(BackpressureTest, CreditOfAbortedRequestServesNextRequest)
 {
-    const TargetId limited = limitFirst();
-    const requests::HttpHandle gone = request({});
-    abort(gone);
-    EXPECT_EQ(answerCreditAsks({.credits = 1}), 1U);
+    const TargetId limited = serveWithLimit();
+    const requests::HttpHandle aborted = request({});
+    abort(aborted);
+    EXPECT_EQ(answerCreditRequests({.credits = 1}), 1U);
     request({.id = "try-2"});
-    EXPECT_EQ(takeCreditAsks().size(), 0U);
+    EXPECT_EQ(takeCreditRequests().size(), 0U);
     const std::vector<requests::TargetStart> starts = takeStarts();
     ASSERT_EQ(starts.size(), 1U);
     EXPECT_EQ(starts[0].target, limited);
 }
 
-// Guards against probes taking the slots of targets that have too few.
-TEST_F(BackpressureTest, ATargetThatNamesALimitIsNotProbed)
+// Guards against probes occupying slots of targets that are short of them.
+TEST_F(BackpressureTest, TargetWithLimitIsNotProbed)
 {
-    const TargetId limited = limitFirst();
+    const TargetId limited = serveWithLimit();
     request({.path = "/write/1", .id = "once", .body = "pay"});
-    EXPECT_EQ(answerCreditAsks({.credits = 1}), 1U);
+    EXPECT_EQ(answerCreditRequests({.credits = 1}), 1U);
     const std::vector<requests::TargetStart> starts = takeStarts();
     ASSERT_EQ(starts.size(), 1U);
     EXPECT_EQ(starts[0].target, limited);
-    endTarget(starts[0], false);
+    stopTarget(starts[0], false);
     EXPECT_TRUE(takeProbes().empty());
 }
 
-TEST_F(BackpressureTest, AHugeLimitCostsNothing)
+TEST_F(BackpressureTest, HugeLimitNeedsNoCredits)
 {
-    limitFirst("1e300");
+    serveWithLimit("1e300");
     request({});
-    EXPECT_EQ(takeCreditAsks().size(), 0U);
+    EXPECT_EQ(takeCreditRequests().size(), 0U);
     EXPECT_EQ(takeStarts().size(), 1U);
 }
 
--- a/src/gateway/tests/decisiontests.cpp
+++ b/src/gateway/tests/decisiontests.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Replays the walks of docs/OPERATIONS.md: from a failed request's id to its cause.
+/// Follows the diagnoses in docs/OPERATIONS.md, from the id of a failed request to the cause.
 class DecisionTest : public GatewayFixture {
 protected:
     std::string lineOf(const std::string& id)
@@ -22,7 +22,7 @@
     }
     std::vector<std::string> linesOf(const std::string& event)
     {
-        std::vector<std::string> lines = takeLines();
+        std::vector<std::string> lines = takeLogLines();
         std::erase_if(lines, [&](const std::string& line) { return !line.starts_with("event=" + event + " "); });
         return lines;
     }
@@ -34,11 +34,11 @@
 
 } // namespace
 
-TEST_F(DecisionTest, RefusedForLackOfRoom)
+TEST_F(DecisionTest, RefusedForLackOfHeadroom)
 {
     installPlan(7);
     reportTargets({target("t-1")});
-    for (int i = 0; i < 9; ++i) // Three slots, and a queue of twice as many.
+    for (int i = 0; i < 9; ++i) // Three slots and a queue of six.
         request({.object = std::to_string(i), .deadlineMs = "9000"});
     request({.id = "lost", .object = "99"});
     const std::string line = lineOf("lost");
@@ -49,7 +49,7 @@
     EXPECT_TRUE(has(line, "status=503"));
 }
 
-TEST_F(DecisionTest, TellsHowOldTheProofOfThePlanIs)
+TEST_F(DecisionTest, LogsAgeOfPlanProof)
 {
     installPlan(7);
     advance(900ms);
@@ -58,7 +58,7 @@
     EXPECT_NE(line.find(" plan_age_ms=9"), std::string::npos) << line;
 }
 
-TEST_F(DecisionTest, APlanThatNoRegistryHostProvesAnyMoreIsToldOnceAndAgainOnceItIsProven)
+TEST_F(DecisionTest, UnprovenAndProvenPlanAreLoggedOnceEach)
 {
     installPlan(7);
     advance(2s);
@@ -67,7 +67,7 @@
     EXPECT_EQ(linesOf("plan_proven").size(), 1U);
 }
 
-TEST_F(DecisionTest, UnknownAfterItsTargetDied)
+TEST_F(DecisionTest, UnknownAfterTargetFailure)
 {
     installPlan(7);
     reportTargets({target("t-1")});
@@ -80,7 +80,7 @@
     EXPECT_TRUE(has(line, "tries=1"));
 }
 
-TEST_F(DecisionTest, RefusedBecauseTheGatewayKnewNoPlanYet)
+TEST_F(DecisionTest, RefusedWithoutPlan)
 {
     request({.id = "lost"});
     const std::string line = lineOf("lost");
@@ -88,27 +88,27 @@
     EXPECT_TRUE(has(line, "plan=0"));
 }
 
-TEST_F(DecisionTest, SentByAnOldBelief)
+TEST_F(DecisionTest, SentByOutdatedTargetRecord)
 {
     installPlan(7);
     model::TargetRecord old = target("t-1");
     old.age = 8s;
     reportTargets({old});
     request({.id = "lost"});
-    answer(takeStarts().at(0), {.status = 421, .id = ""}); // Another target has its address by now.
+    answer(takeStarts().at(0), {.status = 421, .id = ""}); // Another target has the address by now.
     const std::string line = lineOf("lost");
     EXPECT_TRUE(has(line, "target_age_ms=8000")) << line;
     EXPECT_TRUE(has(line, "target=t-1"));
     EXPECT_TRUE(has(line, "outcome=not-run"));
 }
 
-TEST_F(DecisionTest, WhatACallerPutsIntoItsIdStaysOneWord)
+TEST_F(DecisionTest, RequestIdIsSanitized)
 {
     request({.id = "a outcome=answered"});
     EXPECT_FALSE(lineOf("a_outcome_answered").empty());
 }
 
-TEST_F(DecisionTest, LinesAreBoundedAndTheRestIsCounted)
+TEST_F(DecisionTest, LogLinesAreRateLimited)
 {
     for (int i = 0; i < 500; ++i)
         request({.id = std::to_string(i)});
--- a/src/gateway/tests/gatewayfixture.cpp
+++ b/src/gateway/tests/gatewayfixture.cpp
@@ -51,10 +51,10 @@
 void GatewayFixture::handle(host::Event event)
 {
     gateway_->handle(std::move(event), now_);
-    gather();
+    collectActions();
 }
 
-void GatewayFixture::gather()
+void GatewayFixture::collectActions()
 {
     for (host::Action& action : gateway_->takeActions()) {
         if (std::holds_alternative<host::StopFinished>(action))
@@ -72,11 +72,11 @@
         const auto* const report
             = outgoing == nullptr ? nullptr : std::get_if<model::SuspectReport>(&outgoing->message);
         if (report != nullptr)
-            told_ = report->requests;
+            reportedSuspects_ = report->requests;
         const auto* const credits
             = outgoing == nullptr ? nullptr : std::get_if<model::LimitCreditRequest>(&outgoing->message);
         if (credits != nullptr)
-            creditAsks_.insert(creditAsks_.end(), credits->asks.begin(), credits->asks.end());
+            creditRequests_.insert(creditRequests_.end(), credits->asks.begin(), credits->asks.end());
         const auto* const backpressure
             = outgoing == nullptr ? nullptr : std::get_if<model::BackpressureReport>(&outgoing->message);
         if (backpressure != nullptr)
@@ -99,7 +99,7 @@
     while (now_ < end) {
         now_ = std::min(end, now_ + Tick);
         gateway_->tick(now_);
-        gather();
+        collectActions();
     }
 }
 
@@ -120,7 +120,8 @@
         .fromIncarnation = {1},
         .message = model::BundlePush {
             .position = {.term = {1}, .index = {++position_}}, .version = {version}, .content = content, .age = 10ms}});
-    // The proof that it is current comes with a pull; without one a host takes what it was given after a second.
+    // The proof that the plan is current comes with a pull; without one the gateway accepts the delivered plan after a
+    // second.
     answerPull();
     advance(Tick);
 }
@@ -162,7 +163,7 @@
     std::vector<model::Header> headers {{.name = "Host", .value = caller.host},
         {.name = "Saltvane-Request-Id", .value = caller.id}, {.name = "Saltvane-Object", .value = caller.object},
         {.name = "Saltvane-Deadline-Ms", .value = caller.deadlineMs}, {.name = "Connection", .value = "keep-alive"}};
-    headers.insert(headers.end(), caller.more.begin(), caller.more.end());
+    headers.insert(headers.end(), caller.extraHeaders.begin(), caller.extraHeaders.end());
     this->handle(requests::HttpEvent(requests::HttpRequestStarted {.handle = handle,
         .method = caller.method,
         .path = caller.path,
@@ -187,7 +188,7 @@
 void GatewayFixture::answer(const requests::TargetStart& start, const TargetAnswer& from)
 {
     std::vector<model::Header> headers {{.name = "Saltvane-Request-Id", .value = from.id}};
-    headers.insert(headers.end(), from.more.begin(), from.more.end());
+    headers.insert(headers.end(), from.extraHeaders.begin(), from.extraHeaders.end());
     handle(requests::TargetEvent(requests::TargetResponseHead {.dispatch = start.dispatch,
         .status = from.status,
         .headers = std::move(headers),
@@ -202,7 +203,7 @@
         .dispatch = start.dispatch, .mayHaveReachedTarget = mayHaveReachedTarget, .message = "test"}));
 }
 
-void GatewayFixture::endTarget(const requests::TargetStart& start, bool isKnown)
+void GatewayFixture::stopTarget(const requests::TargetStart& start, bool isKnown)
 {
     handle(requests::TargetEvent(
         requests::TargetFailed {.dispatch = start.dispatch, .message = "test", .isRefused = isKnown}));
@@ -224,7 +225,7 @@
     deliver(model::BundleCurrent {.position = {.term = {1}, .index = {position_}}, .age = proofAge, .pull = lastPull_});
 }
 
-void GatewayFixture::askToStop() { handle(host::StopRequested {}); }
+void GatewayFixture::requestStop() { handle(host::StopRequested {}); }
 
 std::vector<requests::TargetStart> GatewayFixture::takeStarts() { return std::exchange(starts_, {}); }
 
@@ -243,15 +244,15 @@
 
 std::vector<std::string> GatewayFixture::takeDecisions() { return std::exchange(decisions_, {}); }
 
-std::vector<std::string> GatewayFixture::takeLines() { return std::exchange(lines_, {}); }
+std::vector<std::string> GatewayFixture::takeLogLines() { return std::exchange(lines_, {}); }
 
 bool GatewayFixture::takeStopFinished() { return std::exchange(isStopFinished_, false); }
 
 std::string GatewayFixture::header(const std::vector<model::Header>& headers, const std::string& name)
 {
-    for (const model::Header& one : headers) {
-        if (model::isSameFieldName(one.name, name))
-            return one.value;
+    for (const model::Header& field : headers) {
+        if (model::isSameFieldName(field.name, name))
+            return field.value;
     }
     return {};
 }
--- a/src/gateway/tests/gatewayfixture.h
+++ b/src/gateway/tests/gatewayfixture.h
@@ -16,10 +16,10 @@
 
 namespace saltvane::gateway::test {
 
-/// A gateway in virtual time with the registry, callers and targets played by the test.
+/// A gateway in virtual time; the test acts as the registry, the callers and the targets.
 class GatewayFixture : public testing::Test {
 protected:
-    /// Limits of the settings that tests vary.
+    /// Limits in the settings that tests vary.
     struct FixtureOptions {
         Duration leaveLimit = 2500ms;
         Duration planLimit = 2500ms;
@@ -27,10 +27,10 @@
     GatewayFixture();
     explicit GatewayFixture(const FixtureOptions& options);
 
-    /// Two services, "quotes" and "files"; routes of every kind at host "prices.example".
-    /// `accounts`: the JSON list of client accounts, where the plan has one.
+    /// Installs a plan with two services, "quotes" and "files", and routes of every kind at host "prices.example".
+    /// `accounts`: JSON list of client accounts, or empty.
     void installPlan(uint64_t version, const std::string& extraRoutes = {}, const std::string& accounts = {});
-    /// The first part of a newer plan; the others don't come.
+    /// Delivers only the first part of a newer plan.
     void startFetchingPlan(uint64_t version);
     [[nodiscard]] static model::TargetRecord target(
         const std::string& id, const std::string& service = "quotes", const std::string& zone = "north-a");
@@ -45,58 +45,58 @@
         std::string deadlineMs = "2000";
         std::string body;
         std::string host = "prices.example";
-        std::vector<model::Header> more;
+        std::vector<model::Header> extraHeaders;
     };
     requests::HttpHandle request(const CallerRequest& caller);
     void abort(requests::HttpHandle handle);
-    /// The caller has the whole answer.
+    /// The caller has received the whole answer.
     void deliverAnswer(requests::HttpHandle handle);
     struct TargetAnswer {
         int status = 200;
         std::string id = "try-1";
         std::string body = "answer";
-        std::vector<model::Header> more;
+        std::vector<model::Header> extraHeaders;
     };
     void answer(const requests::TargetStart& start, const TargetAnswer& from);
     void fail(const requests::TargetStart& start, bool mayHaveReachedTarget);
-    /// It broke off since its target ended; `isKnown`: a new connection was refused at once.
-    void endTarget(const requests::TargetStart& start, bool isKnown);
-    /// Nothing listens at the address.
+    /// The connection is lost because the target stopped; `isKnown`: a new connection was refused at once.
+    void stopTarget(const requests::TargetStart& start, bool isKnown);
+    /// The connection is refused because nothing listens at the address.
     void refuse(const requests::TargetStart& start);
     void deliver(model::Message message);
-    /// The registry answers the newest pull: the plan held is the newest, by a proof that old; Duration::max(): no
-    /// proof.
+    /// The registry confirms in an answer to the latest pull that the current plan is the newest. `proofAge`: age of
+    /// the proof; Duration::max() for none.
     void answerPull(Duration proofAge = 10ms);
     void advance(Duration duration);
-    void askToStop();
+    void requestStop();
 
-    /// What the gateway did since the last look.
+    /// Requests that were sent to targets since the last call.
     [[nodiscard]] std::vector<requests::TargetStart> takeStarts();
-    /// The gateway's own questions whether a target is still there.
+    /// Probes that were sent to targets since the last call.
     [[nodiscard]] std::vector<requests::TargetStart> takeProbes();
     [[nodiscard]] std::optional<requests::HttpRespond> takeResponse();
     [[nodiscard]] size_t takeCancels();
     [[nodiscard]] bool takeStopFinished();
-    /// What the registry was told last of requests that end targets.
-    [[nodiscard]] std::vector<model::SuspectRequest> told() const { return told_; }
-    /// Asks for credits that the registry has got.
-    [[nodiscard]] std::vector<model::LimitCreditAsk> takeCreditAsks() { return std::exchange(creditAsks_, {}); }
-    /// What the registry was told of limits that targets name, since the last look.
+    /// Suspect requests in the latest report to the registry.
+    [[nodiscard]] std::vector<model::SuspectRequest> reportedSuspects() const { return reportedSuspects_; }
+    /// Credit requests to the registry since the last call.
+    [[nodiscard]] std::vector<model::LimitCreditAsk> takeCreditRequests() { return std::exchange(creditRequests_, {}); }
+    /// Limits reported to the registry since the last call.
     [[nodiscard]] std::vector<model::BackpressureNotice> takeBackpressure() { return std::exchange(backpressure_, {}); }
-    /// Log lines of decisions on requests.
+    /// Log lines of request outcomes.
     [[nodiscard]] std::vector<std::string> takeDecisions();
-    /// Log lines of anything but requests.
-    [[nodiscard]] std::vector<std::string> takeLines();
+    /// All other log lines.
+    [[nodiscard]] std::vector<std::string> takeLogLines();
     [[nodiscard]] static std::string header(const std::vector<model::Header>& headers, const std::string& name);
 
-    /// The registry answers pulls, without a proof, as the next one comes.
+    /// Whether the registry answers each pull, without a proof, when the next one arrives.
     bool areAllPullsAnswered_ = true;
     Timestamp now_ {100s};
     std::unique_ptr<host::IHostCore> gateway_;
 
 private:
     void handle(host::Event event);
-    void gather();
+    void collectActions();
 
     uint64_t lastHandle_ = 0;
     uint64_t position_ = 0;
@@ -105,13 +105,13 @@
     std::vector<requests::HttpRespond> responses_;
     size_t cancels_ = 0;
     bool isStopFinished_ = false;
-    std::vector<model::SuspectRequest> told_;
-    uint64_t lastPull_ = 0; ///< Number of the gateway's newest pull of the plan.
+    std::vector<model::SuspectRequest> reportedSuspects_;
+    uint64_t lastPull_ = 0; ///< Number of the gateway's latest pull of the plan.
     uint64_t pullToAnswer_ = 0;
-    std::vector<model::LimitCreditAsk> creditAsks_;
+    std::vector<model::LimitCreditAsk> creditRequests_;
     std::vector<model::BackpressureNotice> backpressure_;
     std::vector<std::string> decisions_;
-    std::vector<std::string> lines_; ///< All the others.
+    std::vector<std::string> lines_; ///< All other log lines.
 };
 
 } // namespace saltvane::gateway::test
--- a/src/gateway/tests/incarnationtests.cpp
+++ b/src/gateway/tests/incarnationtests.cpp
@@ -9,14 +9,14 @@
 
 #include <map>
 
-/// Targets that start again under their id, as a gateway meets them.
+/// Targets that restart under the same id.
 namespace saltvane::gateway::test {
 
 namespace {
 
 class IncarnationTest : public GatewayFixture {
 protected:
-    static model::TargetRecord startOf(const std::string& id, uint64_t incarnation, uint64_t sequence = 1)
+    static model::TargetRecord recordOf(const std::string& id, uint64_t incarnation, uint64_t sequence = 1)
     {
         model::TargetRecord record = target(id);
         record.incarnation = {incarnation};
@@ -27,34 +27,34 @@
 
 } // namespace
 
-TEST_F(IncarnationTest, ALaterStartIsUsedAtOnceAndForgivenWhatTheOneBeforeDid)
+TEST_F(IncarnationTest, LaterIncarnationIsUsedAtOnceWithoutEjection)
 {
     installPlan(1);
-    reportTargets({startOf("t-1", 1000, 50)});
+    reportTargets({recordOf("t-1", 1000, 50)});
     request({});
-    fail(takeStarts().at(0), false); // Ejected.
+    fail(takeStarts().at(0), false); // Ejects the target.
     (void)takeResponse();
     request({});
     ASSERT_TRUE(takeStarts().empty());
     (void)takeResponse();
-    const model::TargetRecord again = startOf("t-1", 2000);
-    reportTargets({again});
+    const model::TargetRecord later = recordOf("t-1", 2000);
+    reportTargets({later});
     request({});
     const auto starts = takeStarts();
     ASSERT_EQ(starts.size(), 1U);
-    EXPECT_EQ(starts[0].address, again.address);
+    EXPECT_EQ(starts[0].address, later.address);
 }
 
-TEST_F(IncarnationTest, ADelayedWordOfTheStartBeforeChangesNothing)
+TEST_F(IncarnationTest, DelayedReportOfPreviousIncarnationIsIgnored)
 {
     installPlan(1);
-    const model::TargetRecord before = startOf("t-1", 1000, 90);
-    const model::TargetRecord now = startOf("t-1", 2000);
+    const model::TargetRecord before = recordOf("t-1", 1000, 90);
+    const model::TargetRecord now = recordOf("t-1", 2000);
     reportTargets({now});
     reportTargets({before});
-    model::TargetRecord silent = before;
-    silent.age = model::TargetSilenceLimit;
-    reportTargets({silent});
+    model::TargetRecord unresponsive = before;
+    unresponsive.age = model::TargetSilenceLimit;
+    reportTargets({unresponsive});
     report({.orders = {.term = {1}, .index = {5}}, .retired = {{.target = TargetId("t-1"), .incarnation = {1000}}}});
     request({});
     const auto starts = takeStarts();
@@ -62,49 +62,50 @@
     EXPECT_EQ(starts[0].address, now.address);
 }
 
-TEST_F(IncarnationTest, ARetiredStartStaysRetiredAndItsSuccessorIsUsed)
+TEST_F(IncarnationTest, RetiredIncarnationStaysRetiredButSuccessorIsUsed)
 {
     installPlan(1);
-    reportTargets({startOf("t-1", 1000)});
+    reportTargets({recordOf("t-1", 1000)});
     report({.orders = {.term = {1}, .index = {5}}, .retired = {{.target = TargetId("t-1"), .incarnation = {1000}}}});
-    reportTargets({startOf("t-1", 1000, 9)});
+    reportTargets({recordOf("t-1", 1000, 9)});
     request({});
     EXPECT_TRUE(takeStarts().empty());
     (void)takeResponse();
-    reportTargets({startOf("t-1", 2000)});
+    reportTargets({recordOf("t-1", 2000)});
     request({});
     EXPECT_EQ(takeStarts().size(), 1U);
 }
 
-// The pattern: a target's host loses power and is back a second later; its connections say nothing. Requests were held
-// until their route's time limit, 6 to 8 s; now half a second after the successor is heard of.
-TEST_F(IncarnationTest, RequestsAtAStartThatIsGoneAreRepeatedOrEnded)
+// Guards against requests waiting for a target that has restarted. When a target's host loses power and is back a
+// second later, its old connections report nothing; requests waited until their route's timeout, 6 to 8 s, instead of
+// half a second after the new incarnation is reported.
+TEST_F(IncarnationTest, RequestsAtStoppedIncarnationAreRetriedOrFailed)
 {
     installPlan(1);
-    reportTargets({startOf("t-1", 1000)});
+    reportTargets({recordOf("t-1", 1000)});
     request({.id = "read"});
     request({.method = "POST", .path = "/write/1", .id = "write", .deadlineMs = "20000"});
     ASSERT_EQ(takeStarts().size(), 2U);
-    reportTargets({startOf("t-1", 2000), startOf("t-2", 1000)});
+    reportTargets({recordOf("t-1", 2000), recordOf("t-2", 1000)});
     advance(300ms);
-    EXPECT_TRUE(takeStarts().empty()); // What was sent before may still come.
+    EXPECT_TRUE(takeStarts().empty()); // Answers that were sent before may still arrive.
     advance(300ms);
-    const auto again = takeStarts();
-    ASSERT_EQ(again.size(), 1U);
-    EXPECT_EQ(header(again[0].headers, "Saltvane-Request-Id"), "read");
-    EXPECT_EQ(again[0].target, TargetId("t-2"));
+    const auto later = takeStarts();
+    ASSERT_EQ(later.size(), 1U);
+    EXPECT_EQ(header(later[0].headers, "Saltvane-Request-Id"), "read");
+    EXPECT_EQ(later[0].target, TargetId("t-2"));
     const auto ended = takeResponse();
     ASSERT_TRUE(ended);
-    EXPECT_EQ(ended->status, 502); // It may have run.
+    EXPECT_EQ(ended->status, 502); // It may have been run.
 }
 
-TEST_F(IncarnationTest, AnAnswerOfTheStartBeforeIsDelivered)
+TEST_F(IncarnationTest, AnswerOfPreviousIncarnationIsDelivered)
 {
     installPlan(1);
-    reportTargets({startOf("t-1", 1000)});
+    reportTargets({recordOf("t-1", 1000)});
     request({});
     const auto starts = takeStarts();
-    reportTargets({startOf("t-1", 2000)});
+    reportTargets({recordOf("t-1", 2000)});
     advance(200ms);
     answer(starts.at(0), {});
     const auto response = takeResponse();
@@ -112,14 +113,14 @@
     EXPECT_EQ(response->status, 200);
 }
 
-TEST_F(IncarnationTest, ConnectionsOfTheStartBeforeAreNotUsed)
+TEST_F(IncarnationTest, ConnectionsOfPreviousIncarnationAreNotReused)
 {
     installPlan(1);
-    const model::TargetRecord before = startOf("t-1", 1000);
+    const model::TargetRecord before = recordOf("t-1", 1000);
     reportTargets({before});
     request({});
     EXPECT_FALSE(takeStarts().at(0).needsNewConnection);
-    model::TargetRecord now = startOf("t-1", 2000);
+    model::TargetRecord now = recordOf("t-1", 2000);
     now.address = before.address;
     reportTargets({now});
     request({});
@@ -128,12 +129,12 @@
     request({});
     const auto later = takeStarts();
     EXPECT_FALSE(later.at(0).needsNewConnection);
-    EXPECT_LE(later.at(0).reuseIdleLimit, 2s); // Only one that was used since.
+    EXPECT_LE(later.at(0).reuseIdleLimit, 2s); // Only a connection that was used since.
 }
 
-// Word of starts from several registry hosts, in any order and some of it twice: no request goes to an earlier start
-// than the latest that was heard of, nor to one that was retired.
-TEST_F(IncarnationTest, InAnyOrderNoRequestGoesToAnEarlierStart)
+// Reports of incarnations from several registry hosts arrive in any order, some of them twice: no request goes to an
+// incarnation earlier than the latest one reported, nor to a retired one.
+TEST_F(IncarnationTest, NoRequestGoesToEarlierIncarnationInAnyReportOrder)
 {
     installPlan(1);
     constexpr uint64_t Seeds = 1000;
@@ -154,7 +155,7 @@
                 report({.orders = {.term = {1}, .index = {++index}},
                     .retired = {{.target = target, .incarnation = {incarnation}}}});
             } else {
-                auto [known, isNew] = starts[target].try_emplace(incarnation, startOf(id, incarnation));
+                auto [known, isNew] = starts[target].try_emplace(incarnation, recordOf(id, incarnation));
                 known->second.sequence = 1 + random() % 9;
                 latest[target] = std::max(latest[target], incarnation);
                 reportTargets({known->second});
--- a/src/gateway/tests/linkbudgettests.cpp
+++ b/src/gateway/tests/linkbudgettests.cpp
@@ -15,35 +15,35 @@
 
 } // namespace
 
-TEST(LinkBudgetTest, WithoutARateNothingIsLimited)
+TEST(LinkBudgetTest, UnknownRateLimitsNothing)
 {
     LinkBudget link(0);
     for (int i = 0; i < 1000; ++i)
-        link.noteStarted();
-    EXPECT_TRUE(link.hasRoomFor(largeRoute()));
+        link.recordStart();
+    EXPECT_TRUE(link.canCarry(largeRoute()));
 }
 
-// Found on the users' bench (grown sites): answers of 90 kB filled links of 4 Mbit/s, and 19,000 of 79,000 requests
-// reached their target later than half of their objective.
-TEST(LinkBudgetTest, LargeAnswersTakeAPartOfTheObjectiveAtMost)
+// Guards against large answers filling the link: answers of 90 kB filled links of 4 Mbit/s, and 19,000 of 79,000
+// requests reached their target later than half of their objective.
+TEST(LinkBudgetTest, LargeAnswersUseAtMostAFractionOfTheObjective)
 {
-    LinkBudget link(4); // 500 kB a second: 90 kB take 0.18 s.
+    LinkBudget link(4); // 500 kB per second: 90 kB take 0.18 s.
     for (int i = 0; i < 200; ++i) {
-        link.noteStarted();
-        link.noteEnded(90'000);
+        link.recordStart();
+        link.recordCompletion(90'000);
     }
-    int taken = 0;
-    for (; taken < 100 && link.hasRoomFor(largeRoute()); ++taken)
-        link.noteStarted();
-    EXPECT_EQ(taken, 2); // 0.36 s of 0.4.
-    link.noteEnded(90'000);
-    EXPECT_TRUE(link.hasRoomFor(largeRoute()));
+    int accepted = 0;
+    for (; accepted < 100 && link.canCarry(largeRoute()); ++accepted)
+        link.recordStart();
+    EXPECT_EQ(accepted, 2); // 0.36 s of 0.4 s.
+    link.recordCompletion(90'000);
+    EXPECT_TRUE(link.canCarry(largeRoute()));
 }
 
-TEST(LinkBudgetTest, OneLargeAnswerIsAlwaysTaken)
+TEST(LinkBudgetTest, OneLargeAnswerIsAlwaysAccepted)
 {
     LinkBudget link(0.1);
-    EXPECT_TRUE(link.hasRoomFor(largeRoute()));
+    EXPECT_TRUE(link.canCarry(largeRoute()));
 }
 
 } // namespace saltvane::gateway
--- a/src/gateway/tests/placementtests.cpp
+++ b/src/gateway/tests/placementtests.cpp
@@ -13,11 +13,11 @@
 
 class PlacementTest : public GatewayFixture {
 protected:
-    /// `each` targets in both regions; this gateway is in region north.
-    void reportBothRegions(size_t each)
+    /// Reports `targetsPerRegion` targets in both regions; the gateway is in region north.
+    void reportBothRegions(size_t targetsPerRegion)
     {
         std::vector<model::TargetRecord> records;
-        for (size_t i = 0; i < each; ++i) {
+        for (size_t i = 0; i < targetsPerRegion; ++i) {
             records.push_back(target("n-" + std::to_string(i), "quotes", "north-a"));
             records.push_back(target("s-" + std::to_string(i), "quotes", "south-a"));
         }
@@ -25,7 +25,7 @@
         advance(300ms);
     }
 
-    /// Target of each of `objects` objects, one request after the other.
+    /// Sends one request per object, one after the other; returns the target of each.
     std::map<int, std::string> targetsOf(int objects)
     {
         std::map<int, std::string> chosen;
@@ -51,7 +51,7 @@
 
 } // namespace
 
-TEST_F(PlacementTest, SmallRequestsStayInARegionThatHasSlotsForThem)
+TEST_F(PlacementTest, SmallRequestsStayInRegionWithEnoughSlots)
 {
     installPlan(1);
     reportBothRegions(8);
@@ -61,7 +61,7 @@
     EXPECT_GE(countIn(chosen, 's'), 10);
 }
 
-TEST_F(PlacementTest, ARegionWithFewSlotsKeepsItsPartOnly)
+TEST_F(PlacementTest, RegionWithFewSlotsKeepsOnlyItsShare)
 {
     installPlan(1);
     std::vector<model::TargetRecord> records {target("n-0", "quotes", "north-a")};
@@ -69,15 +69,16 @@
         records.push_back(target("s-" + std::to_string(i), "quotes", "south-a"));
     reportTargets(std::move(records));
     advance(300ms);
-    // One of ten targets, half of the deployment's demand: a fifth of its requests fills it as the others are filled.
+    // The region has one of ten targets and half of the deployment's demand: a fifth of its requests loads this target
+    // like the others.
     const int kept = countIn(targetsOf(400), 'n');
     EXPECT_GE(kept, 40);
     EXPECT_LE(kept, 130);
 }
 
-// The pattern: an overload in which answers wait for slots. Targets that were taken for slow by such answers got less
-// than they have room for afterwards.
-TEST_F(PlacementTest, LateAnswersOfAQueueDoNotMakeATargetSlow)
+// Guards against targets being considered slow because answers waited for slots in an overload: they got fewer requests
+// than they can take afterwards.
+TEST_F(PlacementTest, QueueingDelayDoesNotCountAsSlowTarget)
 {
     installPlan(1);
     reportTargets({target("t-1")});
@@ -91,7 +92,7 @@
         for (size_t i = 0; i < starts.size(); ++i) {
             if (i == 3)
                 advance(1200ms);
-            answer(starts[i], {.more = {{.name = "Saltvane-Load", .value = "0,0,3"}}});
+            answer(starts[i], {.extraHeaders = {{.name = "Saltvane-Load", .value = "0,0,3"}}});
         }
         advance(2s);
     };
@@ -102,10 +103,10 @@
     EXPECT_GE(burst().size(), first.size());
 }
 
-// The pattern: a quiet day after answers that took nearly all of the time that callers have. Seen with 78 idle targets:
-// of 57 requests for a new route one was sent, since the service's usual time was over their deadline and no request
-// that could have shown a better one was taken.
-TEST_F(PlacementTest, WorkThatWasTooLongOnceIsTriedAgainOnIdleTargets)
+// Guards against routes that get no requests after a period of answers that took nearly all of the callers' time: with
+// 78 idle targets, one of 57 requests for a new route was sent, because the service's expected time exceeded their
+// deadline and no request was sent that could have corrected it.
+TEST_F(PlacementTest, TrialRequestsCorrectOutdatedProcessingTimes)
 {
     installPlan(1);
     reportBothRegions(4);
@@ -118,20 +119,20 @@
         }
         advance(100ms);
     }
-    size_t taken = 0;
+    size_t sent = 0;
     for (int i = 0; i < 40; ++i) {
         request({.object = std::to_string(++object)});
         for (const requests::TargetStart& start : takeStarts()) {
-            ++taken;
+            ++sent;
             advance(200ms);
             answer(start, {});
         }
         advance(100ms);
     }
-    EXPECT_GE(taken, 20U);
+    EXPECT_GE(sent, 20U);
 }
 
-TEST_F(PlacementTest, TheLossOfATargetMovesItsOwnObjectsOnly)
+TEST_F(PlacementTest, LossOfTargetMovesOnlyItsObjects)
 {
     installPlan(1);
     reportBothRegions(8);
--- a/src/gateway/tests/quarantinetests.cpp
+++ b/src/gateway/tests/quarantinetests.cpp
@@ -3,7 +3,7 @@
  * saltvane: global traffic steering
  * Copyright (c) 2026 the saltvane authors
  */
-#include "gateway/internal/endrate.h"
+#include "gateway/internal/targetlossrate.h"
 #include "gatewayfixture.h"
 
 #include <algorithm>
@@ -20,30 +20,30 @@
         reportTargets({target("t-1"), target("t-2"), target("t-3"), target("t-4"), target("t-5")});
     }
 
-    /// Ends the target of a request that was sent; `isKnown`: its connections are refused at once.
-    void lose(const requests::TargetStart& start, bool isKnown)
+    /// Stops the target of a sent request; `isKnown`: its connections are refused at once.
+    void stopAndRecord(const requests::TargetStart& start, bool isKnown)
     {
-        lostAt_.push_back(start.address);
-        endTarget(start, isKnown);
+        stoppedAddresses_.push_back(start.address);
+        stopTarget(start, isKnown);
     }
-    /// Answers probes: targets that were lost refuse connections, the others answer.
+    /// Answers probes: stopped targets refuse connections, the others answer.
     size_t answerProbes()
     {
         const std::vector<requests::TargetStart> probes = takeProbes();
         for (const requests::TargetStart& probe : probes) {
-            if (std::ranges::find(lostAt_, probe.address) != lostAt_.end())
+            if (std::ranges::find(stoppedAddresses_, probe.address) != stoppedAddresses_.end())
                 refuse(probe);
             else
                 answer(probe, {.id = ""});
         }
         return probes.size();
     }
-    /// One try of the caller; targets end under each run of it. The status that it gets.
-    int tryFatal(const std::string& path = "/read/fatal")
+    /// Sends one attempt of a caller under which every target stops; returns its status.
+    int sendFatalRequest(const std::string& path = "/read/fatal")
     {
         request({.path = path});
         for (std::vector<requests::TargetStart> runs = takeStarts(); !runs.empty(); runs = takeStarts()) {
-            lose(runs.front(), false);
+            stopAndRecord(runs.front(), false);
             (void)answerProbes();
         }
         advance(20ms);
@@ -51,17 +51,17 @@
         return response ? response->status : 0;
     }
 
-    std::vector<model::Address> lostAt_;
+    std::vector<model::Address> stoppedAddresses_;
 };
 
 } // namespace
 
-TEST_F(QuarantineTest, ARequestThatLostTwoTargetsIsNotRepeatedAndTheThirdEndBlamesIt)
+TEST_F(QuarantineTest, ThirdLostTargetQuarantinesRequest)
 {
-    EXPECT_EQ(tryFatal(), 502);
-    EXPECT_EQ(lostAt_.size(), 2U);
-    EXPECT_EQ(tryFatal(), 502);
-    EXPECT_EQ(lostAt_.size(), 3U);
+    EXPECT_EQ(sendFatalRequest(), 502);
+    EXPECT_EQ(stoppedAddresses_.size(), 2U);
+    EXPECT_EQ(sendFatalRequest(), 502);
+    EXPECT_EQ(stoppedAddresses_.size(), 3U);
     request({.path = "/read/fatal"});
     const auto response = takeResponse();
     ASSERT_TRUE(response);
@@ -71,12 +71,12 @@
     EXPECT_TRUE(takeStarts().empty());
 }
 
-TEST_F(QuarantineTest, ConnectionsThatBreakWhileTheirTargetsStayBlameNothing)
+TEST_F(QuarantineTest, LostConnectionsOfRunningTargetsBlameNothing)
 {
     for (int i = 0; i < 6; ++i) {
         request({.method = "POST", .path = "/write/1", .body = "pay"});
         fail(takeStarts().at(0), true);
-        EXPECT_EQ(answerProbes(), 1U); // It answers.
+        EXPECT_EQ(answerProbes(), 1U); // The target still answers.
         EXPECT_EQ(takeResponse()->status, 502);
         advance(3s);
     }
@@ -87,71 +87,72 @@
     for (int i = 0; i < 6; ++i) {
         request({.method = "POST", .path = "/write/1", .body = "pay"});
         for (const requests::TargetStart& start : takeStarts())
-            answer(start, {.status = 503, .more = {{.name = "Saltvane-Not-Run", .value = "1"}}});
+            answer(start, {.status = 503, .extraHeaders = {{.name = "Saltvane-Not-Run", .value = "1"}}});
         for (const requests::TargetStart& start : takeStarts())
-            answer(start, {.status = 503, .more = {{.name = "Saltvane-Not-Run", .value = "1"}}});
+            answer(start, {.status = 503, .extraHeaders = {{.name = "Saltvane-Not-Run", .value = "1"}}});
         EXPECT_NE(header(takeResponse()->headers, "Saltvane-Reason"), "request-quarantined");
         advance(1s);
     }
 }
 
-TEST_F(QuarantineTest, OfATargetThatSaidItLeavesTheEndBlamesNothing)
+TEST_F(QuarantineTest, StopOfLeavingTargetBlamesNothing)
 {
     request({.path = "/read/1"});
     const requests::TargetStart start = takeStarts().at(0);
     report({.retired = {{.target = start.target}}});
-    lose(start, true);
-    EXPECT_EQ(told().size(), 0U);
+    stopAndRecord(start, true);
+    EXPECT_EQ(reportedSuspects().size(), 0U);
 }
 
-TEST_F(QuarantineTest, WhatItSeesIsToldToTheRegistryOnceTheTargetIsKnownToBeGone)
+TEST_F(QuarantineTest, LossIsReportedOnceTargetIsKnownToHaveStopped)
 {
     request({.path = "/read/1"});
     const requests::TargetStart start = takeStarts().at(0);
-    lose(start, false);
-    EXPECT_EQ(told().size(), 0U);
+    stopAndRecord(start, false);
+    EXPECT_EQ(reportedSuspects().size(), 0U);
     (void)answerProbes();
-    const auto words = told();
-    ASSERT_EQ(words.size(), 1U);
-    EXPECT_EQ(words[0].ends.size(), 1U);
-    EXPECT_EQ(words[0].ends[0].target, model::incarnationHash({.target = start.target}));
-    EXPECT_FALSE(words[0].isBlamed);
+    const auto suspects = reportedSuspects();
+    ASSERT_EQ(suspects.size(), 1U);
+    EXPECT_EQ(suspects[0].ends.size(), 1U);
+    EXPECT_EQ(suspects[0].ends[0].target, model::incarnationHash({.target = start.target}));
+    EXPECT_FALSE(suspects[0].isBlamed);
 }
 
-TEST_F(QuarantineTest, AVerdictOfOthersBindsAndAnAnswerElsewhereMakesItVoid)
+TEST_F(QuarantineTest, BlameByOtherGatewaysAppliesUntilCleared)
 {
-    (void)tryFatal();
-    model::SuspectRequest word = told().back();
-    word.isBlamed = true;
-    deliver(model::SuspectReport {.requests = {word}});
+    (void)sendFatalRequest();
+    model::SuspectRequest suspect = reportedSuspects().back();
+    suspect.isBlamed = true;
+    deliver(model::SuspectReport {.requests = {suspect}});
     request({.path = "/read/fatal"});
     EXPECT_EQ(takeResponse()->status, 503);
-    word.isBlamed = false;
-    word.ends.clear();
-    ++word.epoch;
-    deliver(model::SuspectReport {.requests = {word}});
+    suspect.isBlamed = false;
+    suspect.ends.clear();
+    ++suspect.epoch;
+    deliver(model::SuspectReport {.requests = {suspect}});
     request({.path = "/read/fatal"});
     EXPECT_FALSE(takeResponse());
     EXPECT_EQ(takeStarts().size(), 1U);
 }
 
-/// A repeat that finds the request blamed meanwhile has run before: it is not told as not run.
-TEST_F(QuarantineTest, ATryThatHasRunIsNotToldAsNotRun)
+/// A retry that is refused because the request was blamed meanwhile has been run before, so it must not be reported as
+/// not run.
+TEST_F(QuarantineTest, BlamedRetryOfRunRequestIsNotReportedAsNotRun)
 {
-    (void)tryFatal();
-    model::SuspectRequest word = told().back();
-    word.ends.clear();
-    ++word.epoch;
-    deliver(model::SuspectReport {.requests = {word}});
+    (void)sendFatalRequest();
+    model::SuspectRequest suspect = reportedSuspects().back();
+    suspect.ends.clear();
+    ++suspect.epoch;
+    deliver(model::SuspectReport {.requests = {suspect}});
     request({.path = "/read/fatal"});
     const requests::TargetStart start = takeStarts().at(0);
-    word.isBlamed = true;
-    deliver(model::SuspectReport {.requests = {word}});
+    suspect.isBlamed = true;
+    deliver(model::SuspectReport {.requests = {suspect}});
     fail(start, true);
     EXPECT_EQ(takeResponse()->status, 502);
 }
 
-TEST_F(QuarantineTest, ASilentEndCountsOnceTheTargetHasStartedAnew)
+TEST_F(QuarantineTest, SilentStopCountsOnceTargetHasRestarted)
 {
     model::TargetRecord record = target("t-9");
     record.incarnation = {1};
@@ -160,25 +161,25 @@
     reportTargets({record});
     request({.method = "POST", .path = "/write/1", .body = "pay"});
     ASSERT_EQ(takeStarts().size(), 1U);
-    advance(2100ms); // Its time limit.
+    advance(2100ms); // The timeout of its route.
     EXPECT_EQ(takeResponse()->status, 504);
-    EXPECT_EQ(told().size(), 0U);
+    EXPECT_EQ(reportedSuspects().size(), 0U);
     record.incarnation = {2};
     reportTargets({record});
-    ASSERT_EQ(told().size(), 1U);
+    ASSERT_EQ(reportedSuspects().size(), 1U);
 }
 
-TEST(EndRateTest, FollowsWhatIsUsualAndForgets)
+TEST(TargetLossRateTest, FollowsRecentLossesAndDecays)
 {
     const auto at = [](Duration time) { return Timestamp(100s + time); };
-    EndRate rate;
-    EXPECT_DOUBLE_EQ(rate.share(at(0s)), 0.02);
+    TargetLossRate rate;
+    EXPECT_DOUBLE_EQ(rate.lossFraction(at(0s)), 0.02);
     for (int i = 0; i < 70; ++i)
-        rate.noteAnswered(at(1s));
+        rate.recordAnswer(at(1s));
     for (int i = 0; i < 30; ++i)
-        rate.noteEnded(at(1s));
-    EXPECT_NEAR(rate.share(at(1s)), 0.24, 0.01);
-    EXPECT_NEAR(rate.share(at(60s)), 0.02, 0.001);
+        rate.recordLoss(at(1s));
+    EXPECT_NEAR(rate.lossFraction(at(1s)), 0.24, 0.01);
+    EXPECT_NEAR(rate.lossFraction(at(60s)), 0.02, 0.001);
 }
 
 } // namespace saltvane::gateway::test
--- a/src/gateway/tests/regionsplittests.cpp
+++ b/src/gateway/tests/regionsplittests.cpp
@@ -41,7 +41,7 @@
     {
         split_.install(planWith(objectives));
         split_.tick(targets_, Now);
-        return split_.homeWeight(Quotes);
+        return split_.localWeight(Quotes);
     }
 
     TargetSet targets_ {{.self = HostId("g"), .zone = ZoneName("north-a"), .region = RegionName("north")},
@@ -51,24 +51,24 @@
 
 } // namespace
 
-TEST_F(RegionSplitTest, TheRegionsSlotsWeighMoreWhateverTheObjectives)
+TEST_F(RegionSplitTest, LocalSlotsWeighMoreRegardlessOfObjectives)
 {
     EXPECT_GT(weightFor({400ms}), 2);
     EXPECT_EQ(weightFor({400ms}), weightFor({1500ms, 2s}));
 }
 
-TEST_F(RegionSplitTest, RoomFollowsTargetsThatComeAndGo)
+TEST_F(RegionSplitTest, CapacityFollowsUsableTargets)
 {
-    EXPECT_EQ(targets_.roomOf(Quotes).allSlots, 48);
-    EXPECT_EQ(targets_.roomOf(Quotes).homeSlots, 24);
-    EXPECT_EQ(targets_.roomOf(Quotes).regions, 2U);
+    EXPECT_EQ(targets_.capacityOf(Quotes).allSlots, 48);
+    EXPECT_EQ(targets_.capacityOf(Quotes).localSlots, 24);
+    EXPECT_EQ(targets_.capacityOf(Quotes).regions, 2U);
     model::TargetReport closed {.orders = {.term = {1}, .index = {2}}, .evacuatedZones = {ZoneName("south-a")}};
     closed.retired.push_back({.target = TargetId("t-0")});
     targets_.note(closed, Now);
     for (int tick = 0; tick < 10; ++tick)
         targets_.tick(Now);
-    EXPECT_EQ(targets_.roomOf(Quotes).allSlots, 21);
-    EXPECT_EQ(targets_.roomOf(Quotes).regions, 1U);
+    EXPECT_EQ(targets_.capacityOf(Quotes).allSlots, 21);
+    EXPECT_EQ(targets_.capacityOf(Quotes).regions, 1U);
 }
 
 } // namespace saltvane::gateway::test
--- a/src/gateway/tests/wordagetests.cpp
+++ b/src/gateway/tests/registryfreshnesstests.cpp
@@ -5,21 +5,21 @@
  */
 #include "gatewayfixture.h"
 
-/// How old a gateway's word of targets may be for requests to be sent by it.
+/// How old the registry's information may be for a gateway to send requests by it.
 namespace saltvane::gateway::test {
 
 namespace {
 
-class WordAgeTest : public GatewayFixture {
+class RegistryFreshnessTest : public GatewayFixture {
 protected:
-    explicit WordAgeTest(const FixtureOptions& options = {})
+    explicit RegistryFreshnessTest(const FixtureOptions& options = {})
         : GatewayFixture(options)
     {
         installPlan(1);
         reportTargets({target("t-1")});
         areAllPullsAnswered_ = false;
     }
-    /// Whether a request is sent to a target; else it is refused, with the time to come back.
+    /// Sends a request. Returns whether it is sent to a target; otherwise it has to be refused with a Retry-After.
     bool isSent()
     {
         request({});
@@ -32,8 +32,8 @@
         EXPECT_TRUE(response && response->status == 503 && !header(response->headers, "Retry-After").empty());
         return false;
     }
-    /// The registry's word goes on coming, in the order in which it was said.
-    void hearOldWord(Duration duration)
+    /// The registry's reports keep arriving, in the order in which they were sent, but no answer to a pull.
+    void receiveOldReports(Duration duration)
     {
         for (const Timestamp end = now_ + duration; now_ < end;) {
             advance(100ms);
@@ -44,11 +44,12 @@
 
 } // namespace
 
-/// Guards against requests to targets that have left, by a gateway that stood still and has not read yet who left.
-TEST_F(WordAgeTest, AGatewayThatStoodStillSendsNothingBeforeItHasHeardTheRegistryAgain)
+/// Guards against requests to targets that have left, sent by a gateway whose process was stalled and that has not read
+/// yet which ones left.
+TEST_F(RegistryFreshnessTest, StalledGatewaySendsNothingBeforeRegistryAnswers)
 {
     EXPECT_TRUE(isSent());
-    now_ += 3s; // No tick: its process did nothing.
+    now_ += 3s; // No tick: the process is stalled.
     EXPECT_FALSE(isSent());
     advance(100ms);
     EXPECT_FALSE(isSent());
@@ -56,19 +57,19 @@
     EXPECT_TRUE(isSent());
 }
 
-/// Guards against requests to targets that have left, by a gateway that hears who left seconds late.
-TEST_F(WordAgeTest, AGatewayWhoseWordIsLateSendsNothing)
+/// Guards against requests to targets that have left, sent by a gateway that receives reports seconds late.
+TEST_F(RegistryFreshnessTest, GatewayWithLateReportsSendsNothing)
 {
-    hearOldWord(1s);
+    receiveOldReports(1s);
     EXPECT_TRUE(isSent());
-    hearOldWord(1s);
+    receiveOldReports(1s);
     EXPECT_FALSE(isSent());
     answerPull();
     EXPECT_TRUE(isSent());
 }
 
-/// Guards against requests by a plan that was replaced long ago, while the newer one is still on its way.
-TEST_F(WordAgeTest, AGatewayThatKnowsOfANewerPlanSendsNothingByTheOldOneAfterItsLimit)
+/// Guards against requests by a plan that was replaced long ago, while the newer one is still being received.
+TEST_F(RegistryFreshnessTest, ReplacedPlanIsNotUsedAfterItsLimit)
 {
     startFetchingPlan(2);
     for (int step = 0; step < 15; ++step) {
@@ -85,24 +86,24 @@
 
 namespace {
 
-/// Time that passes in 100 ms steps, with an answer to each pull, until a gateway that knows of a newer plan sends
-/// nothing more.
-class ReplacedPlanTest : public WordAgeTest, public testing::WithParamInterface<Duration> {
+/// Determines, in 100 ms steps with an answer to each pull, until when a gateway that knows of a newer plan sends
+/// requests.
+class ReplacedPlanTest : public RegistryFreshnessTest, public testing::WithParamInterface<Duration> {
 protected:
     ReplacedPlanTest()
-        : WordAgeTest({.leaveLimit = GetParam(), .planLimit = GetParam()})
+        : RegistryFreshnessTest({.leaveLimit = GetParam(), .planLimit = GetParam()})
     {
     }
 };
 
 } // namespace
 
-/// Guards against limits of one deployment in the program: operators set 2.0 to 3.0 s. A request by the old plan has
-/// to be with its target within the limit, so the last one is sent some time before.
-TEST_P(ReplacedPlanTest, TheOldPlanIsUsedForMostOfTheLimitAndNoLonger)
+/// Guards against a fixed limit in the program: operators set 2.0 to 3.0 s. A request by the old plan has to reach its
+/// target within the limit, so the last one is sent some time before.
+TEST_P(ReplacedPlanTest, ReplacedPlanIsUsedForMostOfTheLimit)
 {
     constexpr Duration Step = 100ms;
-    constexpr Duration LeastMargin = 300ms;
+    constexpr Duration MinMargin = 300ms;
     startFetchingPlan(2);
     Duration used {};
     for (Duration passed {}; passed < GetParam() * 2; passed += Step) {
@@ -111,28 +112,28 @@
         if (isSent())
             used = passed + Step;
     }
-    EXPECT_LE(used, GetParam() - LeastMargin);
+    EXPECT_LE(used, GetParam() - MinMargin);
     EXPECT_GE(used, GetParam() / 2);
 }
 
-TEST_P(ReplacedPlanTest, LateWordIsUsedForLessThanTheLimitOfALeave)
+TEST_P(ReplacedPlanTest, LateReportsAreUsedForLessThanTheLeaveLimit)
 {
     constexpr Duration Step = 100ms;
-    constexpr Duration LeastMargin = 300ms;
+    constexpr Duration MinMargin = 300ms;
     Duration used {};
     for (Duration passed {}; passed < GetParam() * 2; passed += Step) {
-        hearOldWord(Step);
+        receiveOldReports(Step);
         if (isSent())
             used = passed + Step;
     }
-    EXPECT_LE(used, GetParam() - LeastMargin);
-    EXPECT_GE(used, 1s); // Two pulls may go unanswered.
+    EXPECT_LE(used, GetParam() - MinMargin);
+    EXPECT_GE(used, 1s); // Two pulls may remain unanswered.
 }
 
 INSTANTIATE_TEST_SUITE_P(
     OperatorsLimits, ReplacedPlanTest, testing::Values(Duration(2s), Duration(2500ms), Duration(3s)));
 
-TEST_F(WordAgeTest, AGatewayThatIsCutOffServesOn)
+TEST_F(RegistryFreshnessTest, GatewayServesWhileCutOff)
 {
     for (int second = 0; second < 6; ++second) {
         advance(1s);
@@ -141,7 +142,7 @@
 }
 
 /// Without a leader nothing is acknowledged, so nothing can be missed.
-TEST_F(WordAgeTest, AGatewayServesOnWhileTheRegistryHasNoLeader)
+TEST_F(RegistryFreshnessTest, GatewayServesWhileRegistryHasNoLeader)
 {
     for (int step = 0; step < 60; ++step) {
         advance(100ms);
--- a/src/gateway/tests/requesthashertests.cpp
+++ b/src/gateway/tests/requesthashertests.cpp
@@ -26,7 +26,7 @@
 
 } // namespace
 
-TEST(RequestHasherTest, TheSameRequestHasTheSameDigestHoweverItsBodyComes)
+TEST(RequestHasherTest, DigestIsIndependentOfBodyChunks)
 {
     RequestHasher inParts(Key, Head);
     inParts.addBody("whole ");
@@ -36,7 +36,7 @@
     EXPECT_EQ(digestOf(Head), digestOf(Head));
 }
 
-TEST(RequestHasherTest, AnotherAccountMethodHostPathOrBodyIsAnotherRequest)
+TEST(RequestHasherTest, DigestDependsOnAllFields)
 {
     RequestHasher::Head other = Head;
     other.clientAccount = "brokers";
@@ -53,7 +53,7 @@
     EXPECT_NE(digestOf(Head, "body "), digestOf(Head, "body"));
 }
 
-TEST(RequestHasherTest, WhatMovesFromOneFieldToTheNextMakesAnotherRequest)
+TEST(RequestHasherTest, DigestDependsOnFieldBoundaries)
 {
     RequestHasher::Head moved = Head;
     moved.host = "prices.example/read";
@@ -61,7 +61,7 @@
     EXPECT_NE(digestOf(moved), digestOf(Head));
 }
 
-TEST(RequestHasherTest, WithAnotherKeyNothingCanBeForged)
+TEST(RequestHasherTest, DigestDependsOnKey)
 {
     EXPECT_NE(digestOf(Head, "body", deriveDigestKey(std::string(32, 'l'))), digestOf(Head, "body"));
 }
--- a/src/gateway/tests/requesttests.cpp
+++ b/src/gateway/tests/requesttests.cpp
@@ -15,22 +15,22 @@
 
 } // namespace
 
-TEST_F(RequestTest, WithoutAPlanNothingIsServedAndNothingIsDenied)
+TEST_F(RequestTest, RequestsWithoutPlanAreRefusedAsRetryable)
 {
     request({});
     const auto response = takeResponse();
     ASSERT_TRUE(response);
     EXPECT_EQ(response->status, 503);
-    // A start takes 0.2 to 0.6 s: a caller that came back sooner would be refused for the second, its last time.
+    // A start takes 0.2 to 0.6 s: a caller that came back sooner would be refused on its second and last attempt.
     EXPECT_GE(std::stod(header(response->headers, "Retry-After")), 0.3);
 }
 
-TEST_F(RequestTest, ARefusalClosesItsConnectionAndAnAnswerDoesNot)
+TEST_F(RequestTest, RefusalClosesConnectionButAnswerDoesNot)
 {
     installPlan(1);
     request({});
     EXPECT_EQ(header(takeResponse()->headers, "Connection"), "close");
-    // With a body on its way a close may reset the connection before the refusal is read.
+    // While the body is arriving, a close may reset the connection before the refusal is read.
     request({.method = "POST", .path = "/write/1", .body = "pay"});
     EXPECT_EQ(takeResponse()->status, 503);
     reportTargets({target("t-1")});
@@ -39,7 +39,7 @@
     EXPECT_TRUE(header(takeResponse()->headers, "Connection").empty());
 }
 
-TEST_F(RequestTest, TheAnswerComesBackUnchanged)
+TEST_F(RequestTest, AnswerIsForwardedUnchanged)
 {
     installPlan(1);
     reportTargets({target("t-1")});
@@ -50,7 +50,7 @@
     EXPECT_EQ(header(starts[0].headers, "Saltvane-Request-Id"), "try-1");
     EXPECT_EQ(header(starts[0].headers, "Connection"), "");
     EXPECT_LE(std::stoi(header(starts[0].headers, "Saltvane-Deadline-Ms")), 1500);
-    answer(starts[0], {.status = 203, .more = {{.name = "Signature", .value = "abc"}}});
+    answer(starts[0], {.status = 203, .extraHeaders = {{.name = "Signature", .value = "abc"}}});
     const auto response = takeResponse();
     ASSERT_TRUE(response);
     EXPECT_EQ(response->status, 203);
@@ -58,7 +58,7 @@
     EXPECT_EQ(header(response->headers, "Signature"), "abc");
 }
 
-TEST_F(RequestTest, TheLongestPrefixDecides)
+TEST_F(RequestTest, LongestPrefixMatches)
 {
     installPlan(1,
         R"(,{"name":"deep","host":"prices.example","path_prefix":"/read/deep/","kind":"repeatable",
@@ -72,7 +72,7 @@
     EXPECT_EQ(starts[1].target, TargetId("t-1"));
 }
 
-TEST_F(RequestTest, WithoutARouteItIsNotFound)
+TEST_F(RequestTest, UnknownRouteIsNotFound)
 {
     installPlan(1);
     request({.path = "/other/"});
@@ -81,7 +81,7 @@
     EXPECT_EQ(takeResponse()->status, 404);
 }
 
-TEST_F(RequestTest, WhileANewerPlanIsOnItsWayAnUnknownRouteMayComeBack)
+TEST_F(RequestTest, UnknownRouteIsRetryableWhileNewerPlanIsFetched)
 {
     installPlan(1);
     startFetchingPlan(2);
@@ -91,7 +91,7 @@
     EXPECT_EQ(header(response->headers, "Retry-After"), "0.400");
 }
 
-TEST_F(RequestTest, WithoutProofOfThePlanAnUnknownRouteMayComeBack)
+TEST_F(RequestTest, UnknownRouteIsRetryableWithUnprovenPlan)
 {
     installPlan(1);
     advance(1400ms);
@@ -102,7 +102,7 @@
     EXPECT_EQ(takeResponse()->status, 503);
 }
 
-TEST_F(RequestTest, AtMostOnceIsNotSentAgainOnceAByteMayHaveArrived)
+TEST_F(RequestTest, AtMostOnceIsNotRetriedOnceAByteMayHaveArrived)
 {
     installPlan(1);
     reportTargets({target("t-1"), target("t-2")});
@@ -114,25 +114,25 @@
     EXPECT_EQ(takeResponse()->status, 502);
 }
 
-TEST_F(RequestTest, AtMostOnceGoesElsewhereWhenTheTargetHasNotRunIt)
+TEST_F(RequestTest, AtMostOnceIsRetriedIfTargetDidNotRunIt)
 {
     installPlan(1);
     reportTargets({target("t-1"), target("t-2")});
     request({.method = "POST", .path = "/write/1", .body = "x"});
     const auto first = takeStarts();
-    answer(first.at(0), {.status = 503, .more = {NotRun}});
+    answer(first.at(0), {.status = 503, .extraHeaders = {NotRun}});
     const auto second = takeStarts();
     ASSERT_EQ(second.size(), 1U);
     EXPECT_NE(second[0].target, first[0].target);
-    // Its attempts are used up; the promise that it has not run is true.
-    answer(second[0], {.status = 503, .more = {NotRun}});
+    // Its attempts are used up, and it was certainly not run.
+    answer(second[0], {.status = 503, .extraHeaders = {NotRun}});
     const auto response = takeResponse();
     EXPECT_EQ(response->status, 503);
     EXPECT_FALSE(header(response->headers, "Retry-After").empty());
     EXPECT_TRUE(takeStarts().empty());
 }
 
-TEST_F(RequestTest, ARepeatThatFoundNoPlaceIsNotCalledNotRun)
+TEST_F(RequestTest, RetryWithoutTargetIsNotReportedAsNotRun)
 {
     installPlan(1);
     reportTargets({target("t-1")});
@@ -141,7 +141,7 @@
     EXPECT_EQ(takeResponse()->status, 502);
 }
 
-TEST_F(RequestTest, RepeatableIsSentToAnotherTargetAfterAFailure)
+TEST_F(RequestTest, RepeatableIsRetriedAtAnotherTarget)
 {
     installPlan(1);
     reportTargets({target("t-1"), target("t-2")});
@@ -155,7 +155,7 @@
     EXPECT_EQ(takeResponse()->status, 200);
 }
 
-TEST_F(RequestTest, TheAnswerOfAnotherRequestIsNotPassedOn)
+TEST_F(RequestTest, AnswerOfAnotherRequestIsNotForwarded)
 {
     installPlan(1);
     reportTargets({target("t-1")});
@@ -167,22 +167,22 @@
     EXPECT_EQ(takeCancels(), 1U);
 }
 
-TEST_F(RequestTest, AMisdirectedTargetIsNotUsedAgain)
+TEST_F(RequestTest, MisdirectedTargetIsNotUsedAgain)
 {
     installPlan(1);
     reportTargets({target("t-1"), target("t-2")});
     request({.method = "POST", .path = "/write/1"});
     const auto first = takeStarts();
     answer(first.at(0), {.status = 421, .id = ""});
-    const TargetId gone = first[0].target;
+    const TargetId misdirected = first[0].target;
     EXPECT_EQ(takeStarts().size(), 1U);
     for (int i = 0; i < 20; ++i)
         request({.object = std::to_string(i)});
     for (const requests::TargetStart& start : takeStarts())
-        EXPECT_NE(start.target, gone);
+        EXPECT_NE(start.target, misdirected);
 }
 
-TEST_F(RequestTest, ACallerThatLeavesCancelsItsTargetsWork)
+TEST_F(RequestTest, AbortByCallerCancelsRun)
 {
     installPlan(1);
     reportTargets({target("t-1")});
@@ -193,7 +193,7 @@
     EXPECT_FALSE(takeResponse());
 }
 
-TEST_F(RequestTest, TheRoutesTimeLimitEndsARequest)
+TEST_F(RequestTest, RouteTimeoutFailsRequest)
 {
     installPlan(1);
     reportTargets({target("t-1")});
@@ -206,9 +206,9 @@
     EXPECT_EQ(takeCancels(), 1U);
 }
 
-// Found on the users' bench: a silent target was left although no other could take the request, which ended in a 504
-// while its target was at work.
-TEST_F(RequestTest, ASilentTargetIsLeftOnlyForOneThatCanTakeTheRequest)
+// Guards against leaving an unresponsive target although no other can take the request, which ended in a 504 while the
+// target was still processing it.
+TEST_F(RequestTest, UnresponsiveTargetIsKeptIfNoOtherCanTakeTheRequest)
 {
     installPlan(1);
     reportTargets({target("t-1")});
@@ -222,7 +222,7 @@
     EXPECT_EQ(takeResponse()->status, 200);
 }
 
-TEST_F(RequestTest, ASilentTargetIsLeftForAnother)
+TEST_F(RequestTest, UnresponsiveTargetIsReplacedByAnother)
 {
     installPlan(1);
     reportTargets({target("t-1"), target("t-2")});
@@ -235,19 +235,20 @@
     EXPECT_EQ(takeCancels(), 1U);
 }
 
-// Found on the users' bench: a request taken 5.3 s after the stop was asked for was cut off by the end of the process.
-TEST_F(RequestTest, AStoppingGatewayRefusesNewRequestsOnceItsStayIsOver)
+// Guards against accepting requests until the process stops: a request accepted 5.3 s after the stop was requested was
+// cut off by the end of the process.
+TEST_F(RequestTest, StoppingGatewayRefusesNewRequestsAfterItsTtl)
 {
     installPlan(1);
     reportTargets({target("t-1")});
-    askToStop();
+    requestStop();
     request({});
     const auto early = takeStarts();
-    ASSERT_EQ(early.size(), 1U); // Callers still hold look-up answers.
+    ASSERT_EQ(early.size(), 1U); // Callers still cache look-up answers.
     advance(3100ms);
     request({});
     EXPECT_TRUE(takeStarts().empty());
-    (void)takeResponse(); // Of the first, at its time limit.
+    (void)takeResponse(); // Response to the first request, at its timeout.
     const auto refused = takeResponse();
     ASSERT_TRUE(refused);
     EXPECT_EQ(refused->status, 503);
@@ -258,13 +259,13 @@
     EXPECT_TRUE(takeStopFinished());
 }
 
-// Found on the users' bench: the process ended while a large answer was still on its way to the caller.
-TEST_F(RequestTest, AStopWaitsForAnswersOnTheirWay)
+// Guards against the process stopping while a large answer is still being sent to the caller.
+TEST_F(RequestTest, StopWaitsForPendingAnswers)
 {
     installPlan(1);
     reportTargets({target("t-1")});
     const requests::HttpHandle handle = request({});
-    askToStop();
+    requestStop();
     answer(takeStarts().at(0), {});
     advance(4s);
     EXPECT_FALSE(takeStopFinished());
@@ -273,15 +274,15 @@
     EXPECT_TRUE(takeStopFinished());
 }
 
-TEST_F(RequestTest, ASurplusRefusalIsNotTakenForThisRequests)
+TEST_F(RequestTest, RefusalOfEarlierRequestIsNotAccepted)
 {
     installPlan(1);
     reportTargets({target("t-1"), target("t-2")});
     request({.method = "POST", .path = "/write/1"});
     const std::vector<requests::TargetStart> starts = takeStarts();
     ASSERT_EQ(starts.size(), 1U);
-    answer(starts[0], {.status = 503, .id = "try-0", .more = {NotRun}});
-    EXPECT_TRUE(takeStarts().empty()); // It may run where it was sent.
+    answer(starts[0], {.status = 503, .id = "try-0", .extraHeaders = {NotRun}});
+    EXPECT_TRUE(takeStarts().empty()); // It may still be run by the first target.
     EXPECT_EQ(takeResponse()->status, 502);
 }
 
--- a/src/gateway/tests/retryallowancetests.cpp
+++ b/src/gateway/tests/retryallowancetests.cpp
@@ -15,13 +15,13 @@
 const ServiceName Files {"files"};
 constexpr RetryAllowance::Options Limit {.ratio = 0.2, .slack = 58};
 
-/// One gateway's requests at a steady rate; each wants so many further sends.
+/// Sends one gateway's requests at a steady rate, each of which wants `wanted` retries; returns the retries allowed.
 uint32_t spend(RetryAllowance& allowance, Timestamp& now, double perSecond, Duration duration, int wanted)
 {
     uint32_t spent = 0;
     const Duration step = fromSeconds(1 / perSecond);
     for (const Timestamp end = now + duration; now < end; now += step) {
-        allowance.noteRequest(Quotes, now);
+        allowance.recordRequest(Quotes, now);
         for (int i = 0; i < wanted; ++i)
             spent += allowance.trySpend(Quotes) ? 1 : 0;
     }
@@ -30,9 +30,10 @@
 
 } // namespace
 
-// The pattern: answers of ten of sixteen targets are lost for four seconds; repeatable requests go elsewhere. With half
-// of the ratio, earned by answers, 225 of 912 that could have been repeated ended as unknown.
-TEST(RetryAllowanceTest, MostOfTheRatioIsThereWhileTargetsFail)
+// Guards against too few retries while targets fail: when answers of ten of sixteen targets are lost for four seconds,
+// repeatable requests are retried elsewhere. With half of the ratio, earned by answers only, 225 of 912 retryable
+// requests ended as unknown.
+TEST(RetryAllowanceTest, MostOfRatioIsAvailableWhileTargetsFail)
 {
     RetryAllowance allowance(Limit);
     Timestamp now {100s};
@@ -40,18 +41,18 @@
     EXPECT_GE(spend(allowance, now, 100, 10s, 1), 155U);
 }
 
-TEST(RetryAllowanceTest, TheLimitHoldsInEachWindowOverAllGateways)
+TEST(RetryAllowanceTest, LimitHoldsInEachWindowOverAllGateways)
 {
     constexpr double Gateways = 9;
     constexpr Duration Window = 10s;
     RetryAllowance allowance(Limit);
     Timestamp now {100s};
-    (void)spend(allowance, now, 70, 20s, 0); // Calm: savings.
+    (void)spend(allowance, now, 70, 20s, 0); // Quiet phase, which accumulates savings.
     const uint32_t spent = spend(allowance, now, 70, Window, 3);
     EXPECT_LE(spent * Gateways, 0.2 * 70 * 10 * Gateways + 58);
 }
 
-TEST(RetryAllowanceTest, TheLimitHoldsOverNinetyGatewaysWithFewRequestsEach)
+TEST(RetryAllowanceTest, LimitHoldsOverManyGatewaysWithFewRequests)
 {
     constexpr double Gateways = 90;
     RetryAllowance allowance(Limit);
@@ -61,7 +62,7 @@
     EXPECT_LE(spent * Gateways, 0.2 * 16 * 10 * Gateways + 58);
 }
 
-TEST(RetryAllowanceTest, AServiceEarnsForItselfOnly)
+TEST(RetryAllowanceTest, ServicesDoNotShareAllowance)
 {
     RetryAllowance allowance(Limit);
     Timestamp now {100s};
--- a/src/gateway/tests/routetabletests.cpp
+++ b/src/gateway/tests/routetabletests.cpp
@@ -28,7 +28,7 @@
 
 } // namespace
 
-TEST(RouteTableTest, OfTwoRoutesOfOnePlaceTheFirstWinsAlsoAfterChanges)
+TEST(RouteTableTest, FirstOfTwoEqualRoutesMatches)
 {
     const auto first = routeTo("h", "/a/", "first");
     const auto second = routeTo("h", "/a/", "second");
@@ -43,20 +43,20 @@
     EXPECT_EQ(serviceAt(table, "h", "/a/1"), "");
 }
 
-TEST(RouteTableTest, ARouteThatStaysGoesOnWithItsShares)
+TEST(RouteTableTest, UnchangedRouteKeepsItsWeights)
 {
-    const auto kept = routeTo("h", "/a/", "one");
+    const auto unchanged = routeTo("h", "/a/", "one");
     RouteTable table;
-    table.install({.routes = {kept}});
+    table.install({.routes = {unchanged}});
     const ServiceName first = table.find("h", "/a/")->nextService();
-    table.install({.routes = {routeTo("h", "/b/", "two"), kept}});
+    table.install({.routes = {routeTo("h", "/b/", "two"), unchanged}});
     EXPECT_NE(table.find("h", "/a/")->nextService(), first);
 }
 
-/// After any series of plans the table answers as one that was given the last of them alone.
-TEST(RouteTableTest, ChangedPlansAnswerAsFreshOnes)
+/// After any series of plans, the table matches routes like one in which only the last plan was installed.
+TEST(RouteTableTest, UpdatedTableMatchesFreshTable)
 {
-    std::mt19937 random(3); // NOLINT(cert-msc32-c,cert-msc51-cpp): the same each time.
+    std::mt19937 random(3); // NOLINT(cert-msc32-c,cert-msc51-cpp): reproducible sequence.
     const auto draw = [&](size_t below) { return random() % below; };
     RouteTable table;
     std::vector<model::RouteRef> routes;
--- a/src/gateway/tests/targetrankingtests.cpp
+++ b/src/gateway/tests/targetrankingtests.cpp
@@ -24,72 +24,72 @@
     return target;
 }
 
-std::vector<const GatewayTarget*> order(std::span<const TargetRanking::Ranked> ranked)
+std::vector<const GatewayTarget*> targetsOf(std::span<const TargetRanking::Ranked> ranked)
 {
     std::vector<const GatewayTarget*> targets;
-    for (const TargetRanking::Ranked& one : ranked)
-        targets.push_back(one.target);
+    for (const TargetRanking::Ranked& entry : ranked)
+        targets.push_back(entry.target);
     return targets;
 }
 
 } // namespace
 
-// Targets come and go in any order: what is kept is what ranking all of them anew would give.
-TEST(TargetRankingTest, KeptOrdersAreThoseOfAllTargets)
+// Targets are added and removed in any order: the cached ranking equals a ranking of all targets from scratch.
+TEST(TargetRankingTest, CachedRankingMatchesFreshRanking)
 {
     boost::random::mt19937_64 random(3);
-    TargetRanking kept;
+    TargetRanking cached;
     std::vector<std::unique_ptr<GatewayTarget>> targets;
     for (uint64_t step = 0; step < 400; ++step) {
-        const bool isComing = targets.empty() || random() % 5 < 3;
-        if (isComing) {
+        const bool isAdded = targets.empty() || random() % 5 < 3;
+        if (isAdded) {
             targets.push_back(makeTarget(step));
-            kept.add(*targets.back(), Nearness::Away);
+            cached.add(*targets.back(), Proximity::Remote);
         } else {
             const size_t at = random() % targets.size();
-            kept.remove(*targets[at], Nearness::Away);
+            cached.remove(*targets[at], Proximity::Remote);
             targets.erase(targets.begin() + static_cast<ptrdiff_t>(at));
         }
         TargetRanking fresh;
         for (const auto& target : targets)
-            fresh.add(*target, Nearness::Away);
+            fresh.add(*target, Proximity::Remote);
         for (uint64_t object = 0; object < 20; ++object) {
-            const auto expected = order(fresh.best(object, Nearness::Away));
-            const auto found = order(kept.best(object, Nearness::Away));
-            ASSERT_GE(found.size(), std::min(expected.size(), TargetRanking::Kept / 2));
+            const auto expected = targetsOf(fresh.best(object, Proximity::Remote));
+            const auto found = targetsOf(cached.best(object, Proximity::Remote));
+            ASSERT_GE(found.size(), std::min(expected.size(), TargetRanking::MaxRanked / 2));
             ASSERT_TRUE(std::equal(found.begin(), found.end(), expected.begin())) << "step " << step;
         }
     }
 }
 
-TEST(TargetRankingTest, ObjectsGoWithTheSlots)
+TEST(TargetRankingTest, ObjectsAreProportionalToSlots)
 {
     TargetRanking ranking;
     std::vector<std::unique_ptr<GatewayTarget>> targets;
     for (uint64_t i = 0; i < 50; ++i) {
         targets.push_back(makeTarget(i));
         targets.back()->record.slots = i < 25 ? 9 : 3;
-        ranking.add(*targets.back(), Nearness::Region);
+        ranking.add(*targets.back(), Proximity::Region);
     }
-    int atLarge = 0;
+    int atLargeTargets = 0;
     constexpr uint64_t Objects = 4000;
     for (uint64_t object = 0; object < Objects; ++object)
-        atLarge += ranking.best(object, Nearness::Region).front().target->record.slots == 9 ? 1 : 0;
-    EXPECT_NEAR(atLarge, Objects * 0.75, Objects * 0.04);
+        atLargeTargets += ranking.best(object, Proximity::Region).front().target->record.slots == 9 ? 1 : 0;
+    EXPECT_NEAR(atLargeTargets, Objects * 0.75, Objects * 0.04);
 }
 
-TEST(TargetRankingTest, RequestsAboutNoObjectReachAllTargets)
+TEST(TargetRankingTest, RequestsWithoutObjectReachAllTargets)
 {
     boost::random::mt19937_64 random(5);
     TargetRanking ranking;
     std::vector<std::unique_ptr<GatewayTarget>> targets;
     for (uint64_t i = 0; i < 60; ++i) {
         targets.push_back(makeTarget(i));
-        ranking.add(*targets.back(), Nearness::Zone);
+        ranking.add(*targets.back(), Proximity::Zone);
     }
     std::set<const GatewayTarget*> reached;
     for (int i = 0; i < 2000; ++i)
-        reached.insert(ranking.draw(Nearness::Zone, random).front().target);
+        reached.insert(ranking.sample(Proximity::Zone, random).front().target);
     EXPECT_EQ(reached.size(), targets.size());
 }
 
--- a/src/gateway/tests/targettests.cpp
+++ b/src/gateway/tests/targettests.cpp
@@ -15,7 +15,7 @@
 
 } // namespace
 
-TEST_F(TargetTest, ARetiredTargetGetsNoNewWorkAndNeverComesBack)
+TEST_F(TargetTest, RetiredTargetGetsNoRequestsAgain)
 {
     installPlan(1);
     model::TargetRecord record = target("t-1");
@@ -29,7 +29,7 @@
     EXPECT_EQ(takeResponse()->status, 503);
 }
 
-TEST_F(TargetTest, OlderOrdersChangeNothing)
+TEST_F(TargetTest, OlderOrdersAreIgnored)
 {
     installPlan(1);
     reportTargets({target("t-1")});
@@ -39,7 +39,7 @@
     EXPECT_EQ(takeResponse()->status, 503);
 }
 
-TEST_F(TargetTest, AZoneOpenedAgainWaitsForWordOfItsTargets)
+TEST_F(TargetTest, ReopenedZoneWaitsForReportsOfItsTargets)
 {
     installPlan(1);
     model::TargetRecord record = target("t-1");
@@ -47,14 +47,14 @@
     report({.orders = {.term = {1}, .index = {5}}, .evacuatedZones = {ZoneName("north-a")}});
     report({.orders = {.term = {1}, .index = {6}}});
     request({});
-    EXPECT_EQ(takeResponse()->status, 503); // It may have turned slow meanwhile.
+    EXPECT_EQ(takeResponse()->status, 503); // The target may be in slow start now.
     record.sequence = 2;
     reportTargets({record});
     request({});
     EXPECT_EQ(takeStarts().size(), 1U);
 }
 
-TEST_F(TargetTest, ASlowTargetIsUsedByItsOwnGatewayOnlyAndWithinItsRate)
+TEST_F(TargetTest, SlowStartTargetIsUsedWithinItsRate)
 {
     installPlan(1);
     model::TargetRecord own = target("t-1");
@@ -70,12 +70,12 @@
         }
         advance(20ms);
     }
-    // 5 a second, a fifth less, for two seconds.
+    // 4 per second (0.8 of the service's rate of 5) for two seconds.
     EXPECT_GE(sent, 6U);
     EXPECT_LE(sent, 10U);
 }
 
-TEST_F(TargetTest, ASlowTargetOfAnotherGatewayIsLeftAlone)
+TEST_F(TargetTest, SlowStartTargetOfAnotherGatewayIsNotUsed)
 {
     installPlan(1);
     model::TargetRecord record = target("t-1");
@@ -89,45 +89,45 @@
     EXPECT_EQ(takeStarts().size(), 1U);
 }
 
-TEST_F(TargetTest, AnObjectStaysWithItsTarget)
+TEST_F(TargetTest, ObjectStaysAtItsTarget)
 {
     installPlan(1);
     reportTargets({target("t-1"), target("t-2"), target("t-3"), target("t-4", "quotes", "south-a")});
-    std::map<std::string, TargetId> places;
+    std::map<std::string, TargetId> targetsByObject;
     for (int round = 0; round < 5; ++round) {
         for (int object = 0; object < 20; ++object) {
             const std::string name = std::to_string(object);
             request({.object = name});
             const auto starts = takeStarts();
             ASSERT_EQ(starts.size(), 1U);
-            const auto [place, isFirst] = places.emplace(name, starts[0].target);
-            EXPECT_EQ(place->second, starts[0].target);
+            const auto [known, isFirst] = targetsByObject.emplace(name, starts[0].target);
+            EXPECT_EQ(known->second, starts[0].target);
             advance(100ms);
             answer(starts[0], {});
         }
     }
 }
 
-TEST_F(TargetTest, AFailingTargetIsEjectedAndTriedAgain)
+TEST_F(TargetTest, FailingTargetIsEjectedAndTriedAgain)
 {
     installPlan(1);
     reportTargets({target("t-1")});
     request({});
     fail(takeStarts().at(0), false);
-    EXPECT_EQ(takeResponse()->status, 503); // Provably not run.
+    EXPECT_EQ(takeResponse()->status, 503); // Certainly not run.
     request({});
     EXPECT_EQ(takeResponse()->status, 503);
     advance(300ms);
     request({});
     request({.object = "8"});
     const auto trial = takeStarts();
-    ASSERT_EQ(trial.size(), 1U); // One request tells whether it is back.
+    ASSERT_EQ(trial.size(), 1U); // A single request tests whether the target works again.
     answer(trial[0], {});
     request({.object = "9"});
     EXPECT_EQ(takeStarts().size(), 1U);
 }
 
-TEST_F(TargetTest, LargeAnswersStayInTheZone)
+TEST_F(TargetTest, LargeAnswersStayInZone)
 {
     installPlan(1);
     reportTargets({target("near", "files", "north-a"), target("b-1", "files", "north-b"),
@@ -142,7 +142,7 @@
     }
 }
 
-TEST_F(TargetTest, WeightsDivideARoute)
+TEST_F(TargetTest, WeightsSplitRoute)
 {
     installPlan(1,
         R"(,{"name":"split","host":"prices.example","path_prefix":"/split/","kind":"repeatable","timeout_ms":1500,
@@ -160,7 +160,7 @@
     EXPECT_EQ(counts[TargetId("f-1")], 10);
 }
 
-TEST_F(TargetTest, PermittedRegionsBind)
+TEST_F(TargetTest, RoutePermittedRegionsAreObeyed)
 {
     installPlan(1,
         R"(,{"name":"home","host":"prices.example","path_prefix":"/home/","kind":"repeatable","timeout_ms":1500,
@@ -175,7 +175,7 @@
     EXPECT_EQ(starts[0].target, TargetId("t-2"));
 }
 
-TEST_F(TargetTest, ARecalledTargetNeverTakesTheAddressOfOneThatReported)
+TEST_F(TargetTest, RecalledTargetDoesNotTakeAddressOfReportedTarget)
 {
     installPlan(1);
     model::TargetRecord living = target("new");
@@ -190,7 +190,7 @@
     EXPECT_EQ(starts[0].target, TargetId("new"));
 }
 
-TEST_F(TargetTest, ARecalledTargetIsAskedAndGivesWayToItsSuccessor)
+TEST_F(TargetTest, RecalledTargetIsUsedUntilSuccessorReports)
 {
     installPlan(1);
     model::TargetRecord recalled = target("old");
@@ -207,9 +207,10 @@
     EXPECT_EQ(starts[0].target, TargetId("new"));
 }
 
-// The pattern: targets refuse half of their requests with slots free, their health good. Taken for full, each of them
-// was left alone for a second, and what they would have run was refused.
-TEST_F(TargetTest, ATargetThatRefusesWithSlotsFreeIsNotTakenForFull)
+// Guards against treating refusals as a full queue: targets refuse half of their requests although slots are free and
+// their health is good. Considered full, each of them got no requests for a second, and requests that they would have
+// run were refused.
+TEST_F(TargetTest, RefusalWithFreeSlotsDoesNotMarkTargetFull)
 {
     installPlan(1);
     reportTargets({target("t-1")});
@@ -219,12 +220,12 @@
     answer(first[0],
         {.status = 503,
             .id = "refused",
-            .more = {{.name = "Saltvane-Not-Run", .value = "1"}, {.name = "Saltvane-Load", .value = "0,0,3"}}});
+            .extraHeaders = {{.name = "Saltvane-Not-Run", .value = "1"}, {.name = "Saltvane-Load", .value = "0,0,3"}}});
     request({.id = "next"});
     EXPECT_EQ(takeStarts().size(), 1U);
 }
 
-TEST_F(TargetTest, ASilentTargetIsNotUsedUntilItIsHeardAgain)
+TEST_F(TargetTest, UnresponsiveTargetIsNotUsedUntilItReportsAgain)
 {
     installPlan(1);
     model::TargetRecord record = target("t-1");
@@ -233,7 +234,7 @@
     model::TargetRecord older = record;
     older.sequence = 3;
     older.age = model::TargetSilenceLimit;
-    reportTargets({older}); // Of a registry host that it left.
+    reportTargets({older}); // From a registry host to which the target no longer reports.
     request({});
     EXPECT_EQ(takeStarts().size(), 1U);
     record.age = model::TargetSilenceLimit;
@@ -247,7 +248,7 @@
     EXPECT_EQ(takeStarts().size(), 1U);
 }
 
-TEST_F(TargetTest, AnAddressIsNotGivenBackToTheStartBefore)
+TEST_F(TargetTest, AddressIsNotReturnedToPreviousTarget)
 {
     installPlan(1);
     model::TargetRecord before = target("old");
@@ -257,7 +258,7 @@
     now.address = before.address;
     reportTargets({now});
     before.sequence = 6;
-    reportTargets({before}); // Held up on its way.
+    reportTargets({before}); // A delayed report.
     request({});
     const std::vector<requests::TargetStart> starts = takeStarts();
     ASSERT_EQ(starts.size(), 1U);
