--- a/src/gateway/internal/backpressuremonitor.cpp
+++ b/src/gateway/internal/backpressuremonitor.cpp
@@ -18,41 +18,41 @@
 
 } // namespace
 
-void BackpressureMonitor::onAnswer(const Answer& answer, Timestamp now)
+void BackpressureMonitor::onResponse(const Response& response, Timestamp now)
 {
-    GatewayTarget* target = targets_.find(answer.target);
+    GatewayTarget* target = targets_.find(response.target);
     if (target == nullptr)
         return;
-    updateLimit(*target, answer, now);
-    updateBackoff(*target, answer, now);
-    updateLeaving(*target, answer, now);
+    updateLimit(*target, response, now);
+    updateBackoff(*target, response, now);
+    updateLeaving(*target, response, now);
 }
 
-void BackpressureMonitor::updateBackoff(GatewayTarget& target, const Answer& answer, Timestamp now)
+void BackpressureMonitor::updateBackoff(GatewayTarget& target, const Response& response, Timestamp now)
 {
     constexpr int StatusUnavailable = 503;
     constexpr int StatusTooManyRequests = 429;
     // A 429 from a request that the target ran is about the caller, not about the target.
     const bool isRefusal
-        = answer.status == StatusUnavailable || (answer.status == StatusTooManyRequests && answer.isNotRun);
-    const RequestedBackoff backoff = isRefusal ? readRequestedBackoff(answer.headers) : RequestedBackoff {};
+        = response.status == StatusUnavailable || (response.status == StatusTooManyRequests && response.isNotRun);
+    const RequestedBackoff backoff = isRefusal ? readRequestedBackoff(response.headers) : RequestedBackoff {};
     if (!backoff.isRequested)
         return;
     if (!backoff.duration)
         return log(target,
             {.event = "target_rest_unreadable",
                 .key = "seconds",
-                .value = requests::firstFieldValue(answer.headers, requests::RetryAfterHeader)},
+                .value = requests::firstFieldValue(response.headers, requests::RetryAfterHeader)},
             now);
-    // Answers may arrive out of order, so a shorter time may be the older one.
+    // Responses may arrive out of order, so a shorter time may be the older one.
     target.backpressure.backoffUntil = std::max(target.backpressure.backoffUntil, now + *backoff.duration);
     log(target, {.event = "target_rest", .key = "seconds", .value = decimalText(toSeconds(*backoff.duration))}, now);
 }
 
-void BackpressureMonitor::updateLeaving(GatewayTarget& target, const Answer& answer, Timestamp now)
+void BackpressureMonitor::updateLeaving(GatewayTarget& target, const Response& response, Timestamp now)
 {
     constexpr std::string_view Leaves = "1";
-    if (requests::firstFieldValue(answer.headers, headers_.leaving) != Leaves)
+    if (requests::firstFieldValue(response.headers, headers_.leaving) != Leaves)
         return;
     if (!target.record.isLeaving) {
         log(target, {.event = "target_leaving", .key = "told_by", .value = "target"}, now);
@@ -61,19 +61,19 @@
     targets_.markLeaving(target.targetIncarnation());
 }
 
-void BackpressureMonitor::updateLimit(GatewayTarget& target, const Answer& answer, Timestamp now)
+void BackpressureMonitor::updateLimit(GatewayTarget& target, const Response& response, Timestamp now)
 {
-    const StatedLimit stated = readStatedLimit(answer.headers, headers_.limit);
+    const StatedLimit stated = readStatedLimit(response.headers, headers_.limit);
     TargetBackpressure& known = target.backpressure;
     if (stated.isStated && !stated.perSecond)
         return log(target,
             {.event = "target_limit_unreadable",
                 .key = "per_second",
-                .value = requests::firstFieldValue(answer.headers, headers_.limit)},
+                .value = requests::firstFieldValue(response.headers, headers_.limit)},
             now);
-    // Answers may arrive out of order: the answer to a request that was sent before the limit was known may be older
-    // than the limit.
-    if (!stated.isStated && (!known.limit || answer.sentAt <= known.limitUpdatedAt))
+    // Responses may arrive out of order: the response to a request that was sent before the limit was known may be
+    // older than the limit.
+    if (!stated.isStated && (!known.limit || response.sentAt <= known.limitUpdatedAt))
         return;
     const std::optional<double> limit
         = stated.perSecond.value_or(MaxLimitPerSecond) < MaxLimitPerSecond ? stated.perSecond : std::nullopt;
--- a/src/gateway/internal/backpressuremonitor.h
+++ b/src/gateway/internal/backpressuremonitor.h
@@ -18,8 +18,8 @@
 
 namespace saltvane::gateway {
 
-/// Reads the limits, backoff times and leaving notices in targets' answers, and shares them with other gateways through
-/// the registry. docs/design/0018-target-limits.md
+/// Reads the limits, backoff times and leaving notices in targets' responses, and shares them with other gateways
+/// through the registry. docs/design/0018-target-limits.md
 class BackpressureMonitor {
 public:
     BackpressureMonitor(settings::HeaderNames headers, TargetSet& targets)
@@ -28,15 +28,15 @@
     {
     }
 
-    /// A target's answer to a request that was sent at `sentAt`.
-    struct Answer {
+    /// A target's response to a request that was sent at `sentAt`.
+    struct Response {
         model::TargetIncarnation target;
         int status = 0;
         std::span<const model::Header> headers;
         bool isNotRun = false; ///< The target refused the request without running it.
         Timestamp sentAt;
     };
-    void onAnswer(const Answer& answer, Timestamp now);
+    void onResponse(const Response& response, Timestamp now);
 
     void handle(const model::BackpressureReport& report, Timestamp now);
     /// Reports the target's limit again, because a registry host did not know it.
@@ -58,9 +58,9 @@
     static constexpr double MaxReportsPerSecond = 10;
     static constexpr double MaxReportBurst = 10;
 
-    void updateLimit(GatewayTarget& target, const Answer& answer, Timestamp now);
-    void updateBackoff(GatewayTarget& target, const Answer& answer, Timestamp now);
-    void updateLeaving(GatewayTarget& target, const Answer& answer, Timestamp now);
+    void updateLimit(GatewayTarget& target, const Response& response, Timestamp now);
+    void updateBackoff(GatewayTarget& target, const Response& response, Timestamp now);
+    void updateLeaving(GatewayTarget& target, const Response& response, Timestamp now);
     void setLimit(GatewayTarget& target, const std::optional<double>& limit, Timestamp now);
     void addNotice(model::BackpressureReport& report, const model::TargetIncarnation& targetIncarnation, Timestamp now);
     struct Line {
--- a/src/gateway/internal/exchange.h
+++ b/src/gateway/internal/exchange.h
@@ -17,15 +17,15 @@
 
 namespace saltvane::gateway {
 
-/// State of one caller's request from its arrival to its final answer.
+/// State of one caller's request from its arrival to its final response.
 struct Exchange {
     enum class Phase {
         ReceivingBody, ///< Nothing was sent to a target yet.
         AwaitingCredit, ///< Waits for a credit of the client account's limit.
         AwaitingTargetCredit, ///< Waits for a credit of the limit that the selected target stated.
         AwaitingHead, ///< Sent to a target.
-        ReceivingAnswer, ///< The answer's head was received; the body is buffered.
-        Streaming ///< The answer is streamed to the caller.
+        ReceivingResponse, ///< The response's head was received; the body is buffered.
+        Streaming ///< The response is streamed to the caller.
     };
 
     requests::HttpHandle handle;
@@ -62,7 +62,7 @@
     double loadAtSend = 0;
     Choice choice = Choice::Other; ///< Rank of the target among the object's targets.
     bool isLikelyWarm = false; ///< The target recently answered for the object, as far as this gateway knows.
-    Duration timeToHead {}; ///< From the last send to the head of the answer.
+    Duration timeToHead {}; ///< From the last send to the head of the response.
     std::vector<TargetId> attemptedTargets;
     size_t targetsLost = 0; ///< Attempted targets that were lost.
     model::Reason lastReason = model::Reason::None;
@@ -74,10 +74,10 @@
     std::optional<double> limit; ///< The target's limit in requests per second when it was selected.
     uint32_t targetsKnown = 0;
     uint32_t targetsUsable = 0;
-    requests::HttpRespond answer; ///< The part that was received so far.
+    requests::HttpRespond response; ///< The part that was received so far.
     bool isInLinkBudget = false; ///< Counted in the link budget.
-    uint64_t answerBytes = 0;
-    bool isAnswerStarted = false; ///< The head was sent to the caller.
+    uint64_t responseBytes = 0;
+    bool isResponseStarted = false; ///< The head was sent to the caller.
     bool mayHaveRun = false; ///< A byte may have reached a target that did not report that it did not run the request.
 };
 
--- a/src/gateway/internal/gatewaycore.cpp
+++ b/src/gateway/internal/gatewaycore.cpp
@@ -30,8 +30,8 @@
 /// Callers cache look-up answers for a TTL, some for longer, so a leaving gateway keeps serving for 1.5 TTLs.
 constexpr double TtlsBeforeStop = 1.5;
 /// Bytes that were handed to the network reach the callers within this time.
-constexpr Duration AnswerFlushDelay = 100ms;
-/// Reserved before the stop time limit for answers that are still being sent.
+constexpr Duration ResponseFlushDelay = 100ms;
+/// Reserved before the stop time limit for responses that are still being sent.
 constexpr Duration StopReserve = 500ms;
 
 model::HostRecord recordOf(const settings::RoutedHostSettings& settings, Incarnation incarnation)
@@ -154,24 +154,24 @@
 {
     const auto dispatch = std::visit([](const auto& item) { return item.dispatch; }, event);
     if (TargetProber::isProbe(dispatch)) {
-        onProbeAnswer(event, now);
+        onProbeResponse(event, now);
         return quarantine_.handle(event, now);
     }
     runner_.handle(std::move(event), now);
 }
 
-/// Limits and leaving notices count in answers to probes as well.
-void GatewayCore::onProbeAnswer(const requests::TargetEvent& event, Timestamp now)
+/// Limits and leaving notices count in responses to probes as well.
+void GatewayCore::onProbeResponse(const requests::TargetEvent& event, Timestamp now)
 {
     const auto* head = std::get_if<requests::TargetResponseHead>(&event);
     if (head == nullptr)
         return;
     if (const std::optional<TargetProber::SentProbe> sentProbe = quarantine_.findSentProbe(*head))
-        backpressure_.onAnswer({.target = sentProbe->target,
-                                   .status = head->status,
-                                   .headers = head->headers,
-                                   .isNotRun = true,
-                                   .sentAt = sentProbe->sentAt},
+        backpressure_.onResponse({.target = sentProbe->target,
+                                     .status = head->status,
+                                     .headers = head->headers,
+                                     .isNotRun = true,
+                                     .sentAt = sentProbe->sentAt},
             now);
 }
 
@@ -326,9 +326,9 @@
     const Duration waited = now - *stopRequestedAt_;
     if (waited >= stay)
         runner_.startRefusing();
-    if (runner_.inFlight() > 0 || runner_.pendingAnswers() > 0)
+    if (runner_.inFlight() > 0 || runner_.pendingResponses() > 0)
         lastBusyAt_ = now;
-    const bool isBusy = now - lastBusyAt_ < AnswerFlushDelay;
+    const bool isBusy = now - lastBusyAt_ < ResponseFlushDelay;
     if (waited < stay || (isBusy && waited < limit))
         return;
     isStopReported_ = true;
--- a/src/gateway/internal/gatewaycore.h
+++ b/src/gateway/internal/gatewaycore.h
@@ -60,7 +60,7 @@
     void sendSuspects(Timestamp now);
     void sendBackpressure(Timestamp now);
     void sendToRegionRegistries(const model::Message& message);
-    void onProbeAnswer(const requests::TargetEvent& event, Timestamp now);
+    void onProbeResponse(const requests::TargetEvent& event, Timestamp now);
     [[nodiscard]] std::string probePathOf(const ServiceName& service) const;
     void updateState();
     void updateStop(Timestamp now);
@@ -98,7 +98,7 @@
     Timestamp nextOtherRegionLoadsAt_ {};
     bool haveLoadsBeenSent_ = false;
     std::optional<Timestamp> stopRequestedAt_;
-    Timestamp lastBusyAt_ {}; ///< When a request or an answer was last in progress.
+    Timestamp lastBusyAt_ {}; ///< When a request or a response was last in progress.
     bool isStopReported_ = false;
 };
 
--- a/src/gateway/internal/gatewaytarget.cpp
+++ b/src/gateway/internal/gatewaytarget.cpp
@@ -14,7 +14,7 @@
 
 /// Time over which reported load decays linearly to zero.
 constexpr Duration LoadLifetime = 1s;
-/// A load from the target's own answer takes precedence over the registry's total while it is this new.
+/// A load from the target's own response takes precedence over the registry's total while it is this new.
 constexpr Duration FreshLoadAge = 200ms;
 /// How long the targets of a reopened zone wait for a new report of the registry.
 constexpr Duration ReopenedZoneTimeout = 4s;
--- a/src/gateway/internal/gatewaytarget.h
+++ b/src/gateway/internal/gatewaytarget.h
@@ -23,7 +23,7 @@
     uint64_t reopenedByReport = 0; ///< Number of the report that reopened the zone; 0 if it was never closed.
 };
 
-/// State of one incarnation of a target, from the registry's reports, the target's answers and this gateway's own
+/// State of one incarnation of a target, from the registry's reports, the target's responses and this gateway's own
 /// requests.
 struct GatewayTarget {
     model::TargetRecord record;
@@ -38,13 +38,13 @@
     bool isUnresponsive = false; ///< The registry host that last received its reports receives none any more.
 
     uint32_t inFlight = 0; ///< Requests of this gateway at the target.
-    /// Requests of other gateways, as of the target's last answer that stated its load.
+    /// Requests of other gateways, as of the target's last response that stated its load.
     uint32_t otherGatewaysLoad = 0;
-    Timestamp loadUpdatedAt; ///< When that answer was received.
+    Timestamp loadUpdatedAt; ///< When that response was received.
     uint32_t totalInFlight = 0; ///< Requests of all gateways, as last reported by the registry.
     uint32_t publishedInFlight = 0; ///< Requests of this gateway, as last reported to the registry.
     const Timestamp* totalsAt = nullptr; ///< When the registry last reported loads of any targets.
-    Timestamp answeredAt; ///< Time of the last answer.
+    Timestamp answeredAt; ///< Time of the last response.
     uint32_t failures = 0; ///< Consecutive failures.
     Timestamp ejectedUntil;
     double slowStartBalance = 1; ///< Requests that may be sent now during the slow start.
--- a/src/gateway/internal/linkbudget.cpp
+++ b/src/gateway/internal/linkbudget.cpp
@@ -12,8 +12,8 @@
 namespace {
 
 constexpr double BytesPerMegabit = 125'000;
-constexpr double InitialAnswerBytes = 64 * 1024;
-constexpr double AverageWeight = 0.05; ///< Weight of one answer in the moving average.
+constexpr double InitialResponseBytes = 64 * 1024;
+constexpr double AverageWeight = 0.05; ///< Weight of one response in the moving average.
 /// Fraction of a route's objective; the rest is for the target's processing and for other traffic on the link.
 constexpr double MaxObjectiveFraction = 0.5;
 
@@ -21,7 +21,7 @@
 
 LinkBudget::LinkBudget(double megabits)
     : bytesPerSecond_(megabits * BytesPerMegabit)
-    , averageBytes_(InitialAnswerBytes)
+    , averageBytes_(InitialResponseBytes)
 {
 }
 
--- a/src/gateway/internal/linkbudget.h
+++ b/src/gateway/internal/linkbudget.h
@@ -11,17 +11,17 @@
 
 namespace saltvane::gateway {
 
-/// Bounds the large answers in progress by the bandwidth of this host's network link. They are few but fill the link
+/// Bounds the large responses in progress by the bandwidth of this host's network link. They are few but fill the link
 /// and delay everything else, so no more are accepted than the link can carry in a fraction of their objective.
 class LinkBudget {
 public:
     /// 0: the link's rate is unknown and nothing is limited.
     explicit LinkBudget(double megabits);
 
-    /// Whether the link can carry one more large answer in time.
+    /// Whether the link can carry one more large response in time.
     [[nodiscard]] bool canCarry(const model::Route& route) const;
     void recordStart() { ++inFlight_; }
-    /// `bytes`: size of the whole answer; 0 if none was received.
+    /// `bytes`: size of the whole response; 0 if none was received.
     void recordCompletion(uint64_t bytes);
 
 private:
--- a/src/gateway/internal/lostruntracker.h
+++ b/src/gateway/internal/lostruntracker.h
@@ -15,7 +15,7 @@
 
 namespace saltvane::gateway {
 
-/// A run of a request at one incarnation of a target that did not get a complete answer.
+/// A run of a request at one incarnation of a target that did not get a complete response.
 struct LostRun {
     model::RequestDigest digest;
     model::TargetIncarnation target;
--- a/src/gateway/internal/placement.cpp
+++ b/src/gateway/internal/placement.cpp
@@ -19,8 +19,8 @@
 constexpr double OtherTargetsCostFactor = 1.25;
 /// Targets queue requests up to this multiple of their slots and refuse the rest.
 constexpr double MaxLoadPerSlot = 3;
-/// By rank: the multiple of the objective within which an answer has to be expectedTime for a request to be accepted.
-/// In an overload all answers come as late as this allows; with lower values, requests for cold objects were refused
+/// By rank: the multiple of the objective within which a response has to be expected for a request to be accepted.
+/// In an overload all responses come as late as this allows; with lower values, requests for cold objects were refused
 /// although slots were free.
 constexpr std::array<double, 3> ObjectiveFactorByRank {2.1, 1.7, 1.3};
 constexpr double RemainingTimeFraction = 0.9;
@@ -31,18 +31,18 @@
 constexpr double MaxCrossRegionBalance = 4;
 
 /// A route whose targets neither answered nor got a trial request for this long may send one request to a free slot,
-/// whatever the learnt times say. Times are learnt from answers only: once they exceed the time that callers allow,
+/// whatever the learnt times say. Times are learnt from responses only: once they exceed the time that callers allow,
 /// nothing else would correct them, and idle targets that answer in 200 ms would get no requests of the route. At one
-/// request per gateway in two seconds, a late answer is acceptable.
+/// request per gateway in two seconds, a late response is acceptable.
 constexpr Duration TrialInterval = 2s;
 constexpr size_t MaxTrialRoutes = 1024;
 
 constexpr Duration MinRetryAfter = 100ms;
 constexpr Duration MaxRetryAfter = 400ms;
 
-uint64_t combineHashes(uint64_t left, uint64_t right)
+uint64_t combineHashes(uint64_t first, uint64_t second)
 {
-    const std::array<uint64_t, 2> both {left, right};
+    const std::array<uint64_t, 2> both {first, second};
     return XXH64(both.data(), sizeof(both), 0);
 }
 
@@ -97,18 +97,18 @@
     return fromSeconds(toSeconds(processingTime) + waiting * queued);
 }
 
-void Placement::recordAnswer(GatewayTarget& target, const Answer& answer, Timestamp now)
+void Placement::recordResponse(GatewayTarget& target, const Response& response, Timestamp now)
 {
-    if (const auto seen = lastActivityAt_.find(answer.route); seen != lastActivityAt_.end())
+    if (const auto seen = lastActivityAt_.find(response.route); seen != lastActivityAt_.end())
         seen->second = now;
     target.onAnswered(now);
-    if (answer.object)
-        warmObjects_.recordAnswer(*answer.object, target.incarnationHash, now);
+    if (response.object)
+        warmObjects_.recordResponse(*response.object, target.incarnationHash, now);
     const ServiceName& service = target.record.service;
     const double slots = std::max(target.record.slots, 1U);
-    const double waiting = std::max(0.0, answer.loadAtSend + 1 - slots) / slots;
+    const double waiting = std::max(0.0, response.loadAtSend + 1 - slots) / slots;
     processingTimes_.record(
-        service, answer.route, {.choice = answer.choice, .duration = answer.duration, .hasQueued = waiting > 0});
+        service, response.route, {.choice = response.choice, .duration = response.duration, .hasQueued = waiting > 0});
 }
 
 bool Placement::isPermitted(const GatewayTarget& target, const PlacementQuery& query) const
@@ -121,19 +121,19 @@
     return std::ranges::find(query.attemptedTargets, target.id()) == query.attemptedTargets.end();
 }
 
-bool Placement::canAnswerInTime(
+bool Placement::canRespondInTime(
     const GatewayTarget& target, Duration estimate, bool isLikelyWarm, const PlacementQuery& query, Timestamp now) const
 {
     if (target.load(now) + 1 > target.record.slots * MaxLoadPerSlot)
         return false;
-    const Duration remaining = fromSeconds(toSeconds(query.remaining) * RemainingTimeFraction);
+    const Duration usableTime = fromSeconds(toSeconds(query.left) * RemainingTimeFraction);
     // A request that a free slot could start now is not refused if the object is likely warm. Cold work takes several
     // times as long, and in an overload other requests wait for the slot.
     const bool hasFreeSlot = isLikelyWarm && target.load(now) + 1 <= target.record.slots;
     if (hasFreeSlot || query.isRetry || query.route.objective <= Duration::zero())
-        return estimate <= remaining;
+        return estimate <= usableTime;
     const Duration wanted = fromSeconds(toSeconds(query.route.objective) * objectiveFactor(query));
-    return estimate <= std::min(remaining, wanted - query.elapsed);
+    return estimate <= std::min(usableTime, wanted - query.elapsed);
 }
 
 TargetSelection Placement::selectBest(Candidates& candidates, const PlacementQuery& query, Timestamp now) const
@@ -157,7 +157,7 @@
         const Choice effectiveChoice = isLikelyWarm ? Choice::First : choice;
         const Duration expectedTime = estimate(target, expectedTimes.of(effectiveChoice), now);
         const double cost = toSeconds(expectedTime) * (i == 0 ? 1 : OtherTargetsCostFactor);
-        if (!canAnswerInTime(target, expectedTime, effectiveChoice == Choice::First, query, now)
+        if (!canRespondInTime(target, expectedTime, effectiveChoice == Choice::First, query, now)
             || (selection.target != nullptr && cost >= leastCost))
             continue;
         selection = {.target = &target,
--- a/src/gateway/internal/placement.h
+++ b/src/gateway/internal/placement.h
@@ -27,8 +27,8 @@
     const model::ClientAccount* account = nullptr; ///< Null if the route requires no account.
     std::optional<uint64_t> object; ///< Hash of the request's object; without one any target is suitable.
     Duration elapsed {}; ///< Since the request arrived.
-    Duration remaining {}; ///< Until the deadline.
-    bool isRetry = false; ///< The request was sent before: a late answer is wanted as well.
+    Duration left {}; ///< Until the deadline.
+    bool isRetry = false; ///< The request was sent before: a late response is wanted as well.
     bool needsNoCredit = false; ///< Only targets without a limit are suitable.
     std::span<const TargetId> attemptedTargets;
 };
@@ -48,26 +48,26 @@
 };
 
 /// Selects a target for a request: by the request's object, so that the target has it warm; within the region's share;
-/// and only if the answer can be expected in time.
+/// and only if the response can be expected in time.
 class Placement {
 public:
     Placement(TargetSet& targets, const RegionSplit& split, uint64_t seed);
 
     [[nodiscard]] std::variant<TargetSelection, PlacementRefusal> choose(const PlacementQuery& query, Timestamp now);
-    /// Measurements from the head of an answer, about the target and its service.
-    struct Answer {
+    /// Measurements from the head of a response, about the target and its service.
+    struct Response {
         const model::RouteName& route;
         std::optional<uint64_t> object;
-        Duration duration {}; ///< From sending the request to the head of the answer.
+        Duration duration {}; ///< From sending the request to the head of the response.
         double loadAtSend = 0; ///< The target's load before this request.
         Choice choice = Choice::Other;
     };
-    void recordAnswer(GatewayTarget& target, const Answer& answer, Timestamp now);
+    void recordResponse(GatewayTarget& target, const Response& response, Timestamp now);
     void recordSent(const ServiceName& service, const TargetSelection& selection)
     {
         processingTimes_.recordSent(service, selection.processingTime);
     }
-    /// Processing times learnt from the targets' answers.
+    /// Processing times learnt from the targets' responses.
     [[nodiscard]] const ProcessingTimes& processingTimes() const { return processingTimes_; }
 
 private:
@@ -91,15 +91,15 @@
         const PlacementQuery& query, Timestamp now) const;
 
     [[nodiscard]] bool isWarm(const std::optional<uint64_t>& object, const GatewayTarget& target, Timestamp now) const;
-    /// Estimated time to the answer's head: waiting for a slot, then processing. Slow targets show by their load.
-    /// Measured answer times are not used: they include the queue that the request waited in, so each overload would
+    /// Estimated time to the response's head: waiting for a slot, then processing. Slow targets show by their load.
+    /// Measured response times are not used: they include the queue that the request waited in, so each overload would
     /// make targets look slow.
     [[nodiscard]] Duration estimate(const GatewayTarget& target, Duration processingTime, Timestamp now) const;
     [[nodiscard]] TargetSelection selectBest(Candidates& candidates, const PlacementQuery& query, Timestamp now) const;
-    [[nodiscard]] bool canAnswerInTime(const GatewayTarget& target, Duration estimate, bool isLikelyWarm,
+    [[nodiscard]] bool canRespondInTime(const GatewayTarget& target, Duration estimate, bool isLikelyWarm,
         const PlacementQuery& query, Timestamp now) const;
     [[nodiscard]] bool isPermitted(const GatewayTarget& target, const PlacementQuery& query) const;
-    /// Selects a target although no answer can be expected in time, so that learnt processing times can be corrected.
+    /// Selects a target although no response can be expected in time, so that learnt processing times can be corrected.
     /// No target if no trial is due or no target has a free slot.
     [[nodiscard]] TargetSelection selectForTrial(
         std::span<const Candidate> candidates, const PlacementQuery& query, Timestamp now);
--- a/src/gateway/internal/processingtimes.cpp
+++ b/src/gateway/internal/processingtimes.cpp
@@ -12,14 +12,14 @@
 
 namespace {
 
-/// Used before any answer was received, and for services whose routes have no objective.
+/// Used before any response was received, and for services whose routes have no objective.
 constexpr ProcessingTimes::Times InitialTimes {
     .first = 150ms, .secondExcess = 175ms, .otherExcess = 350ms, .slowest = 1s};
 /// The objective that corresponds to these times. Operators set objectives a little above the processing time of a warm
 /// target, so the initial times scale with them.
 constexpr Duration InitialTimesObjective = 400ms;
-constexpr double SlowestDecay = 0.998; ///< Per answer.
-constexpr double AverageWeight = 0.05; ///< Weight of one answer in the moving average.
+constexpr double SlowestDecay = 0.998; ///< Per response.
+constexpr double AverageWeight = 0.05; ///< Weight of one response in the moving average.
 /// About 100 bytes each; in plans with more routes, the remaining ones use their services' times.
 constexpr size_t MaxRoutes = 1024;
 
--- a/src/gateway/internal/processingtimes.h
+++ b/src/gateway/internal/processingtimes.h
@@ -19,7 +19,7 @@
 enum class Choice : uint8_t { First, Second, Other };
 [[nodiscard]] std::string_view toString(Choice choice);
 
-/// Processing times of targets, learnt from their answers: by route, since routes of one service may differ several
+/// Processing times of targets, learnt from their responses: by route, since routes of one service may differ several
 /// times over, and by service, to estimate how long a queue of all its routes takes. Bounded in the number of routes;
 /// an unknown route uses the times of its service.
 class ProcessingTimes {
@@ -28,7 +28,7 @@
         Duration first {}; ///< Time at an object's first choice, when idle.
         Duration secondExcess {}; ///< Additional time at the second choice, which has the object warm less often.
         Duration otherExcess {}; ///< Additional time at any other target.
-        Duration slowest {}; ///< The longest recent answer.
+        Duration slowest {}; ///< The longest recent response.
         [[nodiscard]] Duration of(Choice choice) const;
     };
     /// Initializes the times of an unknown service from the objective of the first route that is requested.
--- a/src/gateway/internal/quarantine.h
+++ b/src/gateway/internal/quarantine.h
@@ -46,7 +46,7 @@
     /// Whether an attempt that lost its target may continue at another one.
     [[nodiscard]] bool mayRetry(const model::RequestDigest& digest) const;
 
-    /// The complete answer was received.
+    /// The complete response was received.
     void onAnswered(const model::RequestDigest& digest, Timestamp now);
     /// The target answered some request or probe.
     void onTargetAlive(const model::TargetIncarnation& target) { lostRuns_.forget(target); }
@@ -82,7 +82,7 @@
     static constexpr double MaxLogLineBurst = 20;
 
     void recordLoss(const LostRun& run, Timestamp now);
-    /// Discards the losses if this gateway received an answer to the request since the first of them, or shortly
+    /// Discards the losses if this gateway received a response to the request since the first of them, or shortly
     /// before.
     void clearIfAnswered(const model::RequestDigest& digest, Timestamp now);
     void clearLosses(const model::RequestDigest& digest, Timestamp now);
--- a/src/gateway/internal/recentanswers.h
+++ b/src/gateway/internal/recentanswers.h
@@ -13,8 +13,8 @@
 
 namespace saltvane::gateway {
 
-/// When this gateway last received a complete answer to each request, for the few thousand latest requests. Reports of
-/// targets that were lost while running a request arrive later than its answers: when a zone fails, many runs of a
+/// When this gateway last received a complete response to each request, for the few thousand latest requests. Reports
+/// of targets that were lost while running a request arrive later than its responses: when a zone fails, many runs of a
 /// popular request are lost at several gateways while other runs are answered.
 class RecentAnswers {
 public:
--- a/src/gateway/internal/regionsplit.h
+++ b/src/gateway/internal/regionsplit.h
@@ -11,10 +11,10 @@
 
 namespace saltvane::gateway {
 
-/// Divides each service's requests between this gateway's region and the others. Large answers use a share that follows
-/// the load of the region's targets, but no faster than the shift cap allows; only a loss of targets changes it at
-/// once. Small answers use a weight that follows the targets' slots alone, so that objects stay where they are warm
-/// when the load moves.
+/// Divides each service's requests between this gateway's region and the others. Large responses use a share that
+/// follows the load of the region's targets, but no faster than the shift cap allows; only a loss of targets changes it
+/// at once. Small responses use a weight that follows the targets' slots alone, so that objects stay where they are
+/// warm when the load moves.
 class RegionSplit {
 public:
     explicit RegionSplit(double shiftCap);
--- a/src/gateway/internal/requestcompletion.cpp
+++ b/src/gateway/internal/requestcompletion.cpp
@@ -6,7 +6,7 @@
 #include "gateway/internal/requestrunner.h"
 #include "requests/headerfilter.h"
 
-/// RequestRunner: completion of requests by a refusal, an unknown outcome or an answer, and the release of what they
+/// RequestRunner: completion of requests by a refusal, an unknown outcome or a response, and the release of what they
 /// used.
 namespace saltvane::gateway {
 
@@ -66,7 +66,7 @@
     const int status = refusal.status == 0 ? StatusUnavailable : refusal.status;
     options_.onDecided(
         {.exchange = exchange, .outcome = model::Outcome::NotRun, .reason = refusal.reason, .status = status}, now);
-    // While the body is still arriving, closing could reset the connection before the caller reads the answer.
+    // While the body is still arriving, closing could reset the connection before the caller reads the response.
     const bool isWhole = request.bodyLength == 0;
     respondWithError(
         request.handle, refusal.status, refusal.reason, refusal.retryAfter, refusal.status == 0 && isWhole);
@@ -83,29 +83,29 @@
     }
     std::string text = std::string(model::toString(reason)) + "\n";
     const uint64_t length = text.size();
-    requests::HttpRespond answer {.handle = handle,
+    requests::HttpRespond response {.handle = handle,
         .status = status,
         .headers = {{.name = "Content-Type", .value = "text/plain; charset=utf-8"},
             {.name = std::string(requests::ReasonHeader), .value = std::string(model::toString(reason))}},
         .bodyLength = length,
         .bytes = std::move(text)};
     if (isNotRun)
-        answer.headers.push_back({.name = std::string(requests::RetryAfterHeader),
+        response.headers.push_back({.name = std::string(requests::RetryAfterHeader),
             .value = secondsText(isLeaving_ ? StoppingRetryAfter : retryAfter)});
-    respond(std::move(answer), isConnectionClosed);
+    respond(std::move(response), isConnectionClosed);
 }
 
-void RequestRunner::respond(requests::HttpRespond answer, bool isConnectionClosed)
+void RequestRunner::respond(requests::HttpRespond response, bool isConnectionClosed)
 {
     if (isLeaving_ || isConnectionClosed)
-        answer.headers.push_back({.name = "Connection", .value = "close"});
-    pendingAnswers_.insert(answer.handle);
-    actions_.emplace_back(std::move(answer));
+        response.headers.push_back({.name = "Connection", .value = "close"});
+    pendingResponses_.insert(response.handle);
+    actions_.emplace_back(std::move(response));
 }
 
 void RequestRunner::abort(const Exchange& exchange)
 {
-    pendingAnswers_.erase(exchange.handle);
+    pendingResponses_.erase(exchange.handle);
     actions_.emplace_back(requests::HttpAbort {.handle = exchange.handle});
 }
 
@@ -131,7 +131,7 @@
     releaseTarget(exchange);
     deadlines_.erase({exchange.deadline, exchange.handle});
     if (exchange.isInLinkBudget)
-        options_.link.recordCompletion(exchange.answerBytes);
+        options_.link.recordCompletion(exchange.responseBytes);
     const requests::HttpHandle handle = exchange.handle;
     exchanges_.erase(handle);
 }
--- a/src/gateway/internal/requestlosses.cpp
+++ b/src/gateway/internal/requestlosses.cpp
@@ -12,9 +12,9 @@
 
 namespace {
 
-/// How long answers of a target that has stopped may still arrive, over two regions and a slow link. After that its
+/// How long responses of a target that has stopped may still arrive, over two regions and a slow link. After that its
 /// requests are retried or failed, instead of waiting until the route's timeout.
-constexpr Duration LastAnswersTimeout = 500ms;
+constexpr Duration LastResponsesTimeout = 500ms;
 
 } // namespace
 
@@ -49,7 +49,7 @@
     for (const auto& [dispatch, exchange] : dispatches_) {
         const bool isAffected = std::ranges::find(targetIncarnations, exchange->target) != targetIncarnations.end();
         if (isAffected && exchange->phase == Exchange::Phase::AwaitingHead)
-            scheduleStallCheck(*exchange, std::min(exchange->stallCheckAt, now + LastAnswersTimeout));
+            scheduleStallCheck(*exchange, std::min(exchange->stallCheckAt, now + LastResponsesTimeout));
     }
 }
 
--- a/src/gateway/internal/requestanswers.cpp
+++ b/src/gateway/internal/requestresponses.cpp
@@ -8,14 +8,14 @@
 
 #include <utility>
 
-/// RequestRunner: answers and failures of targets.
+/// RequestRunner: responses and failures of targets.
 namespace saltvane::gateway {
 
 namespace {
 
-/// Answers up to this size are buffered, so that the request can be retried if the answer breaks off. For larger ones,
-/// receiving and sending one after the other would use the gateway's link twice in sequence.
-constexpr uint64_t MaxBufferedAnswerBytes = 16 * 1024;
+/// Responses up to this size are buffered, so that the request can be retried if the response breaks off. For larger
+/// ones, receiving and sending one after the other would use the gateway's link twice in sequence.
+constexpr uint64_t MaxBufferedResponseBytes = 16 * 1024;
 
 constexpr int StatusMisdirected = 421;
 
@@ -30,21 +30,21 @@
     const std::string_view id = requests::firstFieldValue(head.headers, options_.headers.requestId);
     const bool isNotRun = !requests::firstFieldValue(head.headers, options_.headers.notRun).empty();
     const bool isRefusal = isNotRun || head.status == StatusMisdirected;
-    // An extra answer to an earlier request carries another id. Only refusals may come without an id.
-    const bool isOwnAnswer = id == exchange.id.value() || (id.empty() && isRefusal);
-    if (!isOwnAnswer) {
+    // An extra response to an earlier request carries another id. Only refusals may come without an id.
+    const bool isOwnResponse = id == exchange.id.value() || (id.empty() && isRefusal);
+    if (!isOwnResponse) {
         actions_.emplace_back(requests::TargetCancel {.dispatch = exchange.dispatch});
         exchange.mayHaveRun = true;
         exchange.lastFailure = "answer of another request";
         return retryElsewhere(exchange, model::Reason::TargetFailed, now);
     }
-    // An answer of another target says nothing about the selected one.
+    // A response of another target says nothing about the selected one.
     if (head.status != StatusMisdirected)
-        options_.backpressure.onAnswer({.target = exchange.target,
-                                           .status = head.status,
-                                           .headers = head.headers,
-                                           .isNotRun = isNotRun,
-                                           .sentAt = exchange.sentAt},
+        options_.backpressure.onResponse({.target = exchange.target,
+                                             .status = head.status,
+                                             .headers = head.headers,
+                                             .isNotRun = isNotRun,
+                                             .sentAt = exchange.sentAt},
             now);
     if (isRefusal)
         return onRefusedByTarget(exchange, head.status, now);
@@ -52,7 +52,7 @@
     exchange.timeToHead = now - exchange.sentAt;
     options_.latencies.add(exchange.route.kind, Stage::Target, exchange.timeToHead);
     if (target != nullptr)
-        options_.placement.recordAnswer(*target,
+        options_.placement.recordResponse(*target,
             {.route = exchange.route.name,
                 .object = exchange.object,
                 .duration = now - exchange.sentAt,
@@ -60,23 +60,23 @@
                 .choice = exchange.choice},
             now);
     stallChecks_.erase({exchange.stallCheckAt, exchange.handle});
-    exchange.phase = Exchange::Phase::ReceivingAnswer;
-    exchange.answer = {.handle = exchange.handle,
+    exchange.phase = Exchange::Phase::ReceivingResponse;
+    exchange.response = {.handle = exchange.handle,
         .status = head.status,
         .headers = requests::endToEndHeaders(head.headers),
         .bodyLength = head.bodyLength,
         .isLast = false};
-    if (head.bodyLength.value_or(0) > MaxBufferedAnswerBytes)
+    if (head.bodyLength.value_or(0) > MaxBufferedResponseBytes)
         startStreaming(exchange);
 }
 
 void RequestRunner::startStreaming(Exchange& exchange)
 {
     exchange.phase = Exchange::Phase::Streaming;
-    exchange.isAnswerStarted = true;
-    exchange.answer.isLast = false;
-    respond(std::move(exchange.answer));
-    exchange.answer = {};
+    exchange.isResponseStarted = true;
+    exchange.response.isLast = false;
+    respond(std::move(exchange.response));
+    exchange.response = {};
 }
 
 void RequestRunner::onRefusedByTarget(Exchange& exchange, int status, Timestamp now)
@@ -94,14 +94,14 @@
 
 void RequestRunner::accept(requests::TargetResponseBody& body, Exchange& exchange, Timestamp /*now*/)
 {
-    exchange.answerBytes += body.bytes.size();
+    exchange.responseBytes += body.bytes.size();
     if (exchange.phase == Exchange::Phase::Streaming) {
         actions_.emplace_back(requests::HttpResponseBody {.handle = exchange.handle, .bytes = std::move(body.bytes)});
         return;
     }
     actions_.emplace_back(requests::TargetResponseWindow {.dispatch = exchange.dispatch, .bytes = body.bytes.size()});
-    exchange.answer.bytes += body.bytes;
-    if (exchange.answer.bytes.size() > MaxBufferedAnswerBytes)
+    exchange.response.bytes += body.bytes;
+    if (exchange.response.bytes.size() > MaxBufferedResponseBytes)
         startStreaming(exchange);
 }
 
@@ -109,13 +109,13 @@
 {
     releaseTarget(exchange);
     options_.quarantine.onAnswered(exchange.digest, now);
-    const int status = exchange.answer.status;
+    const int status = exchange.response.status;
     if (exchange.phase == Exchange::Phase::Streaming) {
         actions_.emplace_back(requests::HttpResponseBody {.handle = exchange.handle, .isLast = true});
     } else {
-        exchange.answer.bodyLength = exchange.answer.bytes.size();
-        exchange.answer.isLast = true;
-        respond(std::move(exchange.answer));
+        exchange.response.bodyLength = exchange.response.bytes.size();
+        exchange.response.isLast = true;
+        respond(std::move(exchange.response));
     }
     options_.counters.add(model::Counter::RequestsAnswered);
     options_.latencies.add(exchange.route.kind, Stage::Total, now - exchange.startedAt);
@@ -131,7 +131,7 @@
     exchange.lastFailure = std::move(failed.message);
     exchange.isLastTargetGone = failed.isRefused;
     onTargetLost(failed, exchange, now);
-    if (exchange.isAnswerStarted) {
+    if (exchange.isResponseStarted) {
         abort(exchange);
         options_.counters.add(model::Counter::BrokenBodies);
         releaseTarget(exchange);
--- a/src/gateway/internal/requestrunner.cpp
+++ b/src/gateway/internal/requestrunner.cpp
@@ -13,8 +13,8 @@
 
 namespace {
 
-/// A target is checked when its answer takes longer than this multiple of the slowest recent answer, and longer than
-/// the objective.
+/// A target is checked when its response takes longer than this multiple of the slowest recent response, and longer
+/// than the objective.
 constexpr double StallFactor = 1.3;
 /// A retry with less time left is of no use.
 constexpr Duration MinTimeToRetry = 30ms;
@@ -68,7 +68,7 @@
 
 void RequestRunner::accept(const requests::HttpRequestAborted& aborted, Timestamp now)
 {
-    pendingAnswers_.erase(aborted.handle);
+    pendingResponses_.erase(aborted.handle);
     Exchange* exchange = find(aborted.handle);
     if (exchange == nullptr)
         return;
@@ -91,7 +91,7 @@
 
 void RequestRunner::accept(const requests::HttpResponseDone& done, Timestamp /*now*/)
 {
-    pendingAnswers_.erase(done.handle);
+    pendingResponses_.erase(done.handle);
 }
 
 std::variant<TargetSelection, PlacementRefusal> RequestRunner::choose(
@@ -105,7 +105,7 @@
                                          .account = exchange.account ? &exchange.account->account : nullptr,
                                          .object = exchange.object,
                                          .elapsed = now - exchange.startedAt,
-                                         .remaining = exchange.deadline - now,
+                                         .left = exchange.deadline - now,
                                          .isRetry = !exchange.attemptedTargets.empty(),
                                          .needsNoCredit = !mayAwaitCredit,
                                          .attemptedTargets = exchange.attemptedTargets},
@@ -214,7 +214,7 @@
 {
     exchange.lastReason = reason;
     releaseTarget(exchange);
-    exchange.answer = {};
+    exchange.response = {};
     if (mayRetryElsewhere(exchange, now)) {
         options_.counters.add(model::Counter::Retries);
         options_.counters.addRetry(reason);
@@ -266,7 +266,7 @@
             onRunAbandoned(*exchange, now);
             actions_.emplace_back(requests::TargetCancel {.dispatch = exchange->dispatch});
         }
-        if (exchange->isAnswerStarted) {
+        if (exchange->isResponseStarted) {
             abort(*exchange);
             finish(*exchange, {.exchange = *exchange, .reason = model::Reason::DeadlineExceeded}, now);
             continue;
--- a/src/gateway/internal/requestrunner.h
+++ b/src/gateway/internal/requestrunner.h
@@ -36,7 +36,7 @@
     int status = 0;
 };
 
-/// Processes callers' requests: body, target selection, dispatch, retries, answer and time limits.
+/// Processes callers' requests: body, target selection, dispatch, retries, response and time limits.
 class RequestRunner {
 public:
     struct Options {
@@ -68,7 +68,7 @@
     /// Whether a newer plan may be in force. Callers treat "no such route" as final, so a request whose route may exist
     /// in the newer plan only is asked to come back instead.
     void setPlanUncertain(bool isUncertain) { isPlanUncertain_ = isUncertain; }
-    /// From now on every answer asks the caller to close its connection.
+    /// From now on every response asks the caller to close its connection.
     void startLeaving() { isLeaving_ = true; }
     /// From now on new requests are refused, so that those in progress can complete before the process stops.
     void startRefusing() { isRefusing_ = true; }
@@ -84,8 +84,8 @@
     void tick(Timestamp now);
     [[nodiscard]] std::vector<requests::Action> takeActions();
     [[nodiscard]] size_t inFlight() const { return exchanges_.size(); }
-    /// Answers that were not delivered to their callers completely.
-    [[nodiscard]] size_t pendingAnswers() const { return pendingAnswers_.size(); }
+    /// Responses that were not delivered to their callers completely.
+    [[nodiscard]] size_t pendingResponses() const { return pendingResponses_.size(); }
 
 private:
     using Exchanges = std::unordered_map<requests::HttpHandle, std::unique_ptr<Exchange>>;
@@ -123,13 +123,13 @@
     [[nodiscard]] bool mayRetryElsewhere(const Exchange& exchange, Timestamp now);
     /// Releases the current target from the request.
     void releaseTarget(Exchange& exchange);
-    /// The run at the current target, which did not get a complete answer.
+    /// The run at the current target, which did not get a complete response.
     [[nodiscard]] static LostRun lostRunOf(const Exchange& exchange, Timestamp now);
     void onTargetLost(const requests::TargetFailed& failed, Exchange& exchange, Timestamp now);
     /// A run is abandoned. If its target has answered nothing since it was sent, the target may have stopped.
     void onRunAbandoned(const Exchange& exchange, Timestamp now);
     void checkStalled(Exchange& exchange, Timestamp now);
-    /// The target's incarnation has stopped: no answer will arrive any more.
+    /// The target's incarnation has stopped: no response will arrive any more.
     void abandonStopped(Exchange& exchange, Timestamp now);
     void scheduleStallCheck(Exchange& exchange, Timestamp at);
     void onRefusedByTarget(Exchange& exchange, int status, Timestamp now);
@@ -149,7 +149,7 @@
     /// memory at what its callers use.
     void respondWithError(requests::HttpHandle handle, int status, model::Reason reason, Duration retryAfter,
         bool isConnectionClosed = false);
-    void respond(requests::HttpRespond answer, bool isConnectionClosed = false);
+    void respond(requests::HttpRespond response, bool isConnectionClosed = false);
     void abort(const Exchange& exchange);
     void finish(Exchange& exchange, Decision decision, Timestamp now);
     /// Returns a credit of the account's limit that the request has not used.
@@ -164,7 +164,7 @@
     std::unordered_map<requests::DispatchId, Exchange*> dispatches_;
     std::set<std::pair<Timestamp, requests::HttpHandle>> deadlines_;
     std::set<std::pair<Timestamp, requests::HttpHandle>> stallChecks_;
-    std::unordered_set<requests::HttpHandle> pendingAnswers_;
+    std::unordered_set<requests::HttpHandle> pendingResponses_;
     uint64_t lastDispatch_ = 0;
     bool isPlanUncertain_ = false;
     bool isLeaving_ = false;
--- a/src/gateway/internal/targetbackpressure.h
+++ b/src/gateway/internal/targetbackpressure.h
@@ -15,10 +15,10 @@
 
 namespace saltvane::gateway {
 
-/// Back-pressure that one incarnation of a target signalled in its answers.
+/// Back-pressure that one incarnation of a target signalled in its responses.
 struct TargetBackpressure {
     std::optional<double> limit; ///< Requests per second, of all gateways together.
-    Timestamp limitUpdatedAt {}; ///< When an answer last stated a limit or that there is none.
+    Timestamp limitUpdatedAt {}; ///< When a response last stated a limit or that there is none.
     Timestamp reportedAt {}; ///< When the limit was last reported to the registry.
     Timestamp noCreditUntil {}; ///< No credit can be expected before.
 
@@ -29,7 +29,7 @@
     [[nodiscard]] Timestamp unavailableUntil() const { return std::max(noCreditUntil, backoffUntil); }
 };
 
-/// A limit stated in the head of an answer.
+/// A limit stated in the head of a response.
 struct StatedLimit {
     bool isStated = false;
     std::optional<double> perSecond; ///< None if the value can't be parsed.
@@ -41,7 +41,7 @@
     std::optional<Duration> duration; ///< None if the value can't be parsed.
 };
 
-/// Longer backoffs are cut to this; the next answer after it tells whether the target still wants no requests.
+/// Longer backoffs are cut to this; the next response after it tells whether the target still wants no requests.
 inline constexpr Duration MaxBackoff = std::chrono::hours(1);
 
 /// Reads `Retry-After` (RFC 9110, 10.2.3) in seconds, including fractions. The longest of several fields is used.
--- a/src/gateway/internal/targetprober.h
+++ b/src/gateway/internal/targetprober.h
@@ -50,7 +50,7 @@
     [[nodiscard]] std::vector<requests::Action> takeActions();
 
 private:
-    /// Two round trips between the most distant regions, plus the answer time of a slow target.
+    /// Two round trips between the most distant regions, plus the response time of a slow target.
     static constexpr Duration Timeout = 500ms;
     static constexpr size_t MaxConcurrentProbes = 64;
 
--- a/src/gateway/internal/targetset.h
+++ b/src/gateway/internal/targetset.h
@@ -54,7 +54,7 @@
     /// reachable; recounts the capacity of some targets.
     void tick(Timestamp now);
     /// Incarnations that were replaced since the last call, by a later one under their id or another target at their
-    /// address: requests sent to them get no more answers, apart from those sent before.
+    /// address: requests sent to them get no more responses, apart from those sent before.
     [[nodiscard]] std::vector<model::TargetIncarnation> takeReplaced();
 
     /// Returns null if the id belongs to another incarnation by now.
--- a/src/gateway/internal/warmobjects.cpp
+++ b/src/gateway/internal/warmobjects.cpp
@@ -17,7 +17,7 @@
 
 } // namespace
 
-void WarmObjects::recordAnswer(uint64_t object, uint64_t target, Timestamp now)
+void WarmObjects::recordResponse(uint64_t object, uint64_t target, Timestamp now)
 {
     if (objects_.size() >= MaxObjects && !objects_.contains(object))
         objects_.erase(objects_.begin());
--- a/src/gateway/internal/warmobjects.h
+++ b/src/gateway/internal/warmobjects.h
@@ -16,7 +16,7 @@
 /// Which targets recently answered for which objects, according to this gateway's own requests. Bounded in size.
 class WarmObjects {
 public:
-    void recordAnswer(uint64_t object, uint64_t target, Timestamp now);
+    void recordResponse(uint64_t object, uint64_t target, Timestamp now);
     [[nodiscard]] bool isWarm(uint64_t object, uint64_t target, Timestamp now) const;
     /// The target lost its warm objects.
     void forgetTarget(uint64_t target);
--- a/src/gateway/tests/backofftests.cpp
+++ b/src/gateway/tests/backofftests.cpp
@@ -42,8 +42,8 @@
     EXPECT_EQ(std::ranges::count(lines, "event=target_leaving target=t-1 service=quotes told_by=target"), 1);
 }
 
-/// An answer with a Retry-After: its status, whether it states that the request was not run, and whether the backoff is
-/// applied.
+/// A response with a Retry-After: its status, whether it states that the request was not run, and whether the backoff
+/// is applied.
 struct BackoffCase {
     int status = 503;
     bool isNotRun = true;
@@ -140,7 +140,7 @@
     EXPECT_EQ(takeStarts().size(), 1U);
 }
 
-TEST_F(BackpressureTest, LeavingCountsInRefusalsAndProbeAnswers)
+TEST_F(BackpressureTest, LeavingCountsInRefusalsAndProbeResponses)
 {
     installPlan(1);
     reportTargets({target("t-1"), target("t-2")});
--- a/src/gateway/tests/backpressuretests.cpp
+++ b/src/gateway/tests/backpressuretests.cpp
@@ -58,7 +58,7 @@
     EXPECT_TRUE(isLogged("event=target_limit target=t-1 service=quotes per_second=none"));
 }
 
-TEST_F(BackpressureTest, AnswerToEarlierRequestDoesNotClearLimit)
+TEST_F(BackpressureTest, ResponseToEarlierRequestDoesNotClearLimit)
 {
     installPlan(1);
     reportTargets({target("t-1")});
--- a/src/gateway/tests/gatewayfixture.cpp
+++ b/src/gateway/tests/gatewayfixture.cpp
@@ -180,12 +180,12 @@
     this->handle(requests::HttpEvent(requests::HttpRequestAborted {.handle = handle}));
 }
 
-void GatewayFixture::deliverAnswer(requests::HttpHandle handle)
+void GatewayFixture::deliverResponse(requests::HttpHandle handle)
 {
     this->handle(requests::HttpEvent(requests::HttpResponseDone {.handle = handle}));
 }
 
-void GatewayFixture::answer(const requests::TargetStart& start, const TargetAnswer& from)
+void GatewayFixture::answer(const requests::TargetStart& start, const TargetResponse& from)
 {
     std::vector<model::Header> headers {{.name = "Saltvane-Request-Id", .value = from.id}};
     headers.insert(headers.end(), from.extraHeaders.begin(), from.extraHeaders.end());
--- a/src/gateway/tests/gatewayfixture.h
+++ b/src/gateway/tests/gatewayfixture.h
@@ -49,15 +49,15 @@
     };
     requests::HttpHandle request(const CallerRequest& caller);
     void abort(requests::HttpHandle handle);
-    /// The caller has received the whole answer.
-    void deliverAnswer(requests::HttpHandle handle);
-    struct TargetAnswer {
+    /// The caller has received the whole response.
+    void deliverResponse(requests::HttpHandle handle);
+    struct TargetResponse {
         int status = 200;
         std::string id = "try-1";
         std::string body = "answer";
         std::vector<model::Header> extraHeaders;
     };
-    void answer(const requests::TargetStart& start, const TargetAnswer& from);
+    void answer(const requests::TargetStart& start, const TargetResponse& from);
     void fail(const requests::TargetStart& start, bool mayHaveReachedTarget);
     /// The connection is lost because the target stopped; `isKnown`: a new connection was refused at once.
     void stopTarget(const requests::TargetStart& start, bool isKnown);
--- a/src/gateway/tests/incarnationtests.cpp
+++ b/src/gateway/tests/incarnationtests.cpp
@@ -88,7 +88,7 @@
     ASSERT_EQ(takeStarts().size(), 2U);
     reportTargets({recordOf("t-1", 2000), recordOf("t-2", 1000)});
     advance(300ms);
-    EXPECT_TRUE(takeStarts().empty()); // Answers that were sent before may still arrive.
+    EXPECT_TRUE(takeStarts().empty()); // Responses that were sent before may still arrive.
     advance(300ms);
     const auto later = takeStarts();
     ASSERT_EQ(later.size(), 1U);
@@ -99,7 +99,7 @@
     EXPECT_EQ(ended->status, 502); // It may have been run.
 }
 
-TEST_F(IncarnationTest, AnswerOfPreviousIncarnationIsDelivered)
+TEST_F(IncarnationTest, ResponseOfPreviousIncarnationIsDelivered)
 {
     installPlan(1);
     reportTargets({recordOf("t-1", 1000)});
--- a/src/gateway/tests/linkbudgettests.cpp
+++ b/src/gateway/tests/linkbudgettests.cpp
@@ -23,9 +23,9 @@
     EXPECT_TRUE(link.canCarry(largeRoute()));
 }
 
-// Guards against large answers filling the link: answers of 90 kB filled links of 4 Mbit/s, and 19,000 of 79,000
+// Guards against large responses filling the link: responses of 90 kB filled links of 4 Mbit/s, and 19,000 of 79,000
 // requests reached their target later than half of their objective.
-TEST(LinkBudgetTest, LargeAnswersUseAtMostAFractionOfTheObjective)
+TEST(LinkBudgetTest, LargeResponsesUseAtMostAFractionOfTheObjective)
 {
     LinkBudget link(4); // 500 kB per second: 90 kB take 0.18 s.
     for (int i = 0; i < 200; ++i) {
@@ -40,7 +40,7 @@
     EXPECT_TRUE(link.canCarry(largeRoute()));
 }
 
-TEST(LinkBudgetTest, OneLargeAnswerIsAlwaysAccepted)
+TEST(LinkBudgetTest, OneLargeResponseIsAlwaysAccepted)
 {
     LinkBudget link(0.1);
     EXPECT_TRUE(link.canCarry(largeRoute()));
--- a/src/gateway/tests/placementtests.cpp
+++ b/src/gateway/tests/placementtests.cpp
@@ -76,8 +76,8 @@
     EXPECT_LE(kept, 130);
 }
 
-// Guards against targets being considered slow because answers waited for slots in an overload: they got fewer requests
-// than they can take afterwards.
+// Guards against targets being considered slow because responses waited for slots in an overload: they got fewer
+// requests than they can take afterwards.
 TEST_F(PlacementTest, QueueingDelayDoesNotCountAsSlowTarget)
 {
     installPlan(1);
@@ -103,8 +103,8 @@
     EXPECT_GE(burst().size(), first.size());
 }
 
-// Guards against routes that get no requests after a period of answers that took nearly all of the callers' time: with
-// 78 idle targets, one of 57 requests for a new route was sent, because the service's expected time exceeded their
+// Guards against routes that get no requests after a period of responses that took nearly all of the callers' time:
+// with 78 idle targets, one of 57 requests for a new route was sent, because the service's expected time exceeded their
 // deadline and no request was sent that could have corrected it.
 TEST_F(PlacementTest, TrialRequestsCorrectOutdatedProcessingTimes)
 {
--- a/src/gateway/tests/processingtimestests.cpp
+++ b/src/gateway/tests/processingtimestests.cpp
@@ -45,7 +45,7 @@
 }
 
 // Guards against fixed initial times: when a service with cold objects started that takes twice as long as another,
-// each target was checked as stalled before its first answer could arrive, and queues were estimated at half their
+// each target was checked as stalled before its first response could arrive, and queues were estimated at half their
 // length.
 TEST(ProcessingTimesTest, InitialTimesScaleWithObjective)
 {
@@ -62,7 +62,7 @@
     EXPECT_LT(times.ofService(Wallet).first, 100ms);
 }
 
-TEST(ProcessingTimesTest, AnswersThatQueuedDoNotCount)
+TEST(ProcessingTimesTest, ResponsesThatQueuedDoNotCount)
 {
     ProcessingTimes times;
     learn(times, Reads, 180ms, 200);
--- a/src/gateway/tests/requesttests.cpp
+++ b/src/gateway/tests/requesttests.cpp
@@ -25,7 +25,7 @@
     EXPECT_GE(std::stod(header(response->headers, "Retry-After")), 0.3);
 }
 
-TEST_F(RequestTest, RefusalClosesConnectionButAnswerDoesNot)
+TEST_F(RequestTest, RefusalClosesConnectionButResponseDoesNot)
 {
     installPlan(1);
     request({});
@@ -39,7 +39,7 @@
     EXPECT_TRUE(header(takeResponse()->headers, "Connection").empty());
 }
 
-TEST_F(RequestTest, AnswerIsForwardedUnchanged)
+TEST_F(RequestTest, ResponseIsForwardedUnchanged)
 {
     installPlan(1);
     reportTargets({target("t-1")});
@@ -155,7 +155,7 @@
     EXPECT_EQ(takeResponse()->status, 200);
 }
 
-TEST_F(RequestTest, AnswerOfAnotherRequestIsNotForwarded)
+TEST_F(RequestTest, ResponseOfAnotherRequestIsNotForwarded)
 {
     installPlan(1);
     reportTargets({target("t-1")});
@@ -253,14 +253,14 @@
     ASSERT_TRUE(refused);
     EXPECT_EQ(refused->status, 503);
     EXPECT_EQ(header(refused->headers, "Connection"), "close");
-    deliverAnswer({1});
-    deliverAnswer({2});
+    deliverResponse({1});
+    deliverResponse({2});
     advance(200ms);
     EXPECT_TRUE(takeStopFinished());
 }
 
-// Guards against the process stopping while a large answer is still being sent to the caller.
-TEST_F(RequestTest, StopWaitsForPendingAnswers)
+// Guards against the process stopping while a large response is still being sent to the caller.
+TEST_F(RequestTest, StopWaitsForPendingResponses)
 {
     installPlan(1);
     reportTargets({target("t-1")});
@@ -269,7 +269,7 @@
     answer(takeStarts().at(0), {});
     advance(4s);
     EXPECT_FALSE(takeStopFinished());
-    deliverAnswer(handle);
+    deliverResponse(handle);
     advance(200ms);
     EXPECT_TRUE(takeStopFinished());
 }
--- a/src/gateway/tests/retryallowancetests.cpp
+++ b/src/gateway/tests/retryallowancetests.cpp
@@ -30,9 +30,9 @@
 
 } // namespace
 
-// Guards against too few retries while targets fail: when answers of ten of sixteen targets are lost for four seconds,
-// repeatable requests are retried elsewhere. With half of the ratio, earned by answers only, 225 of 912 retryable
-// requests ended as unknown.
+// Guards against too few retries while targets fail: when responses of ten of sixteen targets are lost for four
+// seconds, repeatable requests are retried elsewhere. With half of the ratio, earned by responses only, 225 of 912
+// retryable requests ended as unknown.
 TEST(RetryAllowanceTest, MostOfRatioIsAvailableWhileTargetsFail)
 {
     RetryAllowance allowance(Limit);
--- a/src/gateway/tests/targettests.cpp
+++ b/src/gateway/tests/targettests.cpp
@@ -127,7 +127,7 @@
     EXPECT_EQ(takeStarts().size(), 1U);
 }
 
-TEST_F(TargetTest, LargeAnswersStayInZone)
+TEST_F(TargetTest, LargeResponsesStayInZone)
 {
     installPlan(1);
     reportTargets({target("near", "files", "north-a"), target("b-1", "files", "north-b"),
