--- a/src/gateway/internal/backpressuremonitor.cpp
+++ b/src/gateway/internal/backpressuremonitor.cpp
@@ -119,7 +119,7 @@
         .age = now - target->backpressure.limitUpdatedAt});
 }
 
-model::BackpressureReport BackpressureMonitor::takeReports(Timestamp now)
+model::BackpressureReport BackpressureMonitor::drainReports(Timestamp now)
 {
     model::BackpressureReport report;
     if (pendingReports_.empty() || !reportBudget_.trySpend(now))
--- a/src/gateway/internal/backpressuremonitor.h
+++ b/src/gateway/internal/backpressuremonitor.h
@@ -43,14 +43,14 @@
     void reportAgain(const model::TargetIncarnation& target) { pendingReports_.insert(target); }
 
     /// Changes to report to the registry; a bounded number per call, the rest later.
-    [[nodiscard]] model::BackpressureReport takeReports(Timestamp now);
+    [[nodiscard]] model::BackpressureReport drainReports(Timestamp now);
     /// All known limits, for a registry host that may have lost them.
     [[nodiscard]] model::BackpressureReport knownLimits(Timestamp now);
 
     /// Targets that announced since the last call that they are leaving.
-    [[nodiscard]] std::vector<model::TargetIncarnation> takeLeaving() { return std::exchange(leaving_, {}); }
+    [[nodiscard]] std::vector<model::TargetIncarnation> drainLeaving() { return std::exchange(leaving_, {}); }
 
-    [[nodiscard]] std::vector<host::LogLine> takeLogLines() { return std::exchange(logLines_, {}); }
+    [[nodiscard]] std::vector<host::LogLine> drainLogLines() { return std::exchange(logLines_, {}); }
 
 private:
     static constexpr double MaxLogLinesPerSecond = 5;
--- a/src/gateway/internal/decisionlog.cpp
+++ b/src/gateway/internal/decisionlog.cpp
@@ -68,7 +68,7 @@
         .text = line.text()});
 }
 
-std::vector<host::LogLine> DecisionLog::takeLogLines(Timestamp now)
+std::vector<host::LogLine> DecisionLog::drainLogLines(Timestamp now)
 {
     if (suppressed_ > 0 && now - suppressedCountLoggedAt_ >= SuppressedCountInterval) {
         suppressedCountLoggedAt_ = now;
--- a/src/gateway/internal/decisionlog.h
+++ b/src/gateway/internal/decisionlog.h
@@ -24,7 +24,7 @@
     };
     void logDecision(const Decision& decision, const Ages& ages, Timestamp now);
     /// Lines logged since the last call.
-    [[nodiscard]] std::vector<host::LogLine> takeLogLines(Timestamp now);
+    [[nodiscard]] std::vector<host::LogLine> drainLogLines(Timestamp now);
 
 private:
     static constexpr double MaxLogLinesPerSecond = 20;
--- a/src/gateway/internal/gatewaycore.cpp
+++ b/src/gateway/internal/gatewaycore.cpp
@@ -207,7 +207,7 @@
 {
     const size_t before = targets_.size();
     targets_.note(report, now);
-    runner_.onTargetsReplaced(targets_.takeReplaced(), now);
+    runner_.onTargetsReplaced(targets_.drainReplaced(), now);
     // Updates the split immediately: a request before the next tick would be sent to a target that does not keep the
     // object.
     if (targets_.size() != before)
@@ -274,7 +274,7 @@
     if (now < nextLoadsAt_)
         return;
     nextLoadsAt_ = now + LoadInterval;
-    model::TargetLoads loads = targets_.takeOwnLoads();
+    model::TargetLoads loads = targets_.collectOwnLoads();
     const bool isChanged = !loads.targets.empty() || haveLoadsBeenSent_;
     haveLoadsBeenSent_ = !loads.targets.empty();
     if (!isChanged)
@@ -288,7 +288,7 @@
 
 void GatewayCore::sendSuspects(Timestamp now)
 {
-    const model::SuspectReport report {.requests = quarantine_.takeReports(now)};
+    const model::SuspectReport report {.requests = quarantine_.drainReports(now)};
     if (report.requests.empty())
         return;
     for (const HostId& host : roster_->controlHosts())
@@ -297,10 +297,10 @@
 
 void GatewayCore::sendBackpressure(Timestamp now)
 {
-    const model::TargetReport leaving {.retired = backpressure_.takeLeaving()};
+    const model::TargetReport leaving {.retired = backpressure_.drainLeaving()};
     if (!leaving.retired.empty())
         sendToRegionRegistries(leaving);
-    const model::BackpressureReport report = backpressure_.takeReports(now);
+    const model::BackpressureReport report = backpressure_.drainReports(now);
     if (!report.notices.empty())
         sendToRegionRegistries(report);
 }
@@ -350,11 +350,11 @@
     for (requests::Action& action : quarantine_.takeActions())
         actions_.emplace_back(std::move(action));
     sendSuspects(now);
-    for (host::LogLine& line : decisions_.takeLogLines(now))
+    for (host::LogLine& line : decisions_.drainLogLines(now))
         actions_.emplace_back(std::move(line));
-    for (host::LogLine& line : quarantine_.takeLogLines())
+    for (host::LogLine& line : quarantine_.drainLogLines())
         actions_.emplace_back(std::move(line));
-    for (host::LogLine& line : backpressure_.takeLogLines())
+    for (host::LogLine& line : backpressure_.drainLogLines())
         actions_.emplace_back(std::move(line));
 }
 
--- a/src/gateway/internal/limitcredits.h
+++ b/src/gateway/internal/limitcredits.h
@@ -46,7 +46,7 @@
     /// Sends requests that timed out to another host.
     void tick(Timestamp now);
 
-    [[nodiscard]] std::vector<CreditResult> takeResults() { return std::exchange(results_, {}); }
+    [[nodiscard]] std::vector<CreditResult> drainResults() { return std::exchange(results_, {}); }
     [[nodiscard]] std::vector<model::Outgoing> takeOutgoing();
 
 private:
--- a/src/gateway/internal/lostruntracker.cpp
+++ b/src/gateway/internal/lostruntracker.cpp
@@ -17,7 +17,7 @@
     expiryOrder_.emplace_back(run.lostAt, run.target);
 }
 
-std::vector<LostRun> LostRunTracker::takeLostAt(const model::TargetIncarnation& target)
+std::vector<LostRun> LostRunTracker::removeLostAt(const model::TargetIncarnation& target)
 {
     const auto found = byTarget_.find(target);
     if (found == byTarget_.end())
--- a/src/gateway/internal/lostruntracker.h
+++ b/src/gateway/internal/lostruntracker.h
@@ -29,7 +29,7 @@
 public:
     void record(const LostRun& run);
     /// Removes and returns the runs at a target that has stopped.
-    [[nodiscard]] std::vector<LostRun> takeLostAt(const model::TargetIncarnation& target);
+    [[nodiscard]] std::vector<LostRun> removeLostAt(const model::TargetIncarnation& target);
     /// The target answered, so it has not stopped.
     void forget(const model::TargetIncarnation& target) { byTarget_.erase(target); }
     void expire(Timestamp now);
--- a/src/gateway/internal/quarantine.cpp
+++ b/src/gateway/internal/quarantine.cpp
@@ -88,7 +88,7 @@
 
 void Quarantine::onTargetStopped(const model::TargetIncarnation& target, Timestamp now)
 {
-    for (const LostRun& run : lostRuns_.takeLostAt(target))
+    for (const LostRun& run : lostRuns_.removeLostAt(target))
         recordLoss(run, now);
 }
 
@@ -168,7 +168,7 @@
     table_.expire(now);
 }
 
-std::vector<model::SuspectRequest> Quarantine::takeReports(Timestamp now)
+std::vector<model::SuspectRequest> Quarantine::drainReports(Timestamp now)
 {
     if (outbox_.isEmpty())
         return {};
--- a/src/gateway/internal/quarantine.h
+++ b/src/gateway/internal/quarantine.h
@@ -67,11 +67,11 @@
     void tick(Timestamp now);
 
     /// Changes to report to all registry hosts.
-    [[nodiscard]] std::vector<model::SuspectRequest> takeReports(Timestamp now);
+    [[nodiscard]] std::vector<model::SuspectRequest> drainReports(Timestamp now);
     /// All blamed requests, for a registry host that may have lost them.
     [[nodiscard]] std::vector<model::SuspectRequest> blamedRequests(Timestamp now) const { return table_.blamed(now); }
     [[nodiscard]] std::vector<requests::Action> takeActions() { return prober_.takeActions(); }
-    [[nodiscard]] std::vector<host::LogLine> takeLogLines() { return std::exchange(logLines_, {}); }
+    [[nodiscard]] std::vector<host::LogLine> drainLogLines() { return std::exchange(logLines_, {}); }
 
 private:
     /// When a third of 1,356 targets stop within one second, this many requests lose their targets at one gateway in a
--- a/src/gateway/internal/requestcredits.cpp
+++ b/src/gateway/internal/requestcredits.cpp
@@ -48,7 +48,7 @@
 
 void RequestRunner::onCreditResults(Timestamp now)
 {
-    for (const LimitCredits::CreditResult& result : options_.credits.takeResults()) {
+    for (const LimitCredits::CreditResult& result : options_.credits.drainResults()) {
         Exchange* exchange = find(result.handle);
         if (exchange == nullptr)
             continue;
--- a/src/gateway/internal/targetset.cpp
+++ b/src/gateway/internal/targetset.cpp
@@ -245,7 +245,7 @@
     }
 }
 
-model::TargetLoads TargetSet::takeOwnLoads()
+model::TargetLoads TargetSet::collectOwnLoads()
 {
     for (GatewayTarget& target : published_)
         target.publishedInFlight = 0;
@@ -323,7 +323,7 @@
         remove(*target);
 }
 
-std::vector<model::TargetIncarnation> TargetSet::takeReplaced() { return std::exchange(replaced_, {}); }
+std::vector<model::TargetIncarnation> TargetSet::drainReplaced() { return std::exchange(replaced_, {}); }
 
 GatewayTarget* TargetSet::findById(const TargetId& target) const
 {
--- a/src/gateway/internal/targetset.h
+++ b/src/gateway/internal/targetset.h
@@ -44,7 +44,7 @@
     void note(const model::TargetReport& report, Timestamp now);
     void noteLoads(const model::TargetLoads& loads, Timestamp now);
     /// Loads of this gateway's own requests, to be reported to the registry.
-    [[nodiscard]] model::TargetLoads takeOwnLoads();
+    [[nodiscard]] model::TargetLoads collectOwnLoads();
     /// The target announced that it is leaving: this incarnation gets no new requests any more, whatever the registry
     /// reports.
     void markLeaving(const model::TargetIncarnation& targetIncarnation);
@@ -55,7 +55,7 @@
     void tick(Timestamp now);
     /// Incarnations that were replaced since the last call, by a later one under their id or another target at their
     /// address: requests sent to them get no more responses, apart from those sent before.
-    [[nodiscard]] std::vector<model::TargetIncarnation> takeReplaced();
+    [[nodiscard]] std::vector<model::TargetIncarnation> drainReplaced();
 
     /// Returns null if the id belongs to another incarnation by now.
     [[nodiscard]] GatewayTarget* find(const model::TargetIncarnation& targetIncarnation) const;
--- a/src/gateway/tests/accounttests.cpp
+++ b/src/gateway/tests/accounttests.cpp
@@ -241,7 +241,7 @@
     for (const requests::TargetStart& start : takeStarts())
         fail(start, true);
     advance(2s);
-    for (const std::vector<std::string>& lines : {takeDecisions(), takeLogLines()}) {
+    for (const std::vector<std::string>& lines : {takeDecisions(), drainLogLines()}) {
         for (const std::string& line : lines) {
             EXPECT_EQ(line.find("key-a1"), std::string::npos) << line;
             EXPECT_EQ(line.find("key-l"), std::string::npos) << line;
--- a/src/gateway/tests/backofftests.cpp
+++ b/src/gateway/tests/backofftests.cpp
@@ -37,7 +37,7 @@
     ASSERT_EQ(starts.size(), 1U);
     answer(starts[0],
         {.status = 503, .extraHeaders = {{"Saltvane-Not-Run", "1"}, {"Retry-After", "3"}, {"Saltvane-Leaving", "1"}}});
-    const std::vector<std::string> lines = takeLogLines();
+    const std::vector<std::string> lines = drainLogLines();
     EXPECT_EQ(std::ranges::count(lines, "event=target_rest target=t-1 service=quotes seconds=3"), 1);
     EXPECT_EQ(std::ranges::count(lines, "event=target_leaving target=t-1 service=quotes told_by=target"), 1);
 }
--- a/src/gateway/tests/backpressurefixture.h
+++ b/src/gateway/tests/backpressurefixture.h
@@ -49,7 +49,7 @@
     }
     [[nodiscard]] bool isLogged(const std::string& text)
     {
-        const std::vector<std::string> lines = takeLogLines();
+        const std::vector<std::string> lines = drainLogLines();
         return std::ranges::any_of(
             lines, [&](const std::string& line) { return line.find(text) != std::string::npos; });
     }
--- a/src/gateway/tests/decisiontests.cpp
+++ b/src/gateway/tests/decisiontests.cpp
@@ -22,7 +22,7 @@
     }
     std::vector<std::string> linesOf(const std::string& event)
     {
-        std::vector<std::string> lines = takeLogLines();
+        std::vector<std::string> lines = drainLogLines();
         std::erase_if(lines, [&](const std::string& line) { return !line.starts_with("event=" + event + " "); });
         return lines;
     }
--- a/src/gateway/tests/gatewayfixture.cpp
+++ b/src/gateway/tests/gatewayfixture.cpp
@@ -244,7 +244,7 @@
 
 std::vector<std::string> GatewayFixture::takeDecisions() { return std::exchange(decisions_, {}); }
 
-std::vector<std::string> GatewayFixture::takeLogLines() { return std::exchange(lines_, {}); }
+std::vector<std::string> GatewayFixture::drainLogLines() { return std::exchange(lines_, {}); }
 
 bool GatewayFixture::takeStopFinished() { return std::exchange(isStopFinished_, false); }
 
--- a/src/gateway/tests/gatewayfixture.h
+++ b/src/gateway/tests/gatewayfixture.h
@@ -86,7 +86,7 @@
     /// Log lines of request outcomes.
     [[nodiscard]] std::vector<std::string> takeDecisions();
     /// All other log lines.
-    [[nodiscard]] std::vector<std::string> takeLogLines();
+    [[nodiscard]] std::vector<std::string> drainLogLines();
     [[nodiscard]] static std::string header(const std::vector<model::Header>& headers, const std::string& name);
 
     /// Whether the registry answers each pull, without a proof, when the next one arrives.
