--- a/src/requests/exchangetypes.h
+++ b/src/requests/exchangetypes.h
@@ -16,54 +16,55 @@
 #include <variant>
 #include <vector>
 
-/// Events and actions at the edges of a request: the caller's HTTP exchange, the target's HTTP exchange.
+/// Events and actions of the HTTP exchanges of a request: one with the caller, one with each target.
 namespace saltvane::requests {
 
-/// One HTTP exchange with a caller, on this host.
+/// Identifies an HTTP exchange with a caller; unique on this host.
 using HttpHandle = Number<struct HttpHandleTag>;
-/// Which of a host's listening addresses an exchange came in at, by the order of its servers.
+/// The listener that accepted the exchange, as an index into the host's HTTP servers.
 [[nodiscard]] inline uint8_t listenerOf(HttpHandle handle)
 {
     constexpr int ListenerShift = 56;
     return static_cast<uint8_t>(handle.value >> ListenerShift);
 }
-/// The number that handles of a listener count up from.
+/// The first handle of a listener; further handles count up from it.
 [[nodiscard]] inline HttpHandle firstHandleOf(uint8_t listener)
 {
     constexpr int ListenerShift = 56;
     return {static_cast<uint64_t>(listener) << ListenerShift};
 }
 
-/// One HTTP exchange with a target, on this host.
+/// Identifies an HTTP exchange with a target; unique on this host.
 using DispatchId = Number<struct DispatchIdTag>;
 
-/// Bytes of a body that may be under way before the receiver passed any on (back pressure).
+/// Bytes of a body that may be sent before the receiver acknowledges any (back-pressure).
 inline constexpr uint64_t InitialBodyWindow = 256 * 1024;
 
-// Events of a caller's exchange. The adapter has checked the framing of RFC 9112 and enforced size limits.
+// Events of a caller's exchange. The HTTP adapter has checked the framing (RFC 9112) and enforced the size limits.
 struct HttpRequestStarted {
     HttpHandle handle;
     std::string method;
-    std::string path; ///< With the query, as sent.
+    std::string path; ///< Request target including the query, as sent.
     std::vector<model::Header> headers;
-    std::optional<uint64_t> bodyLength; ///< 0: none. No value: chunked.
-    std::string remoteAddress; ///< IP only.
+    std::optional<uint64_t> bodyLength; ///< 0: no body. No value: chunked.
+    std::string remoteAddress; ///< IP address without port.
 };
 struct HttpRequestBody {
     HttpHandle handle;
     std::string bytes;
-    bool isLast = false; ///< Sent for each request with a body; alone (empty) where the end came late.
+    /// Set once for each request with a body, on an empty event if the end arrives after the last bytes.
+    bool isLast = false;
 };
-/// The caller went away before the answer was out. No action for the handle may follow.
+/// The caller disconnected before the response was sent completely. No action for the handle may follow.
 struct HttpRequestAborted {
     HttpHandle handle;
 };
-/// So many bytes of the answer's body were handed to the socket.
+/// This number of bytes of the response body was written to the caller's socket.
 struct HttpResponseProgress {
     HttpHandle handle;
     uint64_t bytes = 0;
 };
-/// The answer is out whole; the handle is void.
+/// The response was sent completely; the handle is no longer valid.
 struct HttpResponseDone {
     HttpHandle handle;
 };
@@ -76,7 +77,7 @@
     int status = 200;
     std::vector<model::Header> headers;
     std::optional<uint64_t> bodyLength; ///< No value: chunked.
-    std::string bytes; ///< First part of the body.
+    std::string bytes; ///< First bytes of the body.
     bool isLast = true;
 };
 struct HttpResponseBody {
@@ -84,11 +85,12 @@
     std::string bytes;
     bool isLast = false;
 };
-/// Breaks the exchange so that the caller sees it (connection closed before the body's end).
+/// Closes the connection before the end of the body, so that the caller detects the failure.
 struct HttpAbort {
     HttpHandle handle;
 };
-/// The request's body may go on by so many bytes beyond InitialBodyWindow.
+/// Lets the caller send this number of bytes of the request body beyond what was allowed before; InitialBodyWindow is
+/// allowed from the start.
 struct HttpRequestWindow {
     HttpHandle handle;
     uint64_t bytes = 0;
@@ -105,22 +107,22 @@
     DispatchId dispatch;
     std::string bytes;
 };
-/// The whole answer is in: its length or final chunk was checked. The dispatch is void.
+/// The response was received completely; its length or final chunk was checked. The dispatch is no longer valid.
 struct TargetResponseDone {
     DispatchId dispatch;
 };
-/// So many bytes of the request's body were taken by the target's socket.
+/// This number of bytes of the request body was written to the target's socket.
 struct TargetRequestProgress {
     DispatchId dispatch;
     uint64_t bytes = 0;
 };
-/// The exchange failed; the dispatch is void.
+/// The exchange failed; the dispatch is no longer valid.
 struct TargetFailed {
     DispatchId dispatch;
-    bool mayHaveReachedTarget = true; ///< False only when provably no byte was sent.
+    bool mayHaveReachedTarget = true; ///< False only if it is certain that no byte was sent.
     std::string message;
-    /// Nothing listens at the address: the target is gone. Together with mayHaveReachedTarget: a connection that it had
-    /// open broke, and a new one was refused.
+    /// The target refused the connection: no process listens at the address. With mayHaveReachedTarget: an open
+    /// connection broke and the new connection was refused.
     bool isRefused = false;
 };
 using TargetEvent
@@ -135,13 +137,15 @@
     std::string path;
     std::vector<model::Header> headers;
     std::optional<uint64_t> bodyLength;
-    bool isRepeatable = false; ///< Otherwise the adapter uses a connection that no request used before.
-    /// Over 0: whether repeatable or not, only connections that rested no longer are used again.
+    bool isRepeatable = false; ///< If false, the adapter uses a connection that carried no request before.
+    /// If positive, only connections that have been idle for at most this time are reused, whether the request is
+    /// repeatable or not.
     Duration reuseIdleLimit {};
-    /// No connection of before is used: those at the address may be another target's. It may be used again later.
+    /// Opens a new connection: existing ones may belong to a target that had the address before. The new connection may
+    /// be reused later.
     bool needsNewConnection = false;
-    /// A header of the request that its answer carries back; another value there is the answer of another request, and
-    /// its connection is closed. Empty: not checked.
+    /// Request header that the target echoes in its response. A different value means that the response belongs to
+    /// another request; the connection is then closed. Empty: not checked.
     std::string echoedHeader {};
 };
 struct TargetRequestBody {
@@ -153,18 +157,18 @@
     DispatchId dispatch;
     uint64_t bytes = 0;
 };
-/// Ends the exchange at once; no event for the dispatch follows.
+/// Aborts the exchange; no event for the dispatch follows.
 struct TargetCancel {
     DispatchId dispatch;
 };
 
-/// One line of the access log, once per request and host.
+/// One line of the access log; each host that handles the request writes one.
 struct AccessRecord {
     RequestId request;
     ServiceName service;
     std::string method;
     RegionName clientRegion;
-    ZoneName zone; ///< Of the last choice.
+    ZoneName zone; ///< The zone that was chosen last.
     HostId owner;
     TargetId target;
     uint32_t tries = 0;
--- a/src/requests/ientryrequests.h
+++ b/src/requests/ientryrequests.h
@@ -19,36 +19,37 @@
 
 namespace saltvane::requests {
 
-/// The entry side of requests: accept, claim of the key, choice, forward, stream, settle. Every request ends with
-/// exactly one outcome and gives back each credit exactly once. docs/REQUESTS.md
+/// Request handling on the entry host: accepts a request, claims its key, chooses a zone, forwards it, streams the
+/// response and reports the outcome. Every request gets exactly one outcome and returns each of its credits exactly
+/// once. docs/REQUESTS.md
 class IEntryRequests {
 public:
     virtual ~IEntryRequests() = default;
 
     virtual void install(model::DeploymentPtr deployment, Timestamp now) = 0;
     virtual void handle(HttpEvent event, Timestamp now) = 0;
-    /// Replies of owners and minters, and ForwardRequest with purpose Mint with its body frames.
+    /// Replies of owners and token issuers; ForwardRequest with purpose Mint, and its body frames.
     virtual void handle(const model::Delivery& delivery, Timestamp now) = 0;
-    /// The link to the host broke or it restarted: what was under way there has no other answer.
+    /// The link to the host broke or the host restarted: requests forwarded to it will get no reply.
     virtual void noteHostLost(const HostId& host, Timestamp now) = 0;
-    /// False: new requests are refused with NotReady (no current state).
+    /// If false, new requests are refused with NotReady because the state of the deployment is not current.
     virtual void setReady(bool isReady) = 0;
-    /// The control host to claim caller-made keys at; empty while none is known.
+    /// The control host that caller-made keys are claimed at; empty while it is unknown.
     virtual void setControlLeader(const HostId& leader) = 0;
-    /// Planned stop: new requests are refused with Stopping, requests in flight go on.
+    /// Starts a planned stop: new requests are refused with Stopping, requests in flight continue.
     virtual void startStopping(Timestamp now) = 0;
-    /// Ends what is still in flight; returns how many requests that cut.
+    /// Terminates all requests in flight; returns their number.
     virtual uint32_t cutAll(Timestamp now) = 0;
     [[nodiscard]] virtual uint32_t inFlight() const = 0;
     virtual void tick(Timestamp now) = 0;
     [[nodiscard]] virtual std::vector<Action> takeActions() = 0;
 };
 
-/// Finds hosts for the entry side.
+/// Tells the entry host which hosts are alive.
 class IHostFinder {
 public:
     virtual ~IHostFinder() = default;
-    /// Is this incarnation of the host alive as far as is known?
+    /// True if this incarnation of the host is alive, as far as is known.
     [[nodiscard]] virtual bool isAlive(const HostId& host, Incarnation incarnation) const = 0;
 };
 
@@ -60,12 +61,12 @@
     ITokenMinter* minter = nullptr;
     const IHostFinder* hosts = nullptr;
     model::Counters* counters = nullptr;
-    uint32_t largestAttempts = 3;
-    uint64_t largestStoredAnswer = 64 * 1024; ///< Bytes of an answer kept for resends.
-    uint64_t largestStoredTotal = 64 * 1024 * 1024;
-    uint32_t largestKeys = 200000; ///< Keys remembered; beyond it new ones are refused rather than old ones forgotten.
-    Duration creditWait = 250ms; ///< How long a request may wait for credit before it is refused.
-    uint32_t largestInFlight = 10000;
+    uint32_t maxAttempts = 3;
+    uint64_t maxStoredResponseBytes = 64 * 1024; ///< Size limit of a response that is stored for resends of its key.
+    uint64_t maxStoredTotalBytes = 64 * 1024 * 1024;
+    uint32_t maxKeys = 200000; ///< At the limit, requests with new keys are refused; no key is evicted.
+    Duration maxCreditWait = 250ms; ///< A request that got no credit within this time is refused.
+    uint32_t maxInFlight = 10000;
     uint64_t seed = 1;
 };
 
--- a/src/requests/internal/callerwriter.cpp
+++ b/src/requests/internal/callerwriter.cpp
@@ -13,15 +13,15 @@
 namespace saltvane::requests {
 namespace {
 
-const Ending AnsweredEnding {.outcome = model::Outcome::Answered};
+const Completion AnsweredCompletion {.outcome = model::Outcome::Answered};
 
 void addHeader(std::vector<model::Header>& headers, std::string_view name, std::string value)
 {
     headers.push_back({.name = std::string(name), .value = std::move(value)});
 }
 
-/// The request as sent can't be served; waiting won't help.
-bool isCallersFault(model::Reason reason)
+/// True if the request itself is invalid, so that repeating it unchanged can't succeed.
+bool isCallerError(model::Reason reason)
 {
     switch (reason) {
     case model::Reason::BadRequest:
@@ -41,28 +41,28 @@
     return std::to_string(std::max<int64_t>(seconds, 1));
 }
 
-std::string refusalBody(const Exchange& exchange, const Ending& ending)
+std::string refusalBody(const Exchange& exchange, const Completion& completion)
 {
     nlohmann::json body {
-        {"outcome", toString(ending.outcome)},
-        {"reason", toString(ending.reason)},
+        {"outcome", toString(completion.outcome)},
+        {"reason", toString(completion.reason)},
         {"request", exchange.request.value()},
     };
-    if (!ending.field.empty())
-        body["field"] = ending.field;
+    if (!completion.field.empty())
+        body["field"] = completion.field;
     return body.dump() + "\n";
 }
 
-std::vector<model::Header> refusalHeaders(const Exchange& exchange, const Ending& ending)
+std::vector<model::Header> refusalHeaders(const Exchange& exchange, const Completion& completion)
 {
     std::vector<model::Header> headers;
     addHeader(headers, "Content-Type", "application/json");
-    addHeader(headers, OutcomeHeader, std::string(toString(ending.outcome)));
-    addHeader(headers, ReasonHeader, std::string(toString(ending.reason)));
+    addHeader(headers, OutcomeHeader, std::string(toString(completion.outcome)));
+    addHeader(headers, ReasonHeader, std::string(toString(completion.reason)));
     addHeader(headers, RequestIdHeader, exchange.request.value());
-    const bool isRefusal = ending.outcome == model::Outcome::NotRun && !isCallersFault(ending.reason);
-    if (isRefusal || ending.retryAfter > Duration::zero())
-        addHeader(headers, RetryAfterHeader, retryAfterText(ending.retryAfter));
+    const bool isRefusal = completion.outcome == model::Outcome::NotRun && !isCallerError(completion.reason);
+    if (isRefusal || completion.retryAfter > Duration::zero())
+        addHeader(headers, RetryAfterHeader, retryAfterText(completion.retryAfter));
     return headers;
 }
 
@@ -73,35 +73,35 @@
     return headers;
 }
 
-bool isBodyless(const Exchange& exchange, const AnswerHead& head)
+bool isBodyless(const Exchange& exchange, const ResponseHead& head)
 {
     return exchange.method == "HEAD" || head.status == 204 || head.status == 304;
 }
 
 } // namespace
 
-void CallerWriter::writeRefusal(Exchange& exchange, const Ending& ending)
+void CallerWriter::writeRefusal(Exchange& exchange, const Completion& completion)
 {
-    exchange.status = httpStatus(ending.outcome, ending.reason);
-    if (const auto* link = std::get_if<LinkOrigin>(&exchange.origin))
-        return sendEnd(exchange, *link, ending);
+    exchange.status = httpStatus(completion.outcome, completion.reason);
+    if (const auto* forwarded = std::get_if<ForwardedOrigin>(&exchange.origin))
+        return sendEnd(exchange, *forwarded, completion);
     const auto* http = std::get_if<HttpOrigin>(&exchange.origin);
     if (!http)
         return;
-    std::string body = exchange.method == "HEAD" ? std::string() : refusalBody(exchange, ending);
+    std::string body = exchange.method == "HEAD" ? std::string() : refusalBody(exchange, completion);
     const uint64_t length = body.size();
     context_.actions.emplace_back(HttpRespond {.handle = http->handle,
         .status = exchange.status,
-        .headers = refusalHeaders(exchange, ending),
+        .headers = refusalHeaders(exchange, completion),
         .bodyLength = length,
         .bytes = std::move(body),
         .isLast = true});
 }
 
-void CallerWriter::writeWhole(Exchange& exchange, const AnswerHead& head, std::string body, bool isReplayed)
+void CallerWriter::writeComplete(Exchange& exchange, const ResponseHead& head, std::string body, bool isReplayed)
 {
     exchange.status = head.status;
-    AnswerHead sent = head;
+    ResponseHead sent = head;
     if (isReplayed)
         addHeader(sent.headers, ReplayedHeader, "true");
     if (!isBodyless(exchange, head))
@@ -115,19 +115,19 @@
             .isLast = true});
         return;
     }
-    if (!std::holds_alternative<LinkOrigin>(exchange.origin))
+    if (!std::holds_alternative<ForwardedOrigin>(exchange.origin))
         return;
     startStream(exchange, sent);
     writeBody(exchange, std::move(body));
     finishStream(exchange);
 }
 
-void CallerWriter::startStream(Exchange& exchange, const AnswerHead& head)
+void CallerWriter::startStream(Exchange& exchange, const ResponseHead& head)
 {
     exchange.status = head.status;
-    if (const auto* link = std::get_if<LinkOrigin>(&exchange.origin)) {
-        context_.send(link->host,
-            model::ForwardResponseHead {.correlation = link->correlation,
+    if (const auto* forwarded = std::get_if<ForwardedOrigin>(&exchange.origin)) {
+        context_.send(forwarded->host,
+            model::ForwardResponseHead {.correlation = forwarded->correlation,
                 .status = head.status,
                 .headers = head.headers,
                 .bodyLength = head.bodyLength,
@@ -146,12 +146,12 @@
 {
     if (bytes.empty())
         return;
-    if (const auto* link = std::get_if<LinkOrigin>(&exchange.origin))
-        return sendBody(exchange, *link, bytes, false);
+    if (const auto* forwarded = std::get_if<ForwardedOrigin>(&exchange.origin))
+        return sendBody(exchange, *forwarded, bytes, false);
     const auto* http = std::get_if<HttpOrigin>(&exchange.origin);
     if (!http)
         return;
-    exchange.answerSent += bytes.size();
+    exchange.responseBytesSent += bytes.size();
     context_.actions.emplace_back(HttpResponseBody {.handle = http->handle, .bytes = std::move(bytes)});
 }
 
@@ -159,55 +159,55 @@
 {
     if (const auto* http = std::get_if<HttpOrigin>(&exchange.origin))
         context_.actions.emplace_back(HttpResponseBody {.handle = http->handle, .bytes = {}, .isLast = true});
-    if (const auto* link = std::get_if<LinkOrigin>(&exchange.origin)) {
-        sendBody(exchange, *link, {}, true);
-        sendEnd(exchange, *link, AnsweredEnding);
+    if (const auto* forwarded = std::get_if<ForwardedOrigin>(&exchange.origin)) {
+        sendBody(exchange, *forwarded, {}, true);
+        sendEnd(exchange, *forwarded, AnsweredCompletion);
     }
 }
 
-void CallerWriter::abort(Exchange& exchange, const Ending& ending)
+void CallerWriter::abort(Exchange& exchange, const Completion& completion)
 {
     if (const auto* http = std::get_if<HttpOrigin>(&exchange.origin))
         context_.actions.emplace_back(HttpAbort {.handle = http->handle});
-    if (const auto* link = std::get_if<LinkOrigin>(&exchange.origin))
-        sendEnd(exchange, *link, ending);
+    if (const auto* forwarded = std::get_if<ForwardedOrigin>(&exchange.origin))
+        sendEnd(exchange, *forwarded, completion);
 }
 
-void CallerWriter::allowBody(Exchange& exchange, uint64_t bytes)
+void CallerWriter::extendBodyWindow(Exchange& exchange, uint64_t bytes)
 {
     if (bytes == 0)
         return;
     if (const auto* http = std::get_if<HttpOrigin>(&exchange.origin))
         context_.actions.emplace_back(HttpRequestWindow {.handle = http->handle, .bytes = bytes});
-    if (const auto* link = std::get_if<LinkOrigin>(&exchange.origin)) {
-        context_.send(link->host,
+    if (const auto* forwarded = std::get_if<ForwardedOrigin>(&exchange.origin)) {
+        context_.send(forwarded->host,
             model::ForwardWindow {
-                .correlation = link->correlation, .direction = model::Direction::ToTarget, .bytes = bytes});
+                .correlation = forwarded->correlation, .direction = model::Direction::ToTarget, .bytes = bytes});
     }
 }
 
-void CallerWriter::sendBody(Exchange& exchange, const LinkOrigin& link, std::string_view bytes, bool isLast)
+void CallerWriter::sendBody(Exchange& exchange, const ForwardedOrigin& forwarded, std::string_view bytes, bool isLast)
 {
     do {
-        const std::string_view part = bytes.substr(0, LargestBodyFrame);
+        const std::string_view part = bytes.substr(0, MaxBodyFrameBytes);
         bytes.remove_prefix(part.size());
-        context_.send(link.host,
-            model::ForwardBody {.correlation = link.correlation,
+        context_.send(forwarded.host,
+            model::ForwardBody {.correlation = forwarded.correlation,
                 .direction = model::Direction::ToClient,
-                .offset = exchange.answerSent,
+                .offset = exchange.responseBytesSent,
                 .bytes = std::string(part),
                 .isLast = isLast && bytes.empty()});
-        exchange.answerSent += part.size();
+        exchange.responseBytesSent += part.size();
     } while (!bytes.empty());
 }
 
-void CallerWriter::sendEnd(const Exchange& exchange, const LinkOrigin& link, const Ending& ending)
+void CallerWriter::sendEnd(const Exchange& exchange, const ForwardedOrigin& forwarded, const Completion& completion)
 {
-    context_.send(link.host,
-        model::ForwardEnd {.correlation = link.correlation,
-            .outcome = ending.outcome,
-            .reason = ending.reason,
-            .retryAfter = ending.retryAfter,
+    context_.send(forwarded.host,
+        model::ForwardEnd {.correlation = forwarded.correlation,
+            .outcome = completion.outcome,
+            .reason = completion.reason,
+            .retryAfter = completion.retryAfter,
             .target = exchange.target,
             .tries = exchange.tries});
 }
--- a/src/requests/internal/callerwriter.h
+++ b/src/requests/internal/callerwriter.h
@@ -11,11 +11,11 @@
 
 namespace saltvane::requests {
 
-/// Bytes of a body in one frame between hosts.
-inline constexpr uint64_t LargestBodyFrame = 64 * 1024;
+/// Size limit of the body part in one frame between hosts.
+inline constexpr uint64_t MaxBodyFrameBytes = 64 * 1024;
 
-/// Writes answers and refusals to where the caller is: an HTTP exchange of this host, or the entry host that
-/// forwarded the request here.
+/// Writes responses and refusals to the caller: to an HTTP exchange of this host, or to the entry host that forwarded
+/// the request here.
 class CallerWriter {
 public:
     explicit CallerWriter(EntryContext& context)
@@ -23,20 +23,20 @@
     {
     }
 
-    void writeRefusal(Exchange& exchange, const Ending& ending);
-    void writeWhole(Exchange& exchange, const AnswerHead& head, std::string body, bool isReplayed);
-    void startStream(Exchange& exchange, const AnswerHead& head);
+    void writeRefusal(Exchange& exchange, const Completion& completion);
+    void writeComplete(Exchange& exchange, const ResponseHead& head, std::string body, bool isReplayed);
+    void startStream(Exchange& exchange, const ResponseHead& head);
     void writeBody(Exchange& exchange, std::string bytes);
-    /// Ends a streamed answer that is whole.
+    /// Ends a streamed response after its last byte.
     void finishStream(Exchange& exchange);
-    /// Breaks a streamed answer so that the caller sees it.
-    void abort(Exchange& exchange, const Ending& ending);
-    /// The caller's side may send so much more of the request's body.
-    void allowBody(Exchange& exchange, uint64_t bytes);
+    /// Aborts a streamed response so that the caller detects it.
+    void abort(Exchange& exchange, const Completion& completion);
+    /// Lets the caller send this number of further bytes of the request body.
+    void extendBodyWindow(Exchange& exchange, uint64_t bytes);
 
 private:
-    void sendBody(Exchange& exchange, const LinkOrigin& link, std::string_view bytes, bool isLast);
-    void sendEnd(const Exchange& exchange, const LinkOrigin& link, const Ending& ending);
+    void sendBody(Exchange& exchange, const ForwardedOrigin& forwarded, std::string_view bytes, bool isLast);
+    void sendEnd(const Exchange& exchange, const ForwardedOrigin& forwarded, const Completion& completion);
 
     EntryContext& context_;
 };
--- a/src/requests/internal/creditview.h
+++ b/src/requests/internal/creditview.h
@@ -11,24 +11,24 @@
 
 namespace saltvane::requests {
 
-/// Shows the wallet's credits to steering, which names services and zones by their table index.
+/// Lets steering query the stored credits by the table indices of services and zones.
 class CreditView final : public steering::ICreditView {
 public:
-    CreditView(const model::Deployment& deployment, const membership::ICreditWallet& wallet, Timestamp now)
+    CreditView(const model::Deployment& deployment, const membership::ICreditWallet& creditStore, Timestamp now)
         : deployment_(deployment)
-        , wallet_(wallet)
+        , creditStore_(creditStore)
         , now_(now)
     {
     }
 
     [[nodiscard]] bool hasCredit(ServiceIndex service, ZoneIndex zone) const override
     {
-        return wallet_.hasCredit(deployment_.service(service).name, deployment_.zone(zone).name, now_);
+        return creditStore_.hasCredit(deployment_.service(service).name, deployment_.zone(zone).name, now_);
     }
 
 private:
     const model::Deployment& deployment_;
-    const membership::ICreditWallet& wallet_;
+    const membership::ICreditWallet& creditStore_;
     Timestamp now_;
 };
 
--- a/src/requests/internal/entrycontext.h
+++ b/src/requests/internal/entrycontext.h
@@ -14,33 +14,33 @@
 
 namespace saltvane::requests {
 
-class AnswerRelay;
+class ResponseRelay;
 class CallerWriter;
 class Forwarder;
 class KeyedRequests;
-class Settler;
+class Finalizer;
 
-/// How long a caller is asked to stay away where nothing better is known.
+/// Retry-After for callers if no better estimate exists.
 inline constexpr Duration DefaultRetryAfter = 1s;
 
-/// The tables that the systems of the entry side share, and the systems themselves.
+/// State shared by the components of the entry side, and pointers to these components.
 struct EntryContext {
     EntryRequestsOptions options;
     model::Counters* counters = nullptr;
     model::DeploymentPtr deployment;
     bool isReady = false;
     bool isStopping = false;
-    bool isCreditFreed = false; ///< Since those who wait for credit were last served.
+    bool isCreditFreed = false; ///< A credit was returned since the requests waiting for credit were last served.
     HostId controlLeader;
     ExchangeTable table;
     KeyTable keys;
     std::vector<Action> actions;
 
-    AnswerRelay* answers = nullptr;
+    ResponseRelay* responses = nullptr;
     CallerWriter* writer = nullptr;
     Forwarder* forwarder = nullptr;
     KeyedRequests* keyed = nullptr;
-    Settler* settler = nullptr;
+    Finalizer* finalizer = nullptr;
 
     template <typename Sent> void send(const HostId& to, Sent message)
     {
--- a/src/requests/internal/entryrequests.cpp
+++ b/src/requests/internal/entryrequests.cpp
@@ -14,9 +14,9 @@
 {
     return {.options = options,
         .counters = options.counters ? options.counters : &ownCounters,
-        .keys = KeyTable({.largestAnswer = options.largestStoredAnswer,
-            .largestTotal = options.largestStoredTotal,
-            .largestKeys = options.largestKeys})};
+        .keys = KeyTable({.maxResponseBytes = options.maxStoredResponseBytes,
+            .maxTotalBytes = options.maxStoredTotalBytes,
+            .maxKeys = options.maxKeys})};
 }
 
 } // namespace
@@ -24,41 +24,41 @@
 EntryRequests::EntryRequests(const EntryRequestsOptions& options)
     : context_(makeContext(options, ownCounters_))
     , writer_(context_)
-    , settler_(context_)
+    , finalizer_(context_)
     , forwarder_(context_)
-    , answers_(context_)
+    , responses_(context_)
     , keyed_(context_)
-    , intake_(context_)
+    , receiver_(context_)
 {
-    context_.answers = &answers_;
+    context_.responses = &responses_;
     context_.writer = &writer_;
     context_.forwarder = &forwarder_;
     context_.keyed = &keyed_;
-    context_.settler = &settler_;
+    context_.finalizer = &finalizer_;
 }
 
 void EntryRequests::install(model::DeploymentPtr deployment, Timestamp) { context_.deployment = std::move(deployment); }
 
 void EntryRequests::handle(HttpEvent event, Timestamp now)
 {
-    std::visit([this, now](auto& occurred) { intake_.handle(std::move(occurred), now); }, event);
+    std::visit([this, now](auto& occurred) { receiver_.handle(std::move(occurred), now); }, event);
     finishStep(now);
 }
 
 void EntryRequests::handle(const model::Delivery& delivery, Timestamp now)
 {
     if (const auto* request = std::get_if<model::ForwardRequest>(&delivery.message))
-        intake_.handle(delivery, *request, now);
+        receiver_.handle(delivery, *request, now);
     else if (const auto* body = std::get_if<model::ForwardBody>(&delivery.message))
         handle(delivery, *body, now);
     else if (const auto* window = std::get_if<model::ForwardWindow>(&delivery.message))
         handle(delivery, *window, now);
     else if (const auto* cancel = std::get_if<model::ForwardCancel>(&delivery.message))
-        intake_.handle(delivery, *cancel, now);
+        receiver_.handle(delivery, *cancel, now);
     else if (const auto* head = std::get_if<model::ForwardResponseHead>(&delivery.message))
-        answers_.handle(delivery, *head, now);
+        responses_.handle(delivery, *head, now);
     else if (const auto* end = std::get_if<model::ForwardEnd>(&delivery.message))
-        answers_.handle(delivery, *end, now);
+        responses_.handle(delivery, *end, now);
     else if (const auto* reply = std::get_if<model::ClaimReply>(&delivery.message))
         keyed_.handle(*reply, now);
     finishStep(now);
@@ -67,17 +67,17 @@
 void EntryRequests::handle(const model::Delivery& delivery, const model::ForwardBody& body, Timestamp now)
 {
     if (body.direction == model::Direction::ToTarget)
-        intake_.handle(delivery, body, now);
+        receiver_.handle(delivery, body, now);
     else
-        answers_.handle(delivery, body, now);
+        responses_.handle(delivery, body, now);
 }
 
 void EntryRequests::handle(const model::Delivery& delivery, const model::ForwardWindow& window, Timestamp now)
 {
     if (window.direction == model::Direction::ToTarget)
-        answers_.handle(delivery, window, now);
+        responses_.handle(delivery, window, now);
     else
-        intake_.handle(delivery, window, now);
+        receiver_.handle(delivery, window, now);
 }
 
 void EntryRequests::noteHostLost(const HostId& host, Timestamp now)
@@ -86,21 +86,21 @@
     std::vector<ExchangeId> orphans;
     for (const ExchangeId id : context_.table.ids()) {
         Exchange* exchange = context_.table.find(id);
-        const auto* link = std::get_if<LinkOrigin>(&exchange->origin);
-        if (!link || link->host != host)
+        const auto* forwarded = std::get_if<ForwardedOrigin>(&exchange->origin);
+        if (!forwarded || forwarded->host != host)
             continue;
-        context_.table.dropOrigin(*exchange);
+        context_.table.detachCaller(*exchange);
         orphans.push_back(id);
     }
     for (const ExchangeId id : orphans) {
         if (Exchange* exchange = context_.table.find(id))
-            settler_.endForGoneCaller(*exchange, model::Reason::PeerLost, now);
+            finalizer_.finishForDisconnectedCaller(*exchange, model::Reason::PeerLost, now);
     }
-    const Ending lost {.outcome = model::Outcome::Unknown, .reason = model::Reason::PeerLost};
+    const Completion lost {.outcome = model::Outcome::Unknown, .reason = model::Reason::PeerLost};
     for (const ExchangeId id : context_.table.ids()) {
         Exchange* exchange = context_.table.find(id);
         if (exchange && exchange->attempt && exchange->attempt->host == host)
-            forwarder_.attemptFailed(*exchange, lost, now);
+            forwarder_.onAttemptFailed(*exchange, lost, now);
     }
     finishStep(now);
 }
@@ -112,7 +112,7 @@
     if (context_.controlLeader == leader)
         return;
     context_.controlLeader = leader;
-    keyed_.noteLeaderChanged();
+    keyed_.onLeaderChanged();
 }
 
 void EntryRequests::startStopping(Timestamp) { context_.isStopping = true; }
@@ -123,17 +123,17 @@
     std::vector<ExchangeId> running;
     for (const ExchangeId id : context_.table.ids()) {
         Exchange* exchange = context_.table.find(id);
-        if (exchange->phase == Phase::Settled)
-            settler_.cut(*exchange, now);
+        if (exchange->phase == Phase::Finalized)
+            finalizer_.terminate(*exchange, now);
         else
             running.push_back(id);
     }
     for (const ExchangeId id : running) {
         Exchange* exchange = context_.table.find(id);
-        if (exchange && exchange->phase != Phase::Settled)
-            settler_.cut(*exchange, now);
+        if (exchange && exchange->phase != Phase::Finalized)
+            finalizer_.terminate(*exchange, now);
     }
-    context_.table.collect();
+    context_.table.freeRemoved();
     return count;
 }
 
@@ -143,8 +143,8 @@
 {
     for (const ExchangeId id : context_.table.expired(now)) {
         Exchange* exchange = context_.table.find(id);
-        if (exchange && exchange->phase != Phase::Settled)
-            settler_.endForDeadline(*exchange, now);
+        if (exchange && exchange->phase != Phase::Finalized)
+            finalizer_.finishForDeadline(*exchange, now);
     }
     forwarder_.tick(now);
     keyed_.tick(now);
@@ -157,7 +157,7 @@
 {
     if (context_.isCreditFreed)
         forwarder_.serveWaiting(now, false);
-    context_.table.collect();
+    context_.table.freeRemoved();
 }
 
 } // namespace saltvane::requests
--- a/src/requests/internal/entryrequests.h
+++ b/src/requests/internal/entryrequests.h
@@ -5,16 +5,16 @@
  */
 #pragma once
 
-#include "requests/internal/answerrelay.h"
 #include "requests/internal/callerwriter.h"
+#include "requests/internal/finalizer.h"
 #include "requests/internal/forwarder.h"
-#include "requests/internal/intake.h"
 #include "requests/internal/keyedrequests.h"
-#include "requests/internal/settler.h"
+#include "requests/internal/requestreceiver.h"
+#include "requests/internal/responserelay.h"
 
 namespace saltvane::requests {
 
-/// Composes the systems of the entry side and hands events to them.
+/// Owns the components of the entry side and dispatches events to them.
 class EntryRequests final : public IEntryRequests {
 public:
     explicit EntryRequests(const EntryRequestsOptions& options);
@@ -36,17 +36,17 @@
 private:
     void handle(const model::Delivery& delivery, const model::ForwardBody& body, Timestamp now);
     void handle(const model::Delivery& delivery, const model::ForwardWindow& window, Timestamp now);
-    /// Done after each event.
+    /// Serves waiting requests and frees removed exchanges; called after each event.
     void finishStep(Timestamp now);
 
-    model::Counters ownCounters_; ///< Where none were handed in.
+    model::Counters ownCounters_; ///< Used if the options contain no counters.
     EntryContext context_;
     CallerWriter writer_;
-    Settler settler_;
+    Finalizer finalizer_;
     Forwarder forwarder_;
-    AnswerRelay answers_;
+    ResponseRelay responses_;
     KeyedRequests keyed_;
-    Intake intake_;
+    RequestReceiver receiver_;
 };
 
 } // namespace saltvane::requests
--- a/src/requests/internal/exchange.h
+++ b/src/requests/internal/exchange.h
@@ -6,9 +6,9 @@
 #pragma once
 
 #include "requests/exchangetypes.h"
-#include "requests/internal/answerstream.h"
 #include "requests/internal/keytable.h"
 #include "requests/internal/requestbody.h"
+#include "requests/internal/responsestream.h"
 
 #include <optional>
 #include <string>
@@ -17,54 +17,55 @@
 
 namespace saltvane::requests {
 
-/// The caller is on this host.
+/// The caller is connected to this host.
 struct HttpOrigin {
     HttpHandle handle;
 };
-/// The caller is on another entry host, which forwarded the request to this one as the minter of its key.
-struct LinkOrigin {
+/// The caller is connected to another entry host, which forwarded the request here because this host issued its key.
+struct ForwardedOrigin {
     HostId host;
     Incarnation incarnation;
     CorrelationId correlation;
 };
-/// The caller went away; the run goes on, for its key.
-struct GoneOrigin { };
-using Origin = std::variant<HttpOrigin, LinkOrigin, GoneOrigin>;
+/// The caller disconnected; the run continues on behalf of its key.
+struct DisconnectedOrigin { };
+using Origin = std::variant<HttpOrigin, ForwardedOrigin, DisconnectedOrigin>;
 
 enum class Phase {
-    Buffering, ///< Body comes in, for the fingerprint.
-    Claiming, ///< Waits for the replicated log to take its key.
-    WaitingForRun, ///< A resend: waits for the run of its key.
+    Buffering, ///< Receives the body that the fingerprint is computed from.
+    Claiming, ///< Waits until the claim of its key is in the replicated log.
+    WaitingForRun, ///< A resend that waits for the run of its key to end.
     WaitingForCredit,
-    Forwarding, ///< At an owner or minter.
-    WaitingForMinter, ///< The link to the minter broke: it is asked once more.
-    Settled ///< Outcome told; the answer's bytes are still going out.
+    Forwarding, ///< Forwarded to an owner or to the issuer of its key.
+    WaitingForIssuer, ///< The link to the issuer broke; the request is forwarded to it again after a delay.
+    Finalized ///< The outcome is final; bytes of the response may still be in transmission.
 };
 
-/// How an exchange or an attempt ended.
-struct Ending {
+/// Result of an exchange or of an attempt.
+struct Completion {
     model::Outcome outcome = model::Outcome::Unknown;
     model::Reason reason = model::Reason::None;
     Duration retryAfter {};
-    std::string field; ///< The header at fault.
+    std::string field; ///< Name of the invalid header.
 };
 
-/// One forward of the request, to an owner or to its key's minter.
+/// One attempt: the request forwarded to an owner or to the issuer of its key.
 struct Attempt {
     CorrelationId correlation;
     model::ForwardPurpose purpose = model::ForwardPurpose::Dispatch;
     HostId host;
-    std::optional<Incarnation> incarnation; ///< Of the peer; known from its first frame on, or before.
+    /// Incarnation of the peer. If not known at the start, it is taken from the peer's first frame.
+    std::optional<Incarnation> incarnation;
     bool holdsCredit = false;
-    uint64_t bodySent = 0;
-    uint64_t bodyAllowed = InitialBodyWindow; ///< Offset up to which the body may be sent.
-    uint64_t bodyPassedOn = 0;
+    uint64_t bodyBytesSent = 0;
+    uint64_t bodySendLimit = InitialBodyWindow; ///< Body offset up to which the peer's window allows sending.
+    uint64_t bodyBytesAcknowledged = 0;
     bool isLastSent = false;
-    uint64_t answerPassedOn = 0; ///< Bytes of the answer that the peer was told are taken.
-    AnswerStream answer {0};
+    uint64_t responseBytesAcknowledged = 0; ///< Bytes of the response acknowledged to the peer.
+    ResponseStream response {0};
 };
 
-/// One request in its life at this host.
+/// State of one request at this host.
 struct Exchange {
     ExchangeId id;
     Origin origin;
@@ -74,37 +75,39 @@
     RegionName clientRegion;
     std::string method;
     std::string path;
-    std::vector<model::Header> headers; ///< Those that go on to the target.
+    std::vector<model::Header> headers; ///< Headers that are forwarded to the target.
     RequestBody body {0};
     Timestamp arrival;
     Timestamp deadline;
     bool isRepeatable = false;
     std::string idempotencyKey;
 
-    bool isRunner = false; ///< Its key's record is Running for it.
-    std::optional<Timestamp> creditWaitEnd; ///< Set once it began to wait.
+    bool isRunner = false; ///< This request is the one that runs its key; the key's record is in state Running.
+    std::optional<Timestamp> creditWaitDeadline; ///< Set when the request starts waiting for credit.
     std::optional<Attempt> attempt;
-    Incarnation minterIncarnation; ///< Where its key's minter is another host.
+    Incarnation issuerIncarnation; ///< Set if another host issued the key.
     uint32_t attempts = 0;
     std::vector<HostId> excludedOwners;
     std::vector<TargetId> excludedTargets;
-    std::optional<Ending> lastFailure; ///< Of an attempt; an unknown one stays.
-    bool mayHaveRun = false; ///< An attempt ended unknown.
-    bool isOffered = false; ///< It came as far as the choice of a zone.
-    ZoneName rowZone; ///< Where its row sent it at first; by name, as a bundle may change the indices.
+    /// Result of the last failed attempt. An unknown outcome isn't overwritten by later attempts.
+    std::optional<Completion> lastFailure;
+    bool mayHaveRun = false; ///< An attempt ended with outcome unknown.
+    bool hasReachedZoneChoice = false; ///< The request got as far as the choice of a zone.
+    /// Zone that the route row chose first. Stored by name because a new bundle may change the indices.
+    ZoneName rowZone;
 
-    bool isHeadOut = false;
-    uint64_t answerSent = 0; ///< Bytes of the answer's body passed on.
-    int status = 0; ///< Told to the caller.
+    bool isHeadSent = false;
+    uint64_t responseBytesSent = 0; ///< Bytes of the response body sent to the caller.
+    int status = 0; ///< HTTP status sent to the caller.
 
-    // For the access log.
+    // For the access log; `tries` counts the dispatches that may have reached a target.
     ZoneName zone;
     HostId owner;
     TargetId target;
     uint32_t tries = 0;
 
     [[nodiscard]] bool isKeyed() const { return !isRepeatable && !idempotencyKey.empty(); }
-    [[nodiscard]] bool isCallerGone() const { return std::holds_alternative<GoneOrigin>(origin); }
+    [[nodiscard]] bool isCallerDisconnected() const { return std::holds_alternative<DisconnectedOrigin>(origin); }
     [[nodiscard]] KeyName keyName() const { return {.service = service, .key = idempotencyKey}; }
 };
 
--- a/src/requests/internal/exchangetable.cpp
+++ b/src/requests/internal/exchangetable.cpp
@@ -16,8 +16,8 @@
     deadlines_.emplace(added.deadline, added.id);
     if (const auto* http = std::get_if<HttpOrigin>(&added.origin))
         byHandle_[http->handle] = &added;
-    if (const auto* link = std::get_if<LinkOrigin>(&added.origin))
-        byLink_[{link->host, link->correlation}] = &added;
+    if (const auto* forwarded = std::get_if<ForwardedOrigin>(&added.origin))
+        byForward_[{forwarded->host, forwarded->correlation}] = &added;
     return added;
 }
 
@@ -35,8 +35,8 @@
 
 Exchange* ExchangeTable::find(const HostId& host, CorrelationId correlation)
 {
-    const auto found = byLink_.find({host, correlation});
-    return found == byLink_.end() ? nullptr : found->second;
+    const auto found = byForward_.find({host, correlation});
+    return found == byForward_.end() ? nullptr : found->second;
 }
 
 Exchange* ExchangeTable::findByAttempt(CorrelationId correlation)
@@ -61,21 +61,21 @@
 
 void ExchangeTable::unbindAttempt(const Exchange& exchange) { byAttempt_.erase(exchange.attempt->correlation); }
 
-void ExchangeTable::dropOrigin(Exchange& exchange)
+void ExchangeTable::detachCaller(Exchange& exchange)
 {
     if (const auto* http = std::get_if<HttpOrigin>(&exchange.origin))
         byHandle_.erase(http->handle);
-    if (const auto* link = std::get_if<LinkOrigin>(&exchange.origin))
-        byLink_.erase({link->host, link->correlation});
-    exchange.origin = GoneOrigin {};
+    if (const auto* forwarded = std::get_if<ForwardedOrigin>(&exchange.origin))
+        byForward_.erase({forwarded->host, forwarded->correlation});
+    exchange.origin = DisconnectedOrigin {};
 }
 
-void ExchangeTable::dropDeadline(const Exchange& exchange) { deadlines_.erase({exchange.deadline, exchange.id}); }
+void ExchangeTable::clearDeadline(const Exchange& exchange) { deadlines_.erase({exchange.deadline, exchange.id}); }
 
 void ExchangeTable::remove(Exchange& exchange)
 {
-    dropOrigin(exchange);
-    dropDeadline(exchange);
+    detachCaller(exchange);
+    clearDeadline(exchange);
     waiting_.erase(exchange.id);
     const auto found = exchanges_.find(exchange.id);
     removed_.push_back(std::move(found->second));
--- a/src/requests/internal/settler.cpp
+++ b/src/requests/internal/finalizer.cpp
@@ -3,16 +3,16 @@
  * saltvane: global traffic steering
  * Copyright (c) 2026 the saltvane authors
  */
-#include "requests/internal/settler.h"
+#include "requests/internal/finalizer.h"
 
-#include "requests/internal/answerrelay.h"
 #include "requests/internal/callerwriter.h"
 #include "requests/internal/forwarder.h"
 #include "requests/internal/keyedrequests.h"
+#include "requests/internal/responserelay.h"
 
 namespace saltvane::requests {
 
-void Settler::giveUp(Exchange& exchange, model::Reason reason, Duration retryAfter, Timestamp now)
+void Finalizer::giveUp(Exchange& exchange, model::Reason reason, Duration retryAfter, Timestamp now)
 {
     const bool isNotRun = isKnownNotRun(exchange, now);
     refuse(exchange,
@@ -22,45 +22,46 @@
         now);
 }
 
-void Settler::refuse(Exchange& exchange, const Ending& ending, Timestamp now)
+void Finalizer::refuse(Exchange& exchange, const Completion& completion, Timestamp now)
 {
-    if (exchange.isHeadOut)
-        context_.writer->abort(exchange, ending);
+    if (exchange.isHeadSent)
+        context_.writer->abort(exchange, completion);
     else
-        context_.writer->writeRefusal(exchange, ending);
-    finish(exchange, ending, now);
+        context_.writer->writeRefusal(exchange, completion);
+    finish(exchange, completion, now);
 }
 
-void Settler::finishAnswered(Exchange& exchange, Timestamp now)
+void Finalizer::finishAnswered(Exchange& exchange, Timestamp now)
 {
-    if (exchange.isOffered)
+    if (exchange.hasReachedZoneChoice)
         context_.options.retryBudget->noteAnswered(now);
-    exchange.isHeadOut = false; // the handle lives on until its bytes are out
+    exchange.isHeadSent = false; // The exchange stays until the caller has received all bytes.
     finish(exchange, {.outcome = model::Outcome::Answered}, now);
 }
 
-void Settler::endForGoneCaller(Exchange& exchange, model::Reason reason, Timestamp now)
+void Finalizer::finishForDisconnectedCaller(Exchange& exchange, model::Reason reason, Timestamp now)
 {
-    if (exchange.phase == Phase::Settled)
+    if (exchange.phase == Phase::Finalized)
         return context_.table.remove(exchange);
     const bool isAtOwner = exchange.attempt && exchange.attempt->purpose == model::ForwardPurpose::Dispatch;
     if (isAtOwner && exchange.isRunner && exchange.body.isComplete()) {
-        if (const auto* link = std::get_if<LinkOrigin>(&exchange.origin); link)
+        if (const auto* forwarded = std::get_if<ForwardedOrigin>(&exchange.origin); forwarded)
             context_.writer->abort(exchange, {.outcome = model::Outcome::Unknown, .reason = reason});
-        context_.table.dropOrigin(exchange);
-        return context_.answers->goOnWithoutCaller(exchange, now);
+        context_.table.detachCaller(exchange);
+        return context_.responses->continueWithoutCaller(exchange, now);
     }
     if (exchange.attempt)
         context_.forwarder->cancel(exchange, reason, now);
     const bool isNotRun = isKnownNotRun(exchange, now);
-    const Ending ending {.outcome = isNotRun ? model::Outcome::NotRun : model::Outcome::Unknown, .reason = reason};
-    if (std::holds_alternative<LinkOrigin>(exchange.origin))
-        context_.writer->abort(exchange, ending);
-    context_.table.dropOrigin(exchange);
-    finish(exchange, ending, now);
+    const Completion completion {
+        .outcome = isNotRun ? model::Outcome::NotRun : model::Outcome::Unknown, .reason = reason};
+    if (std::holds_alternative<ForwardedOrigin>(exchange.origin))
+        context_.writer->abort(exchange, completion);
+    context_.table.detachCaller(exchange);
+    finish(exchange, completion, now);
 }
 
-void Settler::endForDeadline(Exchange& exchange, Timestamp now)
+void Finalizer::finishForDeadline(Exchange& exchange, Timestamp now)
 {
     const model::Reason reason
         = exchange.phase == Phase::Claiming ? model::Reason::NoQuorum : model::Reason::DeadlineExceeded;
@@ -69,9 +70,9 @@
     giveUp(exchange, reason, DefaultRetryAfter, now);
 }
 
-void Settler::cut(Exchange& exchange, Timestamp now)
+void Finalizer::terminate(Exchange& exchange, Timestamp now)
 {
-    if (exchange.phase == Phase::Settled) {
+    if (exchange.phase == Phase::Finalized) {
         if (const auto* http = std::get_if<HttpOrigin>(&exchange.origin))
             context_.actions.emplace_back(HttpAbort {.handle = http->handle});
         return context_.table.remove(exchange);
@@ -81,7 +82,7 @@
     giveUp(exchange, model::Reason::StopTimeLimit, DefaultRetryAfter, now);
 }
 
-bool Settler::isKnownNotRun(const Exchange& exchange, Timestamp now) const
+bool Finalizer::isKnownNotRun(const Exchange& exchange, Timestamp now) const
 {
     if (exchange.mayHaveRun)
         return false;
@@ -90,48 +91,48 @@
     return context_.keyed->isKnownNotRun(exchange, now);
 }
 
-void Settler::finish(Exchange& exchange, const Ending& ending, Timestamp now)
+void Finalizer::finish(Exchange& exchange, const Completion& completion, Timestamp now)
 {
-    count(exchange, ending);
-    record(exchange, ending, now);
-    if (exchange.isOffered) {
+    countOutcome(exchange, completion);
+    writeAccessRecord(exchange, completion, now);
+    if (exchange.hasReachedZoneChoice) {
         const auto service = context_.deployment->findService(exchange.service);
         const auto region = context_.deployment->findRegion(exchange.clientRegion);
         if (service && region)
             context_.options.steering->noteRequestEnded(*service, *region, now - exchange.arrival, now);
     }
     if (exchange.phase == Phase::WaitingForRun)
-        context_.keyed->leaveWaiters(exchange);
+        context_.keyed->removeWaiter(exchange);
     context_.table.removeWaiting(exchange);
-    context_.table.dropDeadline(exchange);
-    exchange.phase = Phase::Settled;
-    const bool isToldToCaller = !exchange.isCallerGone();
-    const bool isFlushing = std::holds_alternative<HttpOrigin>(exchange.origin) && !exchange.isHeadOut;
+    context_.table.clearDeadline(exchange);
+    exchange.phase = Phase::Finalized;
+    const bool isReportedToCaller = !exchange.isCallerDisconnected();
+    const bool isFlushing = std::holds_alternative<HttpOrigin>(exchange.origin) && !exchange.isHeadSent;
     if (!isFlushing)
         context_.table.remove(exchange);
     if (exchange.isRunner)
-        context_.keyed->endRun(exchange, ending, isToldToCaller, now);
+        context_.keyed->completeRun(exchange, completion, isReportedToCaller, now);
 }
 
-void Settler::count(const Exchange& exchange, const Ending& ending)
+void Finalizer::countOutcome(const Exchange& exchange, const Completion& completion)
 {
     using model::Counter;
     model::Counters& counters = *context_.counters;
-    if (ending.outcome == model::Outcome::Answered)
+    if (completion.outcome == model::Outcome::Answered)
         counters.add(Counter::RequestsAnswered);
-    if (ending.outcome == model::Outcome::NotRun) {
+    if (completion.outcome == model::Outcome::NotRun) {
         counters.add(Counter::RequestsNotRun);
-        counters.addRefusal(ending.reason);
+        counters.addRefusal(completion.reason);
     }
-    if (ending.outcome == model::Outcome::Unknown) {
+    if (completion.outcome == model::Outcome::Unknown) {
         counters.add(Counter::RequestsUnknown);
-        counters.addUnknown(ending.reason);
+        counters.addUnknown(completion.reason);
     }
-    if (exchange.isHeadOut && !exchange.isCallerGone())
+    if (exchange.isHeadSent && !exchange.isCallerDisconnected())
         counters.add(Counter::BrokenBodies);
 }
 
-void Settler::record(const Exchange& exchange, const Ending& ending, Timestamp now)
+void Finalizer::writeAccessRecord(const Exchange& exchange, const Completion& completion, Timestamp now)
 {
     context_.actions.emplace_back(AccessRecord {.request = exchange.request,
         .service = exchange.service,
@@ -141,8 +142,8 @@
         .owner = exchange.owner,
         .target = exchange.target,
         .tries = exchange.tries,
-        .outcome = ending.outcome,
-        .reason = ending.reason,
+        .outcome = completion.outcome,
+        .reason = completion.reason,
         .status = exchange.status,
         .total = now - exchange.arrival,
         .isOwnerSide = false});
--- a/src/requests/internal/fingerprint.cpp
+++ b/src/requests/internal/fingerprint.cpp
@@ -31,7 +31,7 @@
     addText(*state, service);
     addText(*state, method);
     addText(*state, path);
-    addText(*state, body.held().substr(0, InitialBodyWindow));
+    addText(*state, body.buffered().substr(0, InitialBodyWindow));
     if (body.received() >= InitialBodyWindow)
         addNumber(*state, body.declaredLength().value_or(0));
     return XXH64_digest(state.get());
--- a/src/requests/internal/fingerprint.h
+++ b/src/requests/internal/fingerprint.h
@@ -12,8 +12,8 @@
 
 namespace saltvane::requests {
 
-/// The fingerprint that a resend of a key must share: xxhash64 of service, method, path and body. Of a body that
-/// fills InitialBodyWindow only that first part counts, with the length its headers declared.
+/// The fingerprint that all requests with one key must share: XXH64 of service, method, path and body. For a body that
+/// fills InitialBodyWindow, only the first InitialBodyWindow bytes and the declared length are hashed.
 [[nodiscard]] uint64_t fingerprintOf(
     std::string_view service, std::string_view method, std::string_view path, const RequestBody& body);
 
--- a/src/requests/internal/forwarder.cpp
+++ b/src/requests/internal/forwarder.cpp
@@ -8,23 +8,23 @@
 #include "requests/headerfilter.h"
 #include "requests/internal/callerwriter.h"
 #include "requests/internal/creditview.h"
+#include "requests/internal/finalizer.h"
 #include "requests/internal/keyedrequests.h"
 #include "requests/internal/peerdeadline.h"
 #include "requests/internal/retryrules.h"
-#include "requests/internal/settler.h"
 
 #include <algorithm>
 
 namespace saltvane::requests {
 namespace {
 
-constexpr size_t LargestWaiting = 1000;
-/// How long the end of a cancelled attempt is waited for.
-constexpr Duration CancelledMemory = 10s;
-/// Places the correlation ids of two starts of this host far apart.
+constexpr size_t MaxWaitingForCredit = 1000;
+/// How long the report on a cancelled attempt is accepted.
+constexpr Duration CancelledAttemptRetention = 10s;
+/// Separates the correlation ids of successive incarnations of this host.
 constexpr int IncarnationShift = 32;
-/// A broken link to a minter gets so long to come back.
-constexpr Duration MinterRetryDelay = 200ms;
+/// Time for a broken link to an issuer to reconnect before the request is forwarded again.
+constexpr Duration IssuerRetryDelay = 200ms;
 
 std::string millisecondsText(Duration duration)
 {
@@ -42,26 +42,26 @@
 
 void Forwarder::start(Exchange& exchange, Timestamp now)
 {
-    exchange.isOffered = true;
+    exchange.hasReachedZoneChoice = true;
     if (now >= exchange.deadline)
-        return context_.settler->endForDeadline(exchange, now);
+        return context_.finalizer->finishForDeadline(exchange, now);
     steering::Refusal refusal;
-    const std::optional<Place> place = choose(exchange, refusal, now);
-    if (!place)
-        return waitOrGiveUp(exchange, refusal, now);
-    exchange.zone = context_.deployment->zone(place->zone).name;
-    exchange.owner = place->owner;
-    send(exchange, {.purpose = model::ForwardPurpose::Dispatch, .host = place->owner, .holdsCredit = true}, now);
+    const std::optional<Placement> placement = choose(exchange, refusal, now);
+    if (!placement)
+        return waitOrRefuse(exchange, refusal, now);
+    exchange.zone = context_.deployment->zone(placement->zone).name;
+    exchange.owner = placement->owner;
+    send(exchange, {.purpose = model::ForwardPurpose::Dispatch, .host = placement->owner, .holdsCredit = true}, now);
 }
 
-void Forwarder::startAtMinter(Exchange& exchange, const HostId& minter, Incarnation incarnation, Timestamp now)
+void Forwarder::startAtIssuer(Exchange& exchange, const HostId& issuer, Incarnation incarnation, Timestamp now)
 {
-    exchange.owner = minter;
-    exchange.minterIncarnation = incarnation;
-    send(exchange, {.purpose = model::ForwardPurpose::Mint, .host = minter, .incarnation = incarnation}, now);
+    exchange.owner = issuer;
+    exchange.issuerIncarnation = incarnation;
+    send(exchange, {.purpose = model::ForwardPurpose::Mint, .host = issuer, .incarnation = incarnation}, now);
 }
 
-std::optional<Forwarder::Place> Forwarder::choose(Exchange& exchange, steering::Refusal& refusal, Timestamp now)
+std::optional<Forwarder::Placement> Forwarder::choose(Exchange& exchange, steering::Refusal& refusal, Timestamp now)
 {
     const model::Deployment& deployment = *context_.deployment;
     const auto service = deployment.findService(exchange.service);
@@ -92,7 +92,7 @@
         const ZoneName& name = deployment.zone(zone).name;
         const std::optional<HostId> owner = credits.take(exchange.service, name, exchange.excludedOwners, now);
         if (owner)
-            return Place {.zone = zone, .owner = *owner};
+            return Placement {.zone = zone, .owner = *owner};
         if (std::find(excludedZones.begin(), excludedZones.end(), zone) != excludedZones.end()) {
             refusal = {.reason = model::Reason::NoRoom};
             return std::nullopt;
@@ -101,7 +101,7 @@
     }
 }
 
-void Forwarder::noteWanted(const Exchange& exchange, Timestamp now)
+void Forwarder::requestCredits(const Exchange& exchange, Timestamp now)
 {
     const model::Deployment& deployment = *context_.deployment;
     const auto service = deployment.findService(exchange.service);
@@ -116,33 +116,33 @@
     }
 }
 
-void Forwarder::waitOrGiveUp(Exchange& exchange, const steering::Refusal& refusal, Timestamp now)
+void Forwarder::waitOrRefuse(Exchange& exchange, const steering::Refusal& refusal, Timestamp now)
 {
-    const bool isHopeless
+    const bool cannotSucceed
         = refusal.reason == model::Reason::ZoneClosed || refusal.reason == model::Reason::UnknownService;
-    if (!exchange.creditWaitEnd) {
-        noteWanted(exchange, now);
-        exchange.creditWaitEnd = now + context_.options.creditWait;
+    if (!exchange.creditWaitDeadline) {
+        requestCredits(exchange, now);
+        exchange.creditWaitDeadline = now + context_.options.maxCreditWait;
     }
-    if (isHopeless || now >= *exchange.creditWaitEnd || context_.table.waiting().size() >= LargestWaiting)
-        return giveUpChoice(exchange, refusal, now);
+    if (cannotSucceed || now >= *exchange.creditWaitDeadline || context_.table.waiting().size() >= MaxWaitingForCredit)
+        return refuseWithoutOwner(exchange, refusal, now);
     exchange.phase = Phase::WaitingForCredit;
     context_.table.addWaiting(exchange);
 }
 
-void Forwarder::giveUpChoice(Exchange& exchange, const steering::Refusal& refusal, Timestamp now)
+void Forwarder::refuseWithoutOwner(Exchange& exchange, const steering::Refusal& refusal, Timestamp now)
 {
     if (exchange.lastFailure) {
-        const Ending failure = *exchange.lastFailure;
-        return context_.settler->giveUp(exchange, failure.reason, failure.retryAfter, now);
+        const Completion failure = *exchange.lastFailure;
+        return context_.finalizer->giveUp(exchange, failure.reason, failure.retryAfter, now);
     }
-    context_.settler->giveUp(exchange, refusal.reason, refusal.retryAfter, now);
+    context_.finalizer->giveUp(exchange, refusal.reason, refusal.retryAfter, now);
 }
 
 void Forwarder::send(Exchange& exchange, Attempt attempt, Timestamp now)
 {
     attempt.correlation = {++lastCorrelation_};
-    attempt.answer = AnswerStream(keepLimit(exchange));
+    attempt.response = ResponseStream(retainLimit(exchange));
     exchange.attempt = std::move(attempt);
     exchange.phase = Phase::Forwarding;
     ++exchange.attempts;
@@ -179,95 +179,95 @@
     Attempt& attempt = *exchange.attempt;
     const RequestBody& body = exchange.body;
     while (!attempt.isLastSent) {
-        const uint64_t end = std::min(body.received(), attempt.bodyAllowed);
-        const uint64_t count = std::min(end - std::min(end, attempt.bodySent), LargestBodyFrame);
-        const bool isLast = body.isComplete() && attempt.bodySent + count == body.received();
+        const uint64_t end = std::min(body.received(), attempt.bodySendLimit);
+        const uint64_t count = std::min(end - std::min(end, attempt.bodyBytesSent), MaxBodyFrameBytes);
+        const bool isLast = body.isComplete() && attempt.bodyBytesSent + count == body.received();
         if (count == 0 && !isLast)
             break;
         context_.send(attempt.host,
             model::ForwardBody {.correlation = attempt.correlation,
                 .direction = model::Direction::ToTarget,
-                .offset = attempt.bodySent,
-                .bytes = body.bytesAt(attempt.bodySent, count),
+                .offset = attempt.bodyBytesSent,
+                .bytes = body.bytesAt(attempt.bodyBytesSent, count),
                 .isLast = isLast});
-        attempt.bodySent += count;
+        attempt.bodyBytesSent += count;
         attempt.isLastSent = isLast;
     }
-    context_.writer->allowBody(exchange, exchange.body.release(attempt.bodyPassedOn));
+    context_.writer->extendBodyWindow(exchange, exchange.body.release(attempt.bodyBytesAcknowledged));
 }
 
 void Forwarder::extendWindow(Exchange& exchange, uint64_t bytes)
 {
     Attempt& attempt = *exchange.attempt;
-    attempt.bodyPassedOn = std::min(attempt.bodyPassedOn + bytes, attempt.bodySent);
-    attempt.bodyAllowed = attempt.bodyPassedOn + InitialBodyWindow;
+    attempt.bodyBytesAcknowledged = std::min(attempt.bodyBytesAcknowledged + bytes, attempt.bodyBytesSent);
+    attempt.bodySendLimit = attempt.bodyBytesAcknowledged + InitialBodyWindow;
     pumpBody(exchange);
 }
 
-void Forwarder::attemptFailed(Exchange& exchange, const Ending& ending, Timestamp now)
+void Forwarder::onAttemptFailed(Exchange& exchange, const Completion& completion, Timestamp now)
 {
-    const bool isAtMinter = exchange.attempt->purpose == model::ForwardPurpose::Mint;
+    const bool wasAtIssuer = exchange.attempt->purpose == model::ForwardPurpose::Mint;
     exchange.excludedOwners.push_back(exchange.attempt->host);
     endAttempt(exchange, now);
-    if (isAtMinter)
-        return minterFailed(exchange, ending, now);
+    if (wasAtIssuer)
+        return onIssuerFailed(exchange, completion, now);
 
-    const bool isFirstUnknown = ending.outcome == model::Outcome::Unknown && !exchange.mayHaveRun;
+    const bool isFirstUnknown = completion.outcome == model::Outcome::Unknown && !exchange.mayHaveRun;
     if (isFirstUnknown || !exchange.mayHaveRun)
-        exchange.lastFailure = ending;
-    if (ending.outcome == model::Outcome::Unknown)
+        exchange.lastFailure = completion;
+    if (completion.outcome == model::Outcome::Unknown)
         exchange.mayHaveRun = true;
-    if (canRetry(exchange, ending, now)) {
+    if (canRetry(exchange, completion, now)) {
         if (context_.options.retryBudget->trySpend(now)) {
             context_.counters->add(model::Counter::Retries);
-            context_.counters->addRetry(ending.reason);
+            context_.counters->addRetry(completion.reason);
             return start(exchange, now);
         }
         context_.counters->addRetry(model::Reason::RetryBudgetSpent);
     }
-    const Ending failure = *exchange.lastFailure;
-    context_.settler->giveUp(exchange, failure.reason, failure.retryAfter, now);
+    const Completion failure = *exchange.lastFailure;
+    context_.finalizer->giveUp(exchange, failure.reason, failure.retryAfter, now);
 }
 
-void Forwarder::minterFailed(Exchange& exchange, const Ending& ending, Timestamp now)
+void Forwarder::onIssuerFailed(Exchange& exchange, const Completion& completion, Timestamp now)
 {
-    const bool isLost = ending.outcome == model::Outcome::Unknown && ending.reason == model::Reason::PeerLost;
+    const bool isLost = completion.outcome == model::Outcome::Unknown && completion.reason == model::Reason::PeerLost;
     if (!isLost || !isSendable(exchange, now))
-        return context_.settler->refuse(exchange, ending, now);
-    exchange.phase = Phase::WaitingForMinter;
-    minterRetries_.insert({now + MinterRetryDelay, exchange.id});
+        return context_.finalizer->refuse(exchange, completion, now);
+    exchange.phase = Phase::WaitingForIssuer;
+    issuerRetries_.insert({now + IssuerRetryDelay, exchange.id});
 }
 
-/// The minter knows the key, so that sending it again runs nothing twice.
-void Forwarder::retryMinters(Timestamp now)
+/// Forwarding to the issuer again is safe: it knows the key and runs it once.
+void Forwarder::retryIssuers(Timestamp now)
 {
-    while (!minterRetries_.empty() && minterRetries_.begin()->first <= now) {
-        Exchange* exchange = context_.table.find(minterRetries_.begin()->second);
-        minterRetries_.erase(minterRetries_.begin());
-        if (!exchange || exchange->phase != Phase::WaitingForMinter)
+    while (!issuerRetries_.empty() && issuerRetries_.begin()->first <= now) {
+        Exchange* exchange = context_.table.find(issuerRetries_.begin()->second);
+        issuerRetries_.erase(issuerRetries_.begin());
+        if (!exchange || exchange->phase != Phase::WaitingForIssuer)
             continue;
-        const HostId minter = exchange->owner;
-        const Incarnation incarnation = exchange->minterIncarnation;
-        if (!context_.options.hosts->isAlive(minter, incarnation)) {
-            context_.settler->giveUp(*exchange, model::Reason::MinterGone, Duration::zero(), now);
+        const HostId issuer = exchange->owner;
+        const Incarnation incarnation = exchange->issuerIncarnation;
+        if (!context_.options.hosts->isAlive(issuer, incarnation)) {
+            context_.finalizer->giveUp(*exchange, model::Reason::MinterGone, Duration::zero(), now);
             continue;
         }
         context_.counters->add(model::Counter::Retries);
         context_.counters->addRetry(model::Reason::PeerLost);
-        startAtMinter(*exchange, minter, incarnation, now);
+        startAtIssuer(*exchange, issuer, incarnation, now);
     }
 }
 
 bool Forwarder::isSendable(const Exchange& exchange, Timestamp now) const
 {
-    if (exchange.attempts >= context_.options.largestAttempts || now >= exchange.deadline)
+    if (exchange.attempts >= context_.options.maxAttempts || now >= exchange.deadline)
         return false;
-    return !exchange.isHeadOut && exchange.body.isReplayable();
+    return !exchange.isHeadSent && exchange.body.isReplayable();
 }
 
-bool Forwarder::canRetry(const Exchange& exchange, const Ending& ending, Timestamp now) const
+bool Forwarder::canRetry(const Exchange& exchange, const Completion& completion, Timestamp now) const
 {
-    return isSendable(exchange, now) && isRetryAllowed(ending.outcome, ending.reason, exchange.isRepeatable);
+    return isSendable(exchange, now) && isRetryAllowed(completion.outcome, completion.reason, exchange.isRepeatable);
 }
 
 void Forwarder::cancel(Exchange& exchange, model::Reason reason, Timestamp now)
@@ -281,8 +281,8 @@
 {
     const Attempt& attempt = *exchange.attempt;
     context_.send(attempt.host, model::ForwardCancel {.correlation = attempt.correlation, .reason = reason});
-    Cancelled& cancelled = cancelled_[attempt.correlation];
-    cancelled = {.host = attempt.host, .until = now + CancelledMemory};
+    CancelledAttempt& cancelled = cancelled_[attempt.correlation];
+    cancelled = {.host = attempt.host, .expiresAt = now + CancelledAttemptRetention};
     if (exchange.isRunner)
         cancelled.key = exchange.keyName();
 }
@@ -298,7 +298,7 @@
     context_.isCreditFreed = true;
 }
 
-bool Forwarder::noteCancelledEnd(const HostId& from, const model::ForwardEnd& end)
+bool Forwarder::handleCancelledEnd(const HostId& from, const model::ForwardEnd& end)
 {
     const auto found = cancelled_.find(end.correlation);
     if (found == cancelled_.end() || found->second.host != from)
@@ -323,9 +323,9 @@
         Exchange* exchange = context_.table.find(id);
         if (!exchange || exchange->phase != Phase::WaitingForCredit)
             continue;
-        const bool isHopeless = !isTick
+        const bool cannotSucceed = !isTick
             && std::find(withoutCredit.begin(), withoutCredit.end(), exchange->service) != withoutCredit.end();
-        if (isHopeless)
+        if (cannotSucceed)
             continue;
         context_.table.removeWaiting(*exchange);
         const ServiceName service = exchange->service;
@@ -337,14 +337,14 @@
 
 void Forwarder::tick(Timestamp now)
 {
-    std::erase_if(cancelled_, [now](const auto& entry) { return now >= entry.second.until; });
-    retryMinters(now);
+    std::erase_if(cancelled_, [now](const auto& entry) { return now >= entry.second.expiresAt; });
+    retryIssuers(now);
     serveWaiting(now, true);
 }
 
-uint64_t Forwarder::keepLimit(const Exchange& exchange) const
+uint64_t Forwarder::retainLimit(const Exchange& exchange) const
 {
-    return exchange.isRunner ? std::min(context_.options.largestStoredAnswer, InitialBodyWindow) : 0;
+    return exchange.isRunner ? std::min(context_.options.maxStoredResponseBytes, InitialBodyWindow) : 0;
 }
 
 } // namespace saltvane::requests
--- a/src/requests/internal/forwarder.h
+++ b/src/requests/internal/forwarder.h
@@ -16,63 +16,63 @@
 
 namespace saltvane::requests {
 
-/// Sends requests to owners and minters: choice of the zone, credit, body, retries.
+/// Forwards requests to owners and issuers: chooses the zone, takes a credit, sends the body, retries.
 class Forwarder {
 public:
     explicit Forwarder(EntryContext& context);
 
-    /// Chooses and sends, or lets the exchange wait for credit, or gives it up.
+    /// Chooses a zone and forwards the request. Without credit, the request waits or is refused.
     void start(Exchange& exchange, Timestamp now);
-    /// Sends the exchange to the minter of its key.
-    void startAtMinter(Exchange& exchange, const HostId& minter, Incarnation incarnation, Timestamp now);
-    /// More of the body is there.
+    /// Forwards the request to the issuer of its key.
+    void startAtIssuer(Exchange& exchange, const HostId& issuer, Incarnation incarnation, Timestamp now);
+    /// Sends as much of the received body as the peer's window allows.
     void pumpBody(Exchange& exchange);
-    /// The peer has passed on so many bytes of the body.
+    /// The peer acknowledged this number of bytes of the body.
     void extendWindow(Exchange& exchange, uint64_t bytes);
-    /// The attempt ended without a whole answer: another one, or the end.
-    void attemptFailed(Exchange& exchange, const Ending& ending, Timestamp now);
-    /// Tells the peer that the attempt is over, and ends it as unknown.
+    /// The attempt ended without a complete response: retries, or ends the exchange.
+    void onAttemptFailed(Exchange& exchange, const Completion& completion, Timestamp now);
+    /// Cancels the attempt at the peer; its outcome is unknown.
     void cancel(Exchange& exchange, model::Reason reason, Timestamp now);
-    /// Tells the peer that the attempt is over; its frames are expected no more.
+    /// Cancels the attempt at the peer. Further frames of the attempt are ignored.
     void sendCancel(const Exchange& exchange, model::Reason reason, Timestamp now);
-    /// Ends the attempt's bookkeeping, exactly once: its credit, its correlation id.
+    /// Removes the attempt from the index and returns its credit; called exactly once for each attempt.
     void endAttempt(Exchange& exchange, Timestamp now);
-    /// A peer's word on an attempt that was cancelled: where it did not run after all, its key may run again.
-    /// False: the correlation id is not known here.
-    [[nodiscard]] bool noteCancelledEnd(const HostId& from, const model::ForwardEnd& end);
+    /// Handles the peer's report on a cancelled attempt: if the attempt did not run, its key may run again. Returns
+    /// false if the correlation id isn't that of a cancelled attempt.
+    [[nodiscard]] bool handleCancelledEnd(const HostId& from, const model::ForwardEnd& end);
     void noteHostLost(const HostId& host);
-    /// Those that wait for credit try again; the ones whose wait is over are refused.
+    /// Retries the requests that wait for credit; refuses those whose wait has expired.
     void serveWaiting(Timestamp now, bool isTick);
     void tick(Timestamp now);
 
 private:
-    struct Cancelled {
+    struct CancelledAttempt {
         HostId host;
-        std::optional<KeyName> key; ///< Of the run that was cancelled.
-        Timestamp until;
+        std::optional<KeyName> key; ///< Key of the cancelled run.
+        Timestamp expiresAt;
     };
-    struct Place {
+    struct Placement {
         ZoneIndex zone;
         HostId owner;
     };
 
-    /// Takes a credit; without one, `refusal` says why not.
-    [[nodiscard]] std::optional<Place> choose(Exchange& exchange, steering::Refusal& refusal, Timestamp now);
-    void noteWanted(const Exchange& exchange, Timestamp now);
-    void waitOrGiveUp(Exchange& exchange, const steering::Refusal& refusal, Timestamp now);
-    void giveUpChoice(Exchange& exchange, const steering::Refusal& refusal, Timestamp now);
+    /// Chooses a zone and takes a credit of it. Returns no value and sets `refusal` if there is no credit.
+    [[nodiscard]] std::optional<Placement> choose(Exchange& exchange, steering::Refusal& refusal, Timestamp now);
+    void requestCredits(const Exchange& exchange, Timestamp now);
+    void waitOrRefuse(Exchange& exchange, const steering::Refusal& refusal, Timestamp now);
+    void refuseWithoutOwner(Exchange& exchange, const steering::Refusal& refusal, Timestamp now);
     void send(Exchange& exchange, Attempt attempt, Timestamp now);
-    void minterFailed(Exchange& exchange, const Ending& ending, Timestamp now);
-    void retryMinters(Timestamp now);
-    /// The request can be sent once more, as far as it is up to this side.
+    void onIssuerFailed(Exchange& exchange, const Completion& completion, Timestamp now);
+    void retryIssuers(Timestamp now);
+    /// True if the deadline, the number of attempts and the retained body allow forwarding the request again.
     [[nodiscard]] bool isSendable(const Exchange& exchange, Timestamp now) const;
-    [[nodiscard]] bool canRetry(const Exchange& exchange, const Ending& ending, Timestamp now) const;
-    [[nodiscard]] uint64_t keepLimit(const Exchange& exchange) const;
+    [[nodiscard]] bool canRetry(const Exchange& exchange, const Completion& completion, Timestamp now) const;
+    [[nodiscard]] uint64_t retainLimit(const Exchange& exchange) const;
 
     EntryContext& context_;
     uint64_t lastCorrelation_;
-    std::map<CorrelationId, Cancelled> cancelled_;
-    std::set<std::pair<Timestamp, ExchangeId>> minterRetries_;
+    std::map<CorrelationId, CancelledAttempt> cancelled_;
+    std::set<std::pair<Timestamp, ExchangeId>> issuerRetries_;
 };
 
 } // namespace saltvane::requests
--- a/src/requests/internal/headerfilter.cpp
+++ b/src/requests/internal/headerfilter.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 constexpr std::string_view InternalPrefix = "Saltvane-";
-/// Hop-by-hop fields (RFC 9110, 7.6.1) and the body's framing, which travels as a length of its own.
+/// Hop-by-hop fields (RFC 9110, 7.6.1) and Content-Length: the length of the body is transferred separately.
 constexpr std::array<std::string_view, 10> HopByHopFields {"Connection", "Keep-Alive", "Proxy-Connection",
     "Proxy-Authenticate", "Proxy-Authorization", "TE", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length"};
 
@@ -77,32 +77,32 @@
 std::vector<model::Header> endToEndHeaders(std::span<const model::Header> headers)
 {
     const std::vector<std::string_view> options = connectionOptions(headers);
-    std::vector<model::Header> kept;
-    kept.reserve(headers.size() + 2);
+    std::vector<model::Header> remaining;
+    remaining.reserve(headers.size() + 2);
     for (const model::Header& header : headers) {
         if (isNamed(HopByHopFields, header.name) || isNamed(options, header.name))
             continue;
-        kept.push_back(header);
+        remaining.push_back(header);
     }
-    return kept;
+    return remaining;
 }
 
 std::vector<model::Header> forwardableHeaders(std::span<const model::Header> headers)
 {
-    std::vector<model::Header> kept = endToEndHeaders(headers);
-    std::erase_if(kept, [](const model::Header& header) {
+    std::vector<model::Header> remaining = endToEndHeaders(headers);
+    std::erase_if(remaining, [](const model::Header& header) {
         if (isSameFieldName(header.name, "Expect"))
             return true;
         return isInternal(header.name) && !isSameFieldName(header.name, ServiceHeader);
     });
-    return kept;
+    return remaining;
 }
 
-std::vector<model::Header> answerHeaders(std::span<const model::Header> headers)
+std::vector<model::Header> responseHeaders(std::span<const model::Header> headers)
 {
-    std::vector<model::Header> kept = endToEndHeaders(headers);
-    std::erase_if(kept, [](const model::Header& header) { return isInternal(header.name); });
-    return kept;
+    std::vector<model::Header> remaining = endToEndHeaders(headers);
+    std::erase_if(remaining, [](const model::Header& header) { return isInternal(header.name); });
+    return remaining;
 }
 
 } // namespace saltvane::requests
--- a/src/requests/internal/keyclaims.cpp
+++ b/src/requests/internal/keyclaims.cpp
@@ -8,12 +8,12 @@
 namespace saltvane::requests {
 namespace {
 
-constexpr Duration ResendPeriod = 200ms;
-constexpr Duration ReplyMemory = 60s;
-/// Places the claim numbers of two starts of this host far apart.
+constexpr Duration ResendInterval = 200ms;
+constexpr Duration ReplyTimeout = 60s;
+/// Separates the claim numbers of successive incarnations of this host.
 constexpr int IncarnationShift = 32;
 
-bool isWanted(const KeyRecord& record)
+bool needsResend(const KeyRecord& record)
 {
     return record.needsClaim && !record.isClaimed && record.state == KeyState::Running;
 }
@@ -30,11 +30,11 @@
 {
     if (record.claim == 0)
         record.claim = ++lastClaim_;
-    pending_[record.claim] = {.key = record.name, .nextSend = now + ResendPeriod, .until = now + ReplyMemory};
+    pending_[record.claim] = {.key = record.name, .nextSendAt = now + ResendInterval, .expiresAt = now + ReplyTimeout};
     transmit(record);
 }
 
-std::optional<KeyName> KeyClaims::take(const model::ClaimReply& reply)
+std::optional<KeyName> KeyClaims::acceptReply(const model::ClaimReply& reply)
 {
     const auto found = pending_.find(reply.claim);
     if (found == pending_.end())
@@ -44,10 +44,10 @@
     return key;
 }
 
-void KeyClaims::noteLeaderChanged()
+void KeyClaims::onLeaderChanged()
 {
     for (auto& [claim, pending] : pending_)
-        pending.nextSend = {};
+        pending.nextSendAt = {};
 }
 
 void KeyClaims::tick(Timestamp now)
@@ -55,14 +55,14 @@
     for (auto position = pending_.begin(); position != pending_.end();) {
         Pending& pending = position->second;
         const KeyRecord* record = context_.keys.find(pending.key);
-        const bool isMine = record && record->claim == position->first;
-        if (!isMine || now >= pending.until) {
+        const bool isCurrent = record && record->claim == position->first;
+        if (!isCurrent || now >= pending.expiresAt) {
             position = pending_.erase(position);
             continue;
         }
-        if (now >= pending.nextSend && isWanted(*record)) {
-            pending.nextSend = now + ResendPeriod;
-            pending.until = now + ReplyMemory;
+        if (now >= pending.nextSendAt && needsResend(*record)) {
+            pending.nextSendAt = now + ResendInterval;
+            pending.expiresAt = now + ReplyTimeout;
             transmit(*record);
         }
         ++position;
--- a/src/requests/internal/keyclaims.h
+++ b/src/requests/internal/keyclaims.h
@@ -11,25 +11,26 @@
 
 namespace saltvane::requests {
 
-/// Claims of caller-made keys under way to the control leader: sent, sent again until answered, matched.
+/// Claims of caller-made keys at the control leader: sends a claim, repeats it until a reply arrives and matches the
+/// reply with its key.
 class KeyClaims {
 public:
     explicit KeyClaims(EntryContext& context);
 
-    /// Sends the record's claim. A record keeps its claim's number, so that a claim whose answer was lost is taken up
-    /// by a later resend of its key.
+    /// Sends the claim of the record. The record keeps its claim number, so that a later resend of the key continues a
+    /// claim whose reply was lost.
     void send(KeyRecord& record, Timestamp now);
-    /// The key that the reply answers; none where the claim is not known or was answered.
-    [[nodiscard]] std::optional<KeyName> take(const model::ClaimReply& reply);
-    /// Claims go to the new leader with the next tick.
-    void noteLeaderChanged();
+    /// The key that the reply belongs to; no value if the claim is unknown or already has its reply.
+    [[nodiscard]] std::optional<KeyName> acceptReply(const model::ClaimReply& reply);
+    /// Makes the next tick send all pending claims to the new leader.
+    void onLeaderChanged();
     void tick(Timestamp now);
 
 private:
     struct Pending {
         KeyName key;
-        Timestamp nextSend;
-        Timestamp until; ///< A reply is waited for so long.
+        Timestamp nextSendAt;
+        Timestamp expiresAt; ///< No reply is accepted after this time.
     };
     void transmit(const KeyRecord& record);
 
--- a/src/requests/internal/keyedrequests.cpp
+++ b/src/requests/internal/keyedrequests.cpp
@@ -7,9 +7,9 @@
 
 #include "requests/headerfilter.h"
 #include "requests/internal/callerwriter.h"
+#include "requests/internal/finalizer.h"
 #include "requests/internal/fingerprint.h"
 #include "requests/internal/forwarder.h"
-#include "requests/internal/settler.h"
 
 #include <algorithm>
 #include <utility>
@@ -17,9 +17,9 @@
 namespace saltvane::requests {
 namespace {
 
-constexpr size_t LargestWaiters = 16;
-/// A key is remembered at least so long after its last run or try, also where its token expires sooner.
-constexpr Duration RestMemory = 60s;
+constexpr size_t MaxWaiters = 16;
+/// Time after a run for which the record is retained even if its token expires sooner.
+constexpr Duration MinRecordRetention = 60s;
 
 } // namespace
 
@@ -29,35 +29,35 @@
 {
 }
 
-void KeyedRequests::begin(Exchange& exchange, model::Reason admission, Timestamp now)
+void KeyedRequests::begin(Exchange& exchange, model::Reason admissionRefusal, Timestamp now)
 {
     const KeyRecord* record = context_.keys.find(exchange.keyName());
     const bool isKnown = record && record->state != KeyState::Open;
-    if (!isKnown && admission != model::Reason::None) {
-        // A stopping host still asks the minter: only the minter knows what became of the key.
-        const bool canAskMinter
-            = admission == model::Reason::Stopping && identify(exchange, now).kind == KeyKind::Foreign;
-        if (!canAskMinter)
-            return context_.settler->giveUp(exchange, admission, DefaultRetryAfter, now);
+    if (!isKnown && admissionRefusal != model::Reason::None) {
+        // A stopping host still forwards to the issuer, because only the issuer knows whether the key has run.
+        const bool canQueryIssuer
+            = admissionRefusal == model::Reason::Stopping && identify(exchange, now).kind == KeyKind::Foreign;
+        if (!canQueryIssuer)
+            return context_.finalizer->giveUp(exchange, admissionRefusal, DefaultRetryAfter, now);
     }
     if (!record)
-        return beginUnknownKey(exchange, now);
-    noteBody(exchange, now);
+        return beginWithoutRecord(exchange, now);
+    onBodyReceived(exchange, now);
 }
 
-void KeyedRequests::beginUnknownKey(Exchange& exchange, Timestamp now)
+void KeyedRequests::beginWithoutRecord(Exchange& exchange, Timestamp now)
 {
     const Identity identity = identify(exchange, now);
     switch (identity.kind) {
     case KeyKind::Own:
     case KeyKind::CallerMade:
-        return noteBody(exchange, now);
+        return onBodyReceived(exchange, now);
     case KeyKind::Foreign:
-        return startAtHolder(exchange, identity.minter, identity.incarnation, now);
+        return startAtHolder(exchange, identity.issuer, identity.incarnation, now);
     case KeyKind::Expired:
-        return tellUnknown(exchange, model::Reason::KeyExpired, now);
+        return refuseAsUnknown(exchange, model::Reason::KeyExpired, now);
     case KeyKind::Invalid:
-        return context_.settler->refuse(exchange,
+        return context_.finalizer->refuse(exchange,
             {.outcome = model::Outcome::NotRun, .reason = model::Reason::BadRequest, .field = std::string(KeyHeader)},
             now);
     }
@@ -70,9 +70,9 @@
     if (token) {
         const TokenClaims& claims = token.value();
         const membership::HostIdentity& self = context_.options.self;
-        const bool isOwn = claims.minter == self.host && claims.incarnation == self.incarnation;
+        const bool isOwn = claims.issuer == self.host && claims.incarnation == self.incarnation;
         return {.kind = isOwn ? KeyKind::Own : KeyKind::Foreign,
-            .minter = claims.minter,
+            .issuer = claims.issuer,
             .incarnation = claims.incarnation,
             .expiry = claims.expiry};
     }
@@ -91,33 +91,33 @@
 void KeyedRequests::startAtHolder(Exchange& exchange, const HostId& holder, Incarnation incarnation, Timestamp now)
 {
     const bool isSelf = holder == context_.options.self.host;
-    const bool wasForwarded = std::holds_alternative<LinkOrigin>(exchange.origin);
+    const bool wasForwarded = std::holds_alternative<ForwardedOrigin>(exchange.origin);
     if (isSelf || wasForwarded || !context_.options.hosts->isAlive(holder, incarnation))
-        return tellUnknown(exchange, model::Reason::MinterGone, now);
-    context_.forwarder->startAtMinter(exchange, holder, incarnation, now);
+        return refuseAsUnknown(exchange, model::Reason::MinterGone, now);
+    context_.forwarder->startAtIssuer(exchange, holder, incarnation, now);
 }
 
-void KeyedRequests::noteBody(Exchange& exchange, Timestamp now)
+void KeyedRequests::onBodyReceived(Exchange& exchange, Timestamp now)
 {
     if (exchange.phase == Phase::Buffering && exchange.body.isFingerprintable())
-        resolve(exchange, now);
+        resolveRecord(exchange, now);
 }
 
-void KeyedRequests::resolve(Exchange& exchange, Timestamp now)
+void KeyedRequests::resolveRecord(Exchange& exchange, Timestamp now)
 {
     const uint64_t fingerprint = fingerprintOf(exchange.service.value(), exchange.method, exchange.path, exchange.body);
     KeyRecord* record = context_.keys.find(exchange.keyName());
     if (!record) {
         if (identify(exchange, now).kind == KeyKind::Expired)
-            return tellUnknown(exchange, model::Reason::KeyExpired, now);
+            return refuseAsUnknown(exchange, model::Reason::KeyExpired, now);
         record = addRecord(exchange, fingerprint, now);
     }
     if (!record)
-        return context_.settler->giveUp(exchange, model::Reason::NoRoom, DefaultRetryAfter, now);
+        return context_.finalizer->giveUp(exchange, model::Reason::NoRoom, DefaultRetryAfter, now);
     if (record->fingerprint != fingerprint)
-        return context_.settler->refuse(
+        return context_.finalizer->refuse(
             exchange, {.outcome = model::Outcome::NotRun, .reason = model::Reason::KeyConflict}, now);
-    join(exchange, *record, now);
+    continueWithRecord(exchange, *record, now);
 }
 
 KeyRecord* KeyedRequests::addRecord(const Exchange& exchange, uint64_t fingerprint, Timestamp now)
@@ -129,7 +129,7 @@
     return record;
 }
 
-void KeyedRequests::join(Exchange& exchange, KeyRecord& record, Timestamp now)
+void KeyedRequests::continueWithRecord(Exchange& exchange, KeyRecord& record, Timestamp now)
 {
     switch (record.state) {
     case KeyState::Open:
@@ -137,12 +137,12 @@
     case KeyState::Answered:
         return replay(exchange, record, now);
     case KeyState::Unknown:
-        return tellUnknown(exchange, model::Reason::KeyInUse, now);
+        return refuseAsUnknown(exchange, model::Reason::KeyInUse, now);
     case KeyState::Running:
         break;
     }
-    if (record.waiters.size() >= LargestWaiters)
-        return tellUnknown(exchange, model::Reason::KeyInUse, now);
+    if (record.waiters.size() >= MaxWaiters)
+        return refuseAsUnknown(exchange, model::Reason::KeyInUse, now);
     record.waiters.push_back(exchange.id);
     exchange.phase = Phase::WaitingForRun;
 }
@@ -155,32 +155,33 @@
     if (!record.needsClaim || record.isClaimed)
         return context_.forwarder->start(exchange, now);
     if (context_.controlLeader.isEmpty())
-        return context_.settler->giveUp(exchange, model::Reason::NoQuorum, DefaultRetryAfter, now);
+        return context_.finalizer->giveUp(exchange, model::Reason::NoQuorum, DefaultRetryAfter, now);
     exchange.phase = Phase::Claiming;
     claims_.send(record, now);
 }
 
 void KeyedRequests::replay(Exchange& exchange, const KeyRecord& record, Timestamp now)
 {
-    if (!record.answer)
-        return tellUnknown(exchange, model::Reason::KeyInUse, now);
+    if (!record.response)
+        return refuseAsUnknown(exchange, model::Reason::KeyInUse, now);
     context_.counters->add(model::Counter::KeyReplays);
-    context_.writer->writeWhole(exchange, record.answer->head, record.answer->body, true);
-    context_.settler->finishAnswered(exchange, now);
+    context_.writer->writeComplete(exchange, record.response->head, record.response->body, true);
+    context_.finalizer->finishAnswered(exchange, now);
 }
 
-void KeyedRequests::tellUnknown(Exchange& exchange, model::Reason reason, Timestamp now)
+void KeyedRequests::refuseAsUnknown(Exchange& exchange, model::Reason reason, Timestamp now)
 {
-    context_.settler->refuse(exchange, {.outcome = model::Outcome::Unknown, .reason = reason}, now);
+    context_.finalizer->refuse(exchange, {.outcome = model::Outcome::Unknown, .reason = reason}, now);
 }
 
-void KeyedRequests::keepAnswer(const Exchange& exchange, StoredAnswer answer)
+void KeyedRequests::storeResponse(const Exchange& exchange, StoredResponse response)
 {
     if (KeyRecord* record = context_.keys.find(exchange.keyName()))
-        context_.keys.keepAnswer(*record, std::move(answer));
+        context_.keys.storeResponse(*record, std::move(response));
 }
 
-void KeyedRequests::endRun(Exchange& exchange, const Ending& ending, bool isToldToCaller, Timestamp now)
+void KeyedRequests::completeRun(
+    Exchange& exchange, const Completion& completion, bool isReportedToCaller, Timestamp now)
 {
     exchange.isRunner = false;
     KeyRecord* record = context_.keys.find(exchange.keyName());
@@ -188,27 +189,27 @@
         return;
     const KeyName key = record->name;
     std::vector<ExchangeId> waiters = std::exchange(record->waiters, {});
-    const bool hasRun = ending.outcome == model::Outcome::Answered;
+    const bool hasRun = completion.outcome == model::Outcome::Answered;
     const bool isOpen = !hasRun && !exchange.mayHaveRun;
-    record->restUntil = now + RestMemory;
+    record->retainUntil = now + MinRecordRetention;
     record->state = isOpen ? KeyState::Open : hasRun ? KeyState::Answered : KeyState::Unknown;
-    if (isOpen && !(isToldToCaller && ending.outcome == model::Outcome::NotRun))
+    if (isOpen && !(isReportedToCaller && completion.outcome == model::Outcome::NotRun))
         return rerun(std::move(waiters), key, now);
-    tellWaiters(std::move(waiters), key, ending, now);
+    notifyWaiters(std::move(waiters), key, completion, now);
 }
 
-void KeyedRequests::tellWaiters(
-    std::vector<ExchangeId> waiters, const KeyName& key, const Ending& ending, Timestamp now)
+void KeyedRequests::notifyWaiters(
+    std::vector<ExchangeId> waiters, const KeyName& key, const Completion& completion, Timestamp now)
 {
     for (const ExchangeId id : waiters) {
         Exchange* waiter = context_.table.find(id);
         if (!waiter || waiter->phase != Phase::WaitingForRun)
             continue;
         const KeyRecord* record = context_.keys.find(key);
-        if (ending.outcome == model::Outcome::Answered && record)
+        if (completion.outcome == model::Outcome::Answered && record)
             replay(*waiter, *record, now);
         else
-            context_.settler->refuse(*waiter, ending, now);
+            context_.finalizer->refuse(*waiter, completion, now);
     }
 }
 
@@ -218,7 +219,7 @@
         Exchange* waiter = context_.table.find(id);
         KeyRecord* record = context_.keys.find(key);
         if (waiter && record && waiter->phase == Phase::WaitingForRun)
-            join(*waiter, *record, now);
+            continueWithRecord(*waiter, *record, now);
     }
 }
 
@@ -229,7 +230,7 @@
         record->state = KeyState::Open;
 }
 
-void KeyedRequests::leaveWaiters(const Exchange& exchange)
+void KeyedRequests::removeWaiter(const Exchange& exchange)
 {
     if (KeyRecord* record = context_.keys.find(exchange.keyName()))
         std::erase(record->waiters, exchange.id);
--- a/src/requests/internal/keyedrequests.h
+++ b/src/requests/internal/keyedrequests.h
@@ -10,28 +10,30 @@
 
 namespace saltvane::requests {
 
-/// Non-repeatable requests by their key: each key is run at most once, at its minter or at the host that claimed it
-/// in the replicated log. Resends get the stored answer, wait for it, or are told "unknown".
+/// Handles non-repeatable requests by their idempotency key. Each key runs at most once: at the host that issued it, or
+/// at the host that claimed it in the replicated log. A resend gets the stored response, waits for the run to end, or
+/// gets outcome unknown.
 class KeyedRequests {
 public:
     explicit KeyedRequests(EntryContext& context);
 
-    /// A keyed request has arrived. `admission`: why no new one is taken now, or None.
-    void begin(Exchange& exchange, model::Reason admission, Timestamp now);
-    /// More of the body is in.
-    void noteBody(Exchange& exchange, Timestamp now);
+    /// Starts a keyed request. `admissionRefusal` is the reason why no new request is accepted at present, or None.
+    void begin(Exchange& exchange, model::Reason admissionRefusal, Timestamp now);
+    /// Continues the request once enough of its body has arrived for the fingerprint.
+    void onBodyReceived(Exchange& exchange, Timestamp now);
     void handle(const model::ClaimReply& reply, Timestamp now);
-    void noteLeaderChanged() { claims_.noteLeaderChanged(); }
+    void onLeaderChanged() { claims_.onLeaderChanged(); }
 
-    /// The record gets the answer of its run.
-    void keepAnswer(const Exchange& exchange, StoredAnswer answer);
-    /// The run of the exchange's key ended; those that wait for it get its outcome.
-    void endRun(Exchange& exchange, const Ending& ending, bool isToldToCaller, Timestamp now);
-    /// The owner has said that the run told as unknown did not run.
+    /// Stores the response of the run in the record of the key.
+    void storeResponse(const Exchange& exchange, StoredResponse response);
+    /// Completes the run of the exchange's key. If the key may still run and the caller was not told "not run", a
+    /// waiting request runs it; otherwise the waiting requests get the same outcome.
+    void completeRun(Exchange& exchange, const Completion& completion, bool isReportedToCaller, Timestamp now);
+    /// Allows the key to run again: the owner reported that the run with outcome unknown did not run.
     void reopen(const KeyName& key);
-    /// The exchange no longer waits for the run of its key.
-    void leaveWaiters(const Exchange& exchange);
-    /// No request of this key has run, and none will unless it is sent again.
+    /// Stops the exchange waiting for the run of its key.
+    void removeWaiter(const Exchange& exchange);
+    /// True if no request with this key has run and none will run unless it is sent again.
     [[nodiscard]] bool isKnownNotRun(const Exchange& exchange, Timestamp now) const;
     void tick(Timestamp now);
 
@@ -39,26 +41,27 @@
     enum class KeyKind { Own, Foreign, CallerMade, Expired, Invalid };
     struct Identity {
         KeyKind kind = KeyKind::Invalid;
-        HostId minter;
+        HostId issuer;
         Incarnation incarnation;
         Timestamp expiry;
     };
 
     [[nodiscard]] Identity identify(const Exchange& exchange, Timestamp now) const;
-    void beginUnknownKey(Exchange& exchange, Timestamp now);
+    void beginWithoutRecord(Exchange& exchange, Timestamp now);
     void startAtHolder(Exchange& exchange, const HostId& holder, Incarnation incarnation, Timestamp now);
-    void resolve(Exchange& exchange, Timestamp now);
+    void resolveRecord(Exchange& exchange, Timestamp now);
     [[nodiscard]] KeyRecord* addRecord(const Exchange& exchange, uint64_t fingerprint, Timestamp now);
-    void join(Exchange& exchange, KeyRecord& record, Timestamp now);
+    void continueWithRecord(Exchange& exchange, KeyRecord& record, Timestamp now);
     void run(Exchange& exchange, KeyRecord& record, Timestamp now);
     void replay(Exchange& exchange, const KeyRecord& record, Timestamp now);
-    void tellUnknown(Exchange& exchange, model::Reason reason, Timestamp now);
-    void tellWaiters(std::vector<ExchangeId> waiters, const KeyName& key, const Ending& ending, Timestamp now);
+    void refuseAsUnknown(Exchange& exchange, model::Reason reason, Timestamp now);
+    void notifyWaiters(
+        std::vector<ExchangeId> waiters, const KeyName& key, const Completion& completion, Timestamp now);
     void rerun(std::vector<ExchangeId> waiters, const KeyName& key, Timestamp now);
-    void takeGrant(KeyRecord& record, Timestamp now);
-    void moveToHolder(KeyRecord& record, const model::ClaimReply& reply, Timestamp now);
-    void refuseAll(KeyRecord& record, const Ending& ending, Timestamp now);
-    [[nodiscard]] std::vector<ExchangeId> takeAll(KeyRecord& record);
+    void applyGrant(KeyRecord& record, Timestamp now);
+    void forwardToHolder(KeyRecord& record, const model::ClaimReply& reply, Timestamp now);
+    void refuseAll(KeyRecord& record, const Completion& completion, Timestamp now);
+    [[nodiscard]] std::vector<ExchangeId> detachExchanges(KeyRecord& record);
 
     EntryContext& context_;
     KeyClaims claims_;
--- a/src/requests/internal/keytable.cpp
+++ b/src/requests/internal/keytable.cpp
@@ -12,12 +12,12 @@
 
 constexpr int RecordsSweptPerTick = 256;
 
-bool canForget(const KeyRecord& record, Timestamp now)
+bool canErase(const KeyRecord& record, Timestamp now)
 {
     if (record.state == KeyState::Running || !record.waiters.empty())
         return false;
-    const bool isBound = record.state != KeyState::Open;
-    return now >= record.restUntil && (!isBound || now >= record.expiry);
+    const bool mustOutliveExpiry = record.state != KeyState::Open;
+    return now >= record.retainUntil && (!mustOutliveExpiry || now >= record.expiry);
 }
 
 } // namespace
@@ -36,7 +36,7 @@
 
 KeyRecord* KeyTable::add(const KeyName& name, uint64_t fingerprint, Timestamp expiry)
 {
-    if (records_.size() >= limits_.largestKeys)
+    if (records_.size() >= limits_.maxKeys)
         return nullptr;
     KeyRecord& record = records_[name];
     record.name = name;
@@ -50,43 +50,43 @@
     KeyRecord* record = find(name);
     if (!record)
         return;
-    dropAnswer(*record);
+    discardResponse(*record);
     records_.erase(name);
 }
 
-void KeyTable::keepAnswer(KeyRecord& record, StoredAnswer answer)
+void KeyTable::storeResponse(KeyRecord& record, StoredResponse response)
 {
-    const uint64_t size = answer.size();
-    if (size > limits_.largestAnswer || size > limits_.largestTotal)
+    const uint64_t size = response.size();
+    if (size > limits_.maxResponseBytes || size > limits_.maxTotalBytes)
         return;
-    while (storedBytes_ + size > limits_.largestTotal)
-        dropAnswer(answers_.front());
-    record.answer = std::make_unique<StoredAnswer>(std::move(answer));
+    while (storedBytes_ + size > limits_.maxTotalBytes)
+        discardResponse(responses_.front());
+    record.response = std::make_unique<StoredResponse>(std::move(response));
     storedBytes_ += size;
-    answers_.push_back(record);
+    responses_.push_back(record);
 }
 
-void KeyTable::dropAnswer(KeyRecord& record)
+void KeyTable::discardResponse(KeyRecord& record)
 {
-    if (!record.answer)
+    if (!record.response)
         return;
-    storedBytes_ -= record.answer->size();
-    record.answer.reset();
-    record.answerHook.unlink();
+    storedBytes_ -= record.response->size();
+    record.response.reset();
+    record.responseHook.unlink();
 }
 
 void KeyTable::tick(Timestamp now)
 {
-    auto position = records_.upper_bound(sweptUpTo_);
+    auto position = records_.upper_bound(sweepPosition_);
     for (int count = 0; count < RecordsSweptPerTick; ++count) {
         if (position == records_.end()) {
-            sweptUpTo_ = {};
+            sweepPosition_ = {};
             return;
         }
-        sweptUpTo_ = position->first;
+        sweepPosition_ = position->first;
         KeyRecord& record = position->second;
         ++position;
-        if (canForget(record, now))
+        if (canErase(record, now))
             erase(KeyName(record.name));
     }
 }
--- a/src/requests/internal/keytable.h
+++ b/src/requests/internal/keytable.h
@@ -7,7 +7,7 @@
 
 #include "base/ids.h"
 #include "base/timetypes.h"
-#include "requests/internal/answerstream.h"
+#include "requests/internal/responsestream.h"
 
 #include <boost/intrusive/list.hpp>
 #include <cstdint>
@@ -18,10 +18,10 @@
 
 namespace saltvane::requests {
 
-/// Names an exchange in this host's table; grows with arrival.
+/// Identifies an exchange of this host; ids grow in order of arrival.
 using ExchangeId = Number<struct ExchangeIdTag>;
 
-/// The identity of a non-repeatable request.
+/// Service and idempotency key of a non-repeatable request.
 struct KeyName {
     ServiceName service;
     std::string key;
@@ -29,38 +29,39 @@
 };
 
 enum class KeyState {
-    Open, ///< Not run so far: a resend may run it.
+    Open, ///< Has not run; a resend may run it.
     Running,
-    Answered, ///< Ran; its answer is kept or not.
+    Answered, ///< Has run; its response may be stored.
     Unknown ///< May have run.
 };
 
-using AnswerHook = boost::intrusive::list_member_hook<boost::intrusive::link_mode<boost::intrusive::auto_unlink>>;
+using ResponseHook = boost::intrusive::list_member_hook<boost::intrusive::link_mode<boost::intrusive::auto_unlink>>;
 
-/// What this host knows of one key.
+/// State of one key at this host.
 struct KeyRecord {
     KeyName name;
     uint64_t fingerprint = 0;
     KeyState state = KeyState::Open;
-    Timestamp expiry; ///< Of its token or claim: once run, it is kept at least until then.
-    Timestamp restUntil; ///< Kept at least until then, whatever became of it.
-    ExchangeId runner; ///< While Running.
-    std::vector<ExchangeId> waiters; ///< Resends that wait for the run's end.
-    bool needsClaim = false; ///< Of the caller's own making.
-    bool isClaimed = false; ///< In the replicated log, for this host.
-    uint64_t claim = 0; ///< Number of its claim; 0: none made.
-    std::unique_ptr<StoredAnswer> answer;
-    AnswerHook answerHook; ///< In the order the answers were kept.
+    /// Expiry of the token or claim. Once the key has run, its record is retained at least until then.
+    Timestamp expiry;
+    Timestamp retainUntil; ///< The record is retained at least until then, in any state.
+    ExchangeId runner; ///< The exchange that runs the key; valid in state Running.
+    std::vector<ExchangeId> waiters; ///< Resends that wait for the run to end.
+    bool needsClaim = false; ///< The caller made the key itself.
+    bool isClaimed = false; ///< The replicated log has granted the key to this host.
+    uint64_t claim = 0; ///< Number of the claim; 0 if there is none.
+    std::unique_ptr<StoredResponse> response;
+    ResponseHook responseHook; ///< Orders the stored responses by the time of storing.
 };
 
-/// The keys that this host may have run, with the answers kept for resends. Bounded: a full table takes no new key
-/// rather than forget one; answers are let go oldest first, keys never before their expiry.
+/// The keys that this host may have run, with the responses stored for resends. Size is bounded: a full table accepts
+/// no new key instead of evicting one. Responses are evicted oldest first; keys are never removed before their expiry.
 class KeyTable {
 public:
     struct Limits {
-        uint64_t largestAnswer = 0;
-        uint64_t largestTotal = 0;
-        uint32_t largestKeys = 0;
+        uint64_t maxResponseBytes = 0;
+        uint64_t maxTotalBytes = 0;
+        uint32_t maxKeys = 0;
     };
     explicit KeyTable(Limits limits)
         : limits_(limits)
@@ -69,27 +70,27 @@
 
     [[nodiscard]] KeyRecord* find(const KeyName& name);
     [[nodiscard]] const KeyRecord* find(const KeyName& name) const;
-    /// A new record in state Open; null when the table is full.
+    /// Adds a record in state Open; returns null if the table is full.
     [[nodiscard]] KeyRecord* add(const KeyName& name, uint64_t fingerprint, Timestamp expiry);
     void erase(const KeyName& name);
-    /// Keeps the answer of a run, where the limits allow it.
-    void keepAnswer(KeyRecord& record, StoredAnswer answer);
-    /// Drops a part of what has expired by now; some ticks later all of it.
+    /// Stores the response of a run if the limits allow it.
+    void storeResponse(KeyRecord& record, StoredResponse response);
+    /// Erases expired records. Each tick checks a bounded number of records; successive ticks cover the whole table.
     void tick(Timestamp now);
     [[nodiscard]] size_t size() const { return records_.size(); }
     [[nodiscard]] uint64_t storedBytes() const { return storedBytes_; }
 
 private:
-    using AnswerList = boost::intrusive::list<KeyRecord,
-        boost::intrusive::member_hook<KeyRecord, AnswerHook, &KeyRecord::answerHook>,
+    using ResponseList = boost::intrusive::list<KeyRecord,
+        boost::intrusive::member_hook<KeyRecord, ResponseHook, &KeyRecord::responseHook>,
         boost::intrusive::constant_time_size<false>>;
-    void dropAnswer(KeyRecord& record);
+    void discardResponse(KeyRecord& record);
 
     Limits limits_;
     std::map<KeyName, KeyRecord> records_;
-    AnswerList answers_;
+    ResponseList responses_;
     uint64_t storedBytes_ = 0;
-    KeyName sweptUpTo_;
+    KeyName sweepPosition_;
 };
 
 } // namespace saltvane::requests
--- a/src/requests/internal/ownerdispatcher.cpp
+++ b/src/requests/internal/ownerdispatcher.cpp
@@ -19,23 +19,23 @@
     return std::ranges::find(exchange.excluded, target) != exchange.excluded.end();
 }
 
-/// A request that once may have run is never told to be not run.
-OwnerEnding truthful(const OwnerExchange& exchange, OwnerEnding ending)
+/// Changes "not run" to unknown if an earlier attempt may have run the request.
+OwnerCompletion withTrueOutcome(const OwnerExchange& exchange, OwnerCompletion completion)
 {
-    if (ending.outcome != model::Outcome::NotRun || !exchange.mayHaveRun)
-        return ending;
+    if (completion.outcome != model::Outcome::NotRun || !exchange.mayHaveRun)
+        return completion;
     return {.outcome = model::Outcome::Unknown, .reason = model::Reason::TargetFailed};
 }
 
 } // namespace
 
 OwnerDispatcher::OwnerDispatcher(
-    const OwnerRequestsOptions& options, model::Counters& counters, OwnerTable& table, OwnerPeers& peers)
+    const OwnerRequestsOptions& options, model::Counters& counters, OwnerTable& table, OwnerDuplicateFilter& duplicates)
     : options_(options)
     , counters_(counters)
     , table_(table)
-    , peers_(peers)
-    , queues_(options.queueOrder, options.queuePerRoom)
+    , duplicates_(duplicates)
+    , queues_(options.queueOrder, options.maxQueuedPerSlot)
     , slots_(*options.pool)
 {
 }
@@ -44,8 +44,8 @@
 {
     if (exchange.deadline <= now)
         return finish(exchange, {model::Outcome::NotRun, model::Reason::DeadlineExceeded}, now);
-    const bool isFirstInLine = queues_.size(exchange.request.service) == 0;
-    if (isFirstInLine && startAttempt(exchange, now))
+    const bool isQueueEmpty = queues_.size(exchange.request.service) == 0;
+    if (isQueueEmpty && startAttempt(exchange, now))
         return;
     enqueue(exchange, now);
 }
@@ -68,7 +68,7 @@
     exchange.excluded.push_back(slot.target);
     counters_.add(model::Counter::Dispatches);
     const model::ForwardRequest& request = exchange.request;
-    act(TargetStart {.dispatch = dispatch,
+    emit(TargetStart {.dispatch = dispatch,
         .target = slot.target,
         .address = slot.address,
         .method = request.method,
@@ -79,10 +79,10 @@
     OwnerUpload& upload = exchange.upload;
     upload.startAttempt();
     const bool hasLast = upload.hasBody() && upload.isComplete();
-    if (hasLast || !upload.kept().empty())
-        act(TargetRequestBody {.dispatch = dispatch, .bytes = upload.kept(), .isLast = hasLast});
-    if (exchange.attempts >= options_.largestAttempts)
-        upload.dropKept();
+    if (hasLast || !upload.retained().empty())
+        emit(TargetRequestBody {.dispatch = dispatch, .bytes = upload.retained(), .isLast = hasLast});
+    if (exchange.attempts >= options_.maxAttempts)
+        upload.discardRetained();
 }
 
 void OwnerDispatcher::enqueue(OwnerExchange& exchange, Timestamp now)
@@ -92,8 +92,8 @@
     const ServiceName service = exchange.request.service;
     const bool isQueued = queues_.push(exchange, options_.pool->room(service).room, now);
     if (!isQueued)
-        refuseFull(exchange, now);
-    settleDropped(now);
+        refuseQueueFull(exchange, now);
+    finishDropped(now);
     if (isQueued)
         serveQueue(service, now);
 }
@@ -105,7 +105,7 @@
     return options_.pool->room(exchange.request.service).targets > excludedHere;
 }
 
-void OwnerDispatcher::refuseFull(OwnerExchange& exchange, Timestamp now)
+void OwnerDispatcher::refuseQueueFull(OwnerExchange& exchange, Timestamp now)
 {
     const ServiceName& service = exchange.request.service;
     const Duration wait = queues_.expectedWait(service, options_.pool->room(service).room);
@@ -127,7 +127,8 @@
 
 void OwnerDispatcher::serveQueue(const ServiceName& service, Timestamp now)
 {
-    // The slot is taken before the waiter: a waiter put back would lose its place.
+    // Acquires the slot before removing the request from the queue: a request that is queued again would lose its
+    // position.
     std::vector<OwnerExchangeId> blocked;
     while (queues_.size(service) > 0) {
         auto slot = slots_.acquire(service, {}, now);
@@ -148,12 +149,12 @@
     for (const OwnerExchangeId id : blocked) {
         OwnerExchange& exchange = *table_.find(id);
         if (!queues_.push(exchange, options_.pool->room(service).room, now))
-            refuseFull(exchange, now);
+            refuseQueueFull(exchange, now);
     }
-    settleDropped(now);
+    finishDropped(now);
 }
 
-void OwnerDispatcher::settleDropped(Timestamp now)
+void OwnerDispatcher::finishDropped(Timestamp now)
 {
     for (const steering::Dropped& dropped : queues_.takeDropped()) {
         OwnerExchange* exchange = table_.find(dropped.waiter);
@@ -165,55 +166,55 @@
     }
 }
 
-void OwnerDispatcher::noteAnswered(OwnerExchange& exchange, Timestamp now)
+void OwnerDispatcher::onAnswered(OwnerExchange& exchange, Timestamp now)
 {
     const OwnerAttempt& attempt = *exchange.attempt;
     const Duration latency = now - attempt.started;
     slots_.release(attempt.slot, steering::DispatchResult::Answered, latency, now);
-    queues_.noteServiceTime(exchange.request.service, latency);
+    queues_.recordServiceTime(exchange.request.service, latency);
     endAttempt(exchange);
 }
 
-void OwnerDispatcher::noteShed(OwnerExchange& exchange, std::span<const model::Header> headers, Timestamp now)
+void OwnerDispatcher::onShed(OwnerExchange& exchange, std::span<const model::Header> headers, Timestamp now)
 {
     const OwnerAttempt& attempt = *exchange.attempt;
-    act(TargetCancel {.dispatch = attempt.dispatch});
+    emit(TargetCancel {.dispatch = attempt.dispatch});
     slots_.release(attempt.slot, steering::DispatchResult::Shed, now - attempt.started, now);
     endAttempt(exchange);
     const ServiceName& service = exchange.request.service;
     const Duration wait = queues_.expectedWait(service, options_.pool->room(service).room);
-    tryAnother(
+    retryOrFinish(
         exchange, {model::Outcome::NotRun, model::Reason::TargetShed, retryAfterOf(headers).value_or(wait)}, now);
 }
 
-void OwnerDispatcher::noteFailed(OwnerExchange& exchange, bool mayHaveReachedTarget, Timestamp now)
+void OwnerDispatcher::onFailed(OwnerExchange& exchange, bool mayHaveReachedTarget, Timestamp now)
 {
     const OwnerAttempt& attempt = *exchange.attempt;
     const Duration latency = now - attempt.started;
     if (mayHaveReachedTarget)
-        slots_.releaseClosed(attempt.slot, steering::DispatchResult::Failed, latency, now);
+        slots_.releaseAfterClose(attempt.slot, steering::DispatchResult::Failed, latency, now);
     else
         slots_.release(attempt.slot, steering::DispatchResult::Failed, latency, now);
     endAttempt(exchange);
     if (!mayHaveReachedTarget && !exchange.download) {
         --exchange.tries;
-        return tryAnother(exchange, {model::Outcome::NotRun, model::Reason::ConnectFailed}, now);
+        return retryOrFinish(exchange, {model::Outcome::NotRun, model::Reason::ConnectFailed}, now);
     }
     exchange.mayHaveRun = true;
-    const OwnerEnding failed {model::Outcome::Unknown, model::Reason::TargetFailed};
+    const OwnerCompletion failed {model::Outcome::Unknown, model::Reason::TargetFailed};
     if (!exchange.request.isRepeatable || exchange.download)
         return finish(exchange, failed, now);
-    tryAnother(exchange, failed, now);
+    retryOrFinish(exchange, failed, now);
 }
 
-void OwnerDispatcher::tryAnother(OwnerExchange& exchange, OwnerEnding ending, Timestamp now)
+void OwnerDispatcher::retryOrFinish(OwnerExchange& exchange, OwnerCompletion completion, Timestamp now)
 {
     const bool mayRetry
-        = exchange.attempts < options_.largestAttempts && exchange.upload.isKept() && now < exchange.deadline;
+        = exchange.attempts < options_.maxAttempts && exchange.upload.isRetained() && now < exchange.deadline;
     if (!mayRetry || !startAttempt(exchange, now))
-        return finish(exchange, ending, now);
+        return finish(exchange, completion, now);
     counters_.add(model::Counter::Retries);
-    counters_.addRetry(ending.reason);
+    counters_.addRetry(completion.reason);
 }
 
 void OwnerDispatcher::endAttempt(OwnerExchange& exchange)
@@ -222,12 +223,12 @@
     hasFreedSlot_ = true;
 }
 
-bool OwnerDispatcher::breakAttempt(OwnerExchange& exchange, steering::DispatchResult result, Timestamp now)
+bool OwnerDispatcher::abortAttempt(OwnerExchange& exchange, steering::DispatchResult result, Timestamp now)
 {
     if (exchange.attempt) {
         const OwnerAttempt& attempt = *exchange.attempt;
-        act(TargetCancel {.dispatch = attempt.dispatch});
-        slots_.releaseClosed(attempt.slot, result, now - attempt.started, now);
+        emit(TargetCancel {.dispatch = attempt.dispatch});
+        slots_.releaseAfterClose(attempt.slot, result, now - attempt.started, now);
         endAttempt(exchange);
         return true;
     }
@@ -237,40 +238,41 @@
     return false;
 }
 
-void OwnerDispatcher::breakOff(
+void OwnerDispatcher::abortRequest(
     OwnerExchange& exchange, steering::DispatchResult result, model::Reason reason, Timestamp now)
 {
-    const bool wasDispatched = breakAttempt(exchange, result, now);
+    const bool wasDispatched = abortAttempt(exchange, result, now);
     finish(exchange, {wasDispatched ? model::Outcome::Unknown : model::Outcome::NotRun, reason}, now);
 }
 
-void OwnerDispatcher::drop(OwnerExchange& exchange, Timestamp now)
+void OwnerDispatcher::dropRequest(OwnerExchange& exchange, Timestamp now)
 {
-    const bool wasDispatched = breakAttempt(exchange, steering::DispatchResult::Cancelled, now);
-    record(exchange, {wasDispatched ? model::Outcome::Unknown : model::Outcome::NotRun, model::Reason::PeerLost}, now);
-    peers_.noteEnded(exchange.key);
+    const bool wasDispatched = abortAttempt(exchange, steering::DispatchResult::Cancelled, now);
+    writeAccessRecord(
+        exchange, {wasDispatched ? model::Outcome::Unknown : model::Outcome::NotRun, model::Reason::PeerLost}, now);
+    duplicates_.recordEnded(exchange.key);
     table_.erase(exchange);
 }
 
-void OwnerDispatcher::finish(OwnerExchange& exchange, OwnerEnding ending, Timestamp now)
+void OwnerDispatcher::finish(OwnerExchange& exchange, OwnerCompletion completion, Timestamp now)
 {
-    ending = truthful(exchange, ending);
+    completion = withTrueOutcome(exchange, completion);
     send(exchange,
         model::ForwardEnd {.correlation = exchange.key.correlation,
-            .outcome = ending.outcome,
-            .reason = ending.reason,
-            .retryAfter = ending.retryAfter,
+            .outcome = completion.outcome,
+            .reason = completion.reason,
+            .retryAfter = completion.retryAfter,
             .target = exchange.target,
             .tries = exchange.tries});
-    record(exchange, ending, now);
-    peers_.noteEnded(exchange.key);
+    writeAccessRecord(exchange, completion, now);
+    duplicates_.recordEnded(exchange.key);
     table_.erase(exchange);
 }
 
-void OwnerDispatcher::record(const OwnerExchange& exchange, const OwnerEnding& ending, Timestamp now)
+void OwnerDispatcher::writeAccessRecord(const OwnerExchange& exchange, const OwnerCompletion& completion, Timestamp now)
 {
     const model::ForwardRequest& request = exchange.request;
-    act(AccessRecord {.request = request.request,
+    emit(AccessRecord {.request = request.request,
         .service = request.service,
         .method = request.method,
         .clientRegion = request.clientRegion,
@@ -278,8 +280,8 @@
         .owner = options_.self.host,
         .target = exchange.target,
         .tries = exchange.tries,
-        .outcome = ending.outcome,
-        .reason = ending.reason,
+        .outcome = completion.outcome,
+        .reason = completion.reason,
         .status = exchange.status,
         .total = now - exchange.started,
         .isOwnerSide = true});
@@ -287,16 +289,16 @@
 
 void OwnerDispatcher::send(const OwnerExchange& exchange, model::Message message)
 {
-    act(model::Outgoing {.to = exchange.key.host, .message = std::move(message)});
+    emit(model::Outgoing {.to = exchange.key.host, .message = std::move(message)});
 }
 
 void OwnerDispatcher::tick(Timestamp now)
 {
     slots_.tick(now);
     queues_.tick(now);
-    settleDropped(now);
+    finishDropped(now);
 }
 
-void OwnerDispatcher::releaseClosedSlots(Timestamp now) { slots_.releaseAll(now); }
+void OwnerDispatcher::releaseClosingSlots(Timestamp now) { slots_.releaseAll(now); }
 
 } // namespace saltvane::requests
--- a/src/requests/internal/ownerdispatcher.h
+++ b/src/requests/internal/ownerdispatcher.h
@@ -17,43 +17,44 @@
 
 namespace saltvane::requests {
 
-/// How a forwarded request ends.
-struct OwnerEnding {
+/// Result of a forwarded request.
+struct OwnerCompletion {
     model::Outcome outcome = model::Outcome::Unknown;
     model::Reason reason = model::Reason::None;
     Duration retryAfter {};
 };
 
-/// Brings forwarded requests to slots and to their end: queue, attempts, retries here, settle.
+/// Queues forwarded requests, dispatches them to targets, retries on other targets and reports the outcome.
 class OwnerDispatcher {
 public:
-    OwnerDispatcher(
-        const OwnerRequestsOptions& options, model::Counters& counters, OwnerTable& table, OwnerPeers& peers);
+    OwnerDispatcher(const OwnerRequestsOptions& options, model::Counters& counters, OwnerTable& table,
+        OwnerDuplicateFilter& duplicates);
 
-    /// Starts a request that has just come, or lets it wait, or refuses it.
+    /// Dispatches a new request, queues it or refuses it.
     void begin(OwnerExchange& exchange, Timestamp now);
-    /// Gives free slots to waiting requests.
+    /// Dispatches queued requests to free slots.
     void serveQueues(Timestamp now);
-    /// The same where a slot was given back since the last call.
+    /// Calls serveQueues() if a slot was released since the last call.
     void serveFreedSlots(Timestamp now);
 
-    void noteAnswered(OwnerExchange& exchange, Timestamp now);
-    void noteShed(OwnerExchange& exchange, std::span<const model::Header> headers, Timestamp now);
-    void noteFailed(OwnerExchange& exchange, bool mayHaveReachedTarget, Timestamp now);
-    /// Takes the request from its queue or breaks its attempt off, and ends it. What was dispatched ends as unknown.
-    void breakOff(OwnerExchange& exchange, steering::DispatchResult result, model::Reason reason, Timestamp now);
-    /// As breakOff, for a request whose entry host is gone: nobody is told.
-    void drop(OwnerExchange& exchange, Timestamp now);
-    /// Ends the request: the entry host is told, once. The exchange is void.
-    void finish(OwnerExchange& exchange, OwnerEnding ending, Timestamp now);
+    void onAnswered(OwnerExchange& exchange, Timestamp now);
+    void onShed(OwnerExchange& exchange, std::span<const model::Header> headers, Timestamp now);
+    void onFailed(OwnerExchange& exchange, bool mayHaveReachedTarget, Timestamp now);
+    /// Removes the request from its queue or aborts its attempt, and ends it. The outcome of a dispatched request is
+    /// unknown.
+    void abortRequest(OwnerExchange& exchange, steering::DispatchResult result, model::Reason reason, Timestamp now);
+    /// Like abortRequest(), without a report because the entry host is lost.
+    void dropRequest(OwnerExchange& exchange, Timestamp now);
+    /// Ends the request and reports the outcome to the entry host. The exchange is no longer valid.
+    void finish(OwnerExchange& exchange, OwnerCompletion completion, Timestamp now);
 
     void send(const OwnerExchange& exchange, model::Message message);
-    void act(Action action) { actions_.push_back(std::move(action)); }
+    void emit(Action action) { actions_.push_back(std::move(action)); }
     [[nodiscard]] std::vector<Action> takeActions() { return std::exchange(actions_, {}); }
 
     void tick(Timestamp now);
-    void releaseClosedSlots(Timestamp now);
-    [[nodiscard]] uint32_t closingSlots() const { return slots_.closing(); }
+    void releaseClosingSlots(Timestamp now);
+    [[nodiscard]] uint32_t closingSlotCount() const { return slots_.closingCount(); }
     [[nodiscard]] const OwnerQueues& queues() const { return queues_; }
 
 private:
@@ -62,18 +63,18 @@
     void enqueue(OwnerExchange& exchange, Timestamp now);
     [[nodiscard]] bool hasTargetLeft(const OwnerExchange& exchange) const;
     void serveQueue(const ServiceName& service, Timestamp now);
-    void refuseFull(OwnerExchange& exchange, Timestamp now);
-    void settleDropped(Timestamp now);
-    void tryAnother(OwnerExchange& exchange, OwnerEnding ending, Timestamp now);
+    void refuseQueueFull(OwnerExchange& exchange, Timestamp now);
+    void finishDropped(Timestamp now);
+    void retryOrFinish(OwnerExchange& exchange, OwnerCompletion completion, Timestamp now);
     void endAttempt(OwnerExchange& exchange);
-    /// False for a request that waits in a queue, which it leaves.
-    bool breakAttempt(OwnerExchange& exchange, steering::DispatchResult result, Timestamp now);
-    void record(const OwnerExchange& exchange, const OwnerEnding& ending, Timestamp now);
+    /// Aborts the attempt; returns false if the request was still queued, which removes it from the queue.
+    bool abortAttempt(OwnerExchange& exchange, steering::DispatchResult result, Timestamp now);
+    void writeAccessRecord(const OwnerExchange& exchange, const OwnerCompletion& completion, Timestamp now);
 
     const OwnerRequestsOptions& options_;
     model::Counters& counters_;
     OwnerTable& table_;
-    OwnerPeers& peers_;
+    OwnerDuplicateFilter& duplicates_;
     OwnerQueues queues_;
     OwnerSlots slots_;
     std::vector<Action> actions_;
--- a/src/requests/internal/ownerdownload.cpp
+++ b/src/requests/internal/ownerdownload.cpp
@@ -12,9 +12,9 @@
 
 namespace {
 
-constexpr uint64_t LargestFrameBody = 64 * 1024;
-/// Bytes ahead of what the entry host took: one window under way, and as much again waiting here.
-constexpr uint64_t LargestAhead = 2 * InitialBodyWindow;
+constexpr uint64_t MaxFrameBodyBytes = 64 * 1024;
+/// Limit of bytes not acknowledged by the entry host: one window sent and one window buffered here.
+constexpr uint64_t MaxUnacknowledgedBytes = 2 * InitialBodyWindow;
 
 } // namespace
 
@@ -23,7 +23,7 @@
     received_ += bytes.size();
     if (length_ && received_ > *length_)
         return false;
-    if (received_ > LargestAhead + taken_)
+    if (received_ > MaxUnacknowledgedBytes + acknowledged_)
         return false;
     if (!bytes.empty())
         waiting_.push_back(std::move(bytes));
@@ -38,26 +38,26 @@
     return true;
 }
 
-bool OwnerDownload::noteTaken(uint64_t bytes)
+bool OwnerDownload::acknowledge(uint64_t bytes)
 {
-    if (bytes > sent_ - taken_)
+    if (bytes > sent_ - acknowledged_)
         return false;
-    taken_ += bytes;
+    acknowledged_ += bytes;
     return true;
 }
 
 std::optional<model::ForwardBody> OwnerDownload::nextFrame(CorrelationId correlation)
 {
     model::ForwardBody frame {.correlation = correlation, .direction = model::Direction::ToClient, .offset = sent_};
-    const bool isEndAlone = waiting_.empty() && isFinished_ && !isOut();
+    const bool isEndAlone = waiting_.empty() && isFinished_ && !isFullySent();
     if (isEndAlone) {
-        frame.isLast = isLastOut_ = true;
+        frame.isLast = isLastSent_ = true;
         return frame;
     }
-    if (waiting_.empty() || isBlocked())
+    if (waiting_.empty() || isWindowClosed())
         return std::nullopt;
     std::string& front = waiting_.front();
-    const uint64_t allowed = std::min(LargestFrameBody, InitialBodyWindow + taken_ - sent_);
+    const uint64_t allowed = std::min(MaxFrameBodyBytes, InitialBodyWindow + acknowledged_ - sent_);
     const size_t count = std::min<uint64_t>(front.size() - frontOffset_, allowed);
     const size_t pieceSize = front.size();
     frame.bytes = count == pieceSize ? std::move(front) : front.substr(frontOffset_, count);
@@ -67,7 +67,7 @@
         waiting_.pop_front();
         frontOffset_ = 0;
     }
-    frame.isLast = isLastOut_ = isLastFrame(sent_);
+    frame.isLast = isLastSent_ = isLastFrame(sent_);
     return frame;
 }
 
@@ -76,6 +76,6 @@
     return length_ ? end == *length_ : isFinished_ && waiting_.empty();
 }
 
-bool OwnerDownload::isOut() const { return isFinished_ && waiting_.empty() && (isLastOut_ || length_ == 0); }
+bool OwnerDownload::isFullySent() const { return isFinished_ && waiting_.empty() && (isLastSent_ || length_ == 0); }
 
 } // namespace saltvane::requests
--- a/src/requests/internal/ownerpeers.cpp
+++ b/src/requests/internal/ownerduplicatefilter.cpp
@@ -3,17 +3,17 @@
  * saltvane: global traffic steering
  * Copyright (c) 2026 the saltvane authors
  */
-#include "requests/internal/ownerpeers.h"
+#include "requests/internal/ownerduplicatefilter.h"
 
 namespace saltvane::requests {
 
 namespace {
 
-constexpr size_t RememberedEnds = 4096;
+constexpr size_t MaxRememberedEnds = 4096;
 
 } // namespace
 
-OwnerPeers::Freshness OwnerPeers::note(const HostId& host, Incarnation incarnation)
+OwnerDuplicateFilter::Freshness OwnerDuplicateFilter::checkIncarnation(const HostId& host, Incarnation incarnation)
 {
     const auto [entry, isNew] = peers_.try_emplace(host);
     Peer& peer = entry->second;
@@ -27,27 +27,27 @@
     return Freshness::Restarted;
 }
 
-void OwnerPeers::noteEnded(const ExchangeKey& key)
+void OwnerDuplicateFilter::recordEnded(const ExchangeKey& key)
 {
     const auto found = peers_.find(key.host);
     if (found == peers_.end() || found->second.incarnation != key.incarnation)
         return;
     Peer& peer = found->second;
-    if (key.correlation.value <= peer.floor)
+    if (key.correlation.value <= peer.endedUpTo)
         return;
     peer.ended.insert(key.correlation.value);
-    if (peer.ended.size() <= RememberedEnds)
+    if (peer.ended.size() <= MaxRememberedEnds)
         return;
-    peer.floor = *peer.ended.begin();
+    peer.endedUpTo = *peer.ended.begin();
     peer.ended.erase(peer.ended.begin());
 }
 
-bool OwnerPeers::hasEnded(const ExchangeKey& key) const
+bool OwnerDuplicateFilter::hasEnded(const ExchangeKey& key) const
 {
     const auto found = peers_.find(key.host);
     if (found == peers_.end() || found->second.incarnation != key.incarnation)
         return false;
-    return key.correlation.value <= found->second.floor || found->second.ended.contains(key.correlation.value);
+    return key.correlation.value <= found->second.endedUpTo || found->second.ended.contains(key.correlation.value);
 }
 
 } // namespace saltvane::requests
--- a/src/requests/internal/ownerexchange.h
+++ b/src/requests/internal/ownerexchange.h
@@ -6,7 +6,7 @@
 #pragma once
 
 #include "requests/internal/ownerdownload.h"
-#include "requests/internal/ownerpeers.h"
+#include "requests/internal/ownerduplicatefilter.h"
 #include "requests/internal/ownerupload.h"
 #include "steering/itargetpool.h"
 
@@ -17,15 +17,15 @@
 
 using OwnerExchangeId = uint64_t;
 
-/// One try on one target.
+/// One dispatch of the request to a target.
 struct OwnerAttempt {
     DispatchId dispatch;
     steering::ITargetPool::Slot slot;
     Timestamp started;
-    Timestamp lastEvent; ///< Of the target.
+    Timestamp lastEvent; ///< Time of the target's last event.
 };
 
-/// One forwarded request at its owner: waiting in the queue while it has no attempt and no answer.
+/// State of one forwarded request at its owner. It is queued while it has neither an attempt nor a response.
 struct OwnerExchange {
     OwnerExchangeId id = 0;
     ExchangeKey key;
@@ -33,13 +33,13 @@
     Timestamp started;
     Timestamp deadline;
     OwnerUpload upload;
-    std::vector<TargetId> excluded; ///< Those the request came with and those tried here.
+    std::vector<TargetId> excluded; ///< Targets excluded by the entry host and targets already used here.
     uint32_t attempts = 0;
-    uint32_t tries = 0; ///< Attempts that may have sent a byte.
-    bool mayHaveRun = false; ///< An attempt ended after which "not run" would be no longer true.
-    TargetId target; ///< Of the last attempt.
-    std::optional<OwnerAttempt> attempt; ///< Void once the target's answer is in.
-    std::optional<OwnerDownload> download; ///< From the answer's head on.
+    uint32_t tries = 0; ///< Attempts that may have sent a byte to the target.
+    bool mayHaveRun = false; ///< An attempt may have run the request, so its outcome can no longer be "not run".
+    TargetId target; ///< Target of the last attempt.
+    std::optional<OwnerAttempt> attempt; ///< No value once the response of the target is complete.
+    std::optional<OwnerDownload> download; ///< Set when the head of the response arrives.
     int status = 0;
 };
 
--- a/src/requests/internal/ownerheaders.cpp
+++ b/src/requests/internal/ownerheaders.cpp
@@ -20,7 +20,7 @@
 constexpr int NoContent = 204;
 constexpr int NotModified = 304;
 constexpr std::string_view ShedHeader = "Saltvane-Shed";
-constexpr Duration LargestRetryAfter = 1h;
+constexpr Duration MaxRetryAfter = 1h;
 
 bool isShedMarked(std::span<const model::Header> headers)
 {
@@ -45,7 +45,7 @@
     const auto [end, error] = std::from_chars(value.data(), value.data() + value.size(), seconds);
     if (error != std::errc() || end != value.data() + value.size())
         return std::nullopt;
-    return std::min<Duration>(std::chrono::seconds(seconds), LargestRetryAfter);
+    return std::min<Duration>(std::chrono::seconds(seconds), MaxRetryAfter);
 }
 
 bool isBodylessAnswer(std::string_view method, int status)
--- a/src/requests/internal/ownerheaders.h
+++ b/src/requests/internal/ownerheaders.h
@@ -14,13 +14,15 @@
 
 namespace saltvane::requests {
 
-/// The target says that it did not run the request: 429, or 503 with "Saltvane-Shed: 1" (docs/TARGETS.md).
+/// True if the response states that the target did not run the request: 429, or 503 with "Saltvane-Shed: 1"
+/// (docs/TARGETS.md).
 [[nodiscard]] bool isShedAnswer(int status, std::span<const model::Header> headers);
 
-/// Retry-After in seconds (RFC 9110, 10.2.3), an hour at most; no value where absent or a date.
+/// Value of Retry-After in seconds (RFC 9110, 10.2.3), limited to an hour; no value if the header is absent or contains
+/// a date.
 [[nodiscard]] std::optional<Duration> retryAfterOf(std::span<const model::Header> headers);
 
-/// An answer without a body, whatever length it states (RFC 9110, 6.4.1).
+/// True if the response has no body whatever length it states (RFC 9110, 6.4.1).
 [[nodiscard]] bool isBodylessAnswer(std::string_view method, int status);
 
 } // namespace saltvane::requests
--- a/src/requests/internal/ownerqueues.cpp
+++ b/src/requests/internal/ownerqueues.cpp
@@ -12,14 +12,14 @@
 
 namespace {
 
-/// Weight of the newest answer in the smoothed service time.
-constexpr int SmoothingParts = 8;
-constexpr Duration SmallestWait = 10ms;
-constexpr Duration LargestWait = 10s;
+/// The newest response time has the weight 1 / SmoothingDivisor in the smoothed value.
+constexpr int SmoothingDivisor = 8;
+constexpr Duration MinExpectedWait = 10ms;
+constexpr Duration MaxExpectedWait = 10s;
 
-size_t capacityFor(uint32_t room, double queuePerRoom)
+size_t capacityFor(uint32_t usableSlots, double maxQueuedPerSlot)
 {
-    return std::max<size_t>(1, static_cast<size_t>(std::ceil(room * queuePerRoom)));
+    return std::max<size_t>(1, static_cast<size_t>(std::ceil(usableSlots * maxQueuedPerSlot)));
 }
 
 } // namespace
@@ -32,10 +32,10 @@
     return queue;
 }
 
-bool OwnerQueues::push(const OwnerExchange& exchange, uint32_t room, Timestamp now)
+bool OwnerQueues::push(const OwnerExchange& exchange, uint32_t usableSlots, Timestamp now)
 {
     Queue& queue = queueOf(exchange.request.service);
-    queue.waiters->setCapacity(capacityFor(room, queuePerRoom_));
+    queue.waiters->setCapacity(capacityFor(usableSlots, maxQueuedPerSlot_));
     return queue.waiters->push(exchange.id, exchange.deadline, now);
 }
 
@@ -68,20 +68,20 @@
     return dropped;
 }
 
-void OwnerQueues::noteServiceTime(const ServiceName& service, Duration time)
+void OwnerQueues::recordServiceTime(const ServiceName& service, Duration time)
 {
     Duration& smoothed = queueOf(service).serviceTime;
-    smoothed = smoothed == Duration::zero() ? time : smoothed + (time - smoothed) / SmoothingParts;
+    smoothed = smoothed == Duration::zero() ? time : smoothed + (time - smoothed) / SmoothingDivisor;
 }
 
-Duration OwnerQueues::expectedWait(const ServiceName& service, uint32_t room) const
+Duration OwnerQueues::expectedWait(const ServiceName& service, uint32_t usableSlots) const
 {
     const auto found = queues_.find(service);
     if (found == queues_.end())
-        return SmallestWait;
+        return MinExpectedWait;
     const auto ahead = static_cast<int64_t>(found->second.waiters->size()) + 1;
-    const Duration wait = found->second.serviceTime * ahead / std::max<uint32_t>(room, 1);
-    return std::clamp<Duration>(wait, SmallestWait, LargestWait);
+    const Duration wait = found->second.serviceTime * ahead / std::max<uint32_t>(usableSlots, 1);
+    return std::clamp<Duration>(wait, MinExpectedWait, MaxExpectedWait);
 }
 
 size_t OwnerQueues::size(const ServiceName& service) const
--- a/src/requests/internal/ownerqueues.h
+++ b/src/requests/internal/ownerqueues.h
@@ -16,25 +16,25 @@
 
 namespace saltvane::requests {
 
-/// The queue of each service, with the time that the service's targets lately took to answer.
+/// One queue for each service, with the smoothed response time of the service's targets.
 class OwnerQueues {
 public:
-    OwnerQueues(steering::QueueOrder order, double queuePerRoom)
+    OwnerQueues(steering::QueueOrder order, double maxQueuedPerSlot)
         : order_(order)
-        , queuePerRoom_(queuePerRoom)
+        , maxQueuedPerSlot_(maxQueuedPerSlot)
     {
     }
 
-    /// False when full. `room` bounds the queue.
-    [[nodiscard]] bool push(const OwnerExchange& exchange, uint32_t room, Timestamp now);
+    /// Returns false if the queue is full. The capacity of the queue is proportional to `usableSlots`.
+    [[nodiscard]] bool push(const OwnerExchange& exchange, uint32_t usableSlots, Timestamp now);
     [[nodiscard]] std::optional<OwnerExchangeId> pop(const ServiceName& service, Timestamp now);
     void erase(const OwnerExchange& exchange);
     void tick(Timestamp now);
     [[nodiscard]] std::vector<steering::Dropped> takeDropped();
 
-    void noteServiceTime(const ServiceName& service, Duration time);
-    /// How long a request that comes now would wait for a slot.
-    [[nodiscard]] Duration expectedWait(const ServiceName& service, uint32_t room) const;
+    void recordServiceTime(const ServiceName& service, Duration time);
+    /// Expected time until a request that arrives now gets a slot.
+    [[nodiscard]] Duration expectedWait(const ServiceName& service, uint32_t usableSlots) const;
     [[nodiscard]] size_t size(const ServiceName& service) const;
     [[nodiscard]] Duration oldestWait(const ServiceName& service, Timestamp now) const;
     [[nodiscard]] std::vector<ServiceName> waitingServices() const;
@@ -42,12 +42,12 @@
 private:
     struct Queue {
         std::unique_ptr<steering::IWaitQueue> waiters;
-        Duration serviceTime {}; ///< Smoothed; zero before the first answer.
+        Duration serviceTime {}; ///< Smoothed response time; zero before the first response.
     };
     Queue& queueOf(const ServiceName& service);
 
     steering::QueueOrder order_;
-    double queuePerRoom_;
+    double maxQueuedPerSlot_;
     std::map<ServiceName, Queue> queues_;
 };
 
--- a/src/requests/internal/ownerrequests.cpp
+++ b/src/requests/internal/ownerrequests.cpp
@@ -16,11 +16,11 @@
 
 namespace {
 
-/// A target that owes bytes and was silent for so long when the deadline passes has stalled; else it was just slow.
-constexpr Duration StallTime = 1s;
-constexpr int SmallestFinalStatus = 200;
+/// A target without any event for this time at the deadline counts as stalled; otherwise it is only slow.
+constexpr Duration TargetStallTimeout = 1s;
+constexpr int MinFinalStatus = 200;
 
-/// Frames of entry hosts; bodies and windows of the other direction belong to the entry side.
+/// True for frames sent to an owner. Body and window frames of the other direction belong to the entry side.
 template <typename Frame> bool isForOwner(const Frame& frame)
 {
     if constexpr (std::is_same_v<Frame, model::ForwardRequest>)
@@ -33,11 +33,11 @@
         return std::is_same_v<Frame, model::ForwardCancel>;
 }
 
-/// Whether the exchange waits for the target, not for the entry host.
-bool isTargetOwing(const OwnerExchange& exchange)
+/// True if the exchange waits for the target, false if it waits for the entry host.
+bool isWaitingForTarget(const OwnerExchange& exchange)
 {
     if (exchange.download)
-        return !exchange.download->isBlocked();
+        return !exchange.download->isWindowClosed();
     return !exchange.upload.isWaitingForMore();
 }
 
@@ -46,7 +46,7 @@
 OwnerRequests::OwnerRequests(const OwnerRequestsOptions& options)
     : options_(options)
     , counters_(options.counters ? *options.counters : ownCounters_)
-    , dispatcher_(options_, counters_, table_, peers_)
+    , dispatcher_(options_, counters_, table_, duplicates_)
 {
 }
 
@@ -55,7 +55,7 @@
     std::visit(
         [&](const auto& frame) {
             if constexpr (requires(const ExchangeKey& key) { onFrame(key, frame, now); }) {
-                if (!isForOwner(frame) || !isFresh(delivery, now))
+                if (!isForOwner(frame) || !acceptSender(delivery, now))
                     return;
                 onFrame({delivery.from, delivery.fromIncarnation, frame.correlation}, frame, now);
             }
@@ -64,23 +64,24 @@
     dispatcher_.serveFreedSlots(now);
 }
 
-bool OwnerRequests::isFresh(const model::Delivery& delivery, Timestamp now)
+bool OwnerRequests::acceptSender(const model::Delivery& delivery, Timestamp now)
 {
-    const OwnerPeers::Freshness freshness = peers_.note(delivery.from, delivery.fromIncarnation);
-    if (freshness == OwnerPeers::Freshness::Stale) {
+    const OwnerDuplicateFilter::Freshness freshness
+        = duplicates_.checkIncarnation(delivery.from, delivery.fromIncarnation);
+    if (freshness == OwnerDuplicateFilter::Freshness::Stale) {
         counters_.add(model::Counter::StaleMessages);
         return false;
     }
-    if (freshness == OwnerPeers::Freshness::Current)
+    if (freshness == OwnerDuplicateFilter::Freshness::Current)
         return true;
-    for (const OwnerExchangeId id : table_.ofHost(delivery.from, delivery.fromIncarnation))
-        dispatcher_.drop(*table_.find(id), now);
+    for (const OwnerExchangeId id : table_.idsOfHost(delivery.from, delivery.fromIncarnation))
+        dispatcher_.dropRequest(*table_.find(id), now);
     return true;
 }
 
 void OwnerRequests::onFrame(const ExchangeKey& key, const model::ForwardRequest& request, Timestamp now)
 {
-    if (table_.find(key) || peers_.hasEnded(key)) {
+    if (table_.find(key) || duplicates_.hasEnded(key)) {
         counters_.add(model::Counter::LateFrames);
         return;
     }
@@ -95,13 +96,13 @@
         counters_.add(model::Counter::LateFrames);
         return;
     }
-    const bool isAnswerIn = exchange->download && !exchange->attempt;
-    if (isAnswerIn)
+    const bool isResponseReceived = exchange->download && !exchange->attempt;
+    if (isResponseReceived)
         return;
-    if (exchange->upload.append(body) != OwnerUpload::Check::Good)
-        return breakBody(*exchange, steering::DispatchResult::Cancelled, model::Reason::BadRequest, now);
+    if (exchange->upload.append(body) != OwnerUpload::AppendResult::Ok)
+        return abortBrokenBody(*exchange, steering::DispatchResult::Cancelled, model::Reason::BadRequest, now);
     if (exchange->attempt)
-        dispatcher_.act(
+        dispatcher_.emit(
             TargetRequestBody {.dispatch = exchange->attempt->dispatch, .bytes = body.bytes, .isLast = body.isLast});
 }
 
@@ -112,10 +113,10 @@
         counters_.add(model::Counter::LateFrames);
         return;
     }
-    if (!exchange->download || !exchange->download->noteTaken(window.bytes))
-        return breakBody(*exchange, steering::DispatchResult::Cancelled, model::Reason::BadRequest, now);
+    if (!exchange->download || !exchange->download->acknowledge(window.bytes))
+        return abortBrokenBody(*exchange, steering::DispatchResult::Cancelled, model::Reason::BadRequest, now);
     if (exchange->attempt)
-        dispatcher_.act(TargetResponseWindow {.dispatch = exchange->attempt->dispatch, .bytes = window.bytes});
+        dispatcher_.emit(TargetResponseWindow {.dispatch = exchange->attempt->dispatch, .bytes = window.bytes});
     pump(*exchange, now);
 }
 
@@ -127,7 +128,7 @@
         return;
     }
     const model::Reason reason = cancel.reason == model::Reason::None ? model::Reason::ClientGone : cancel.reason;
-    dispatcher_.breakOff(*exchange, steering::DispatchResult::Cancelled, reason, now);
+    dispatcher_.abortRequest(*exchange, steering::DispatchResult::Cancelled, reason, now);
 }
 
 void OwnerRequests::handle(TargetEvent event, Timestamp now)
@@ -146,18 +147,18 @@
 
 void OwnerRequests::onEvent(OwnerExchange& exchange, TargetResponseHead& head, Timestamp now)
 {
-    if (exchange.download || head.status < SmallestFinalStatus)
+    if (exchange.download || head.status < MinFinalStatus)
         return;
     exchange.status = head.status;
     if (isShedAnswer(head.status, head.headers))
-        return dispatcher_.noteShed(exchange, head.headers, now);
-    exchange.upload.dropKept();
+        return dispatcher_.onShed(exchange, head.headers, now);
+    exchange.upload.discardRetained();
     const bool isBodyless = isBodylessAnswer(exchange.request.method, head.status);
     exchange.download.emplace(isBodyless ? 0 : head.bodyLength);
     dispatcher_.send(exchange,
         model::ForwardResponseHead {.correlation = exchange.key.correlation,
             .status = head.status,
-            .headers = answerHeaders(head.headers),
+            .headers = responseHeaders(head.headers),
             .bodyLength = head.bodyLength,
             .target = exchange.target});
 }
@@ -165,7 +166,7 @@
 void OwnerRequests::onEvent(OwnerExchange& exchange, TargetResponseBody& body, Timestamp now)
 {
     if (!exchange.download || !exchange.download->append(std::move(body.bytes)))
-        return breakBody(exchange, steering::DispatchResult::Failed, model::Reason::TargetFailed, now);
+        return abortBrokenBody(exchange, steering::DispatchResult::Failed, model::Reason::TargetFailed, now);
     pump(exchange, now);
 }
 
@@ -173,15 +174,15 @@
 {
     if (!exchange.download || !exchange.download->finish()) {
         counters_.add(model::Counter::BrokenBodies);
-        return dispatcher_.noteFailed(exchange, true, now);
+        return dispatcher_.onFailed(exchange, true, now);
     }
-    dispatcher_.noteAnswered(exchange, now);
+    dispatcher_.onAnswered(exchange, now);
     pump(exchange, now);
 }
 
 void OwnerRequests::onEvent(OwnerExchange& exchange, TargetRequestProgress& progress, Timestamp /*now*/)
 {
-    const uint64_t growth = exchange.upload.noteTaken(progress.bytes);
+    const uint64_t growth = exchange.upload.acknowledge(progress.bytes);
     if (growth == 0)
         return;
     dispatcher_.send(exchange,
@@ -191,22 +192,22 @@
 
 void OwnerRequests::onEvent(OwnerExchange& exchange, TargetFailed& failure, Timestamp now)
 {
-    dispatcher_.noteFailed(exchange, failure.mayHaveReachedTarget, now);
+    dispatcher_.onFailed(exchange, failure.mayHaveReachedTarget, now);
 }
 
 void OwnerRequests::pump(OwnerExchange& exchange, Timestamp now)
 {
     while (auto frame = exchange.download->nextFrame(exchange.key.correlation))
         dispatcher_.send(exchange, std::move(*frame));
-    if (exchange.download->isOut())
+    if (exchange.download->isFullySent())
         dispatcher_.finish(exchange, {.outcome = model::Outcome::Answered}, now);
 }
 
-void OwnerRequests::breakBody(
+void OwnerRequests::abortBrokenBody(
     OwnerExchange& exchange, steering::DispatchResult result, model::Reason reason, Timestamp now)
 {
     counters_.add(model::Counter::BrokenBodies);
-    dispatcher_.breakOff(exchange, result, reason, now);
+    dispatcher_.abortRequest(exchange, result, reason, now);
 }
 
 void OwnerRequests::expire(OwnerExchange& exchange, Timestamp now)
@@ -214,27 +215,30 @@
     using steering::DispatchResult;
     if (!exchange.attempt) {
         const auto reason = exchange.download ? model::Reason::DeadlineExceeded : model::Reason::QueueTimeout;
-        return dispatcher_.breakOff(exchange, DispatchResult::Cancelled, reason, now);
+        return dispatcher_.abortRequest(exchange, DispatchResult::Cancelled, reason, now);
     }
-    if (!isTargetOwing(exchange))
-        return dispatcher_.breakOff(exchange, DispatchResult::Cancelled, model::Reason::DeadlineExceeded, now);
-    const bool isStalled
-        = now - exchange.attempt->lastEvent >= StallTime || exchange.attempt->lastEvent == exchange.attempt->started;
+    if (!isWaitingForTarget(exchange))
+        return dispatcher_.abortRequest(exchange, DispatchResult::Cancelled, model::Reason::DeadlineExceeded, now);
+    const bool isStalled = now - exchange.attempt->lastEvent >= TargetStallTimeout
+        || exchange.attempt->lastEvent == exchange.attempt->started;
     const auto result = isStalled || !exchange.download ? DispatchResult::Failed : DispatchResult::Cancelled;
     const auto reason = isStalled ? model::Reason::TargetStalled : model::Reason::DeadlineExceeded;
-    dispatcher_.breakOff(exchange, result, reason, now);
+    dispatcher_.abortRequest(exchange, result, reason, now);
 }
 
 void OwnerRequests::noteHostLost(const HostId& host, Timestamp now)
 {
-    for (const OwnerExchangeId id : table_.ofHost(host, std::nullopt))
-        dispatcher_.drop(*table_.find(id), now);
+    for (const OwnerExchangeId id : table_.idsOfHost(host, std::nullopt))
+        dispatcher_.dropRequest(*table_.find(id), now);
     dispatcher_.serveFreedSlots(now);
 }
 
 void OwnerRequests::serveQueues(Timestamp now) { dispatcher_.serveQueues(now); }
 
-uint32_t OwnerRequests::inFlight() const { return static_cast<uint32_t>(table_.size()) + dispatcher_.closingSlots(); }
+uint32_t OwnerRequests::inFlight() const
+{
+    return static_cast<uint32_t>(table_.size()) + dispatcher_.closingSlotCount();
+}
 
 uint32_t OwnerRequests::queued(const ServiceName& service) const
 {
@@ -248,16 +252,16 @@
 
 uint32_t OwnerRequests::cutAll(Timestamp now)
 {
-    uint32_t cut = 0;
-    for (const OwnerExchangeId id : table_.all()) {
+    uint32_t terminated = 0;
+    for (const OwnerExchangeId id : table_.ids()) {
         OwnerExchange& exchange = *table_.find(id);
         const bool wasDispatched = exchange.attempt || exchange.download;
-        cut += wasDispatched ? 1 : 0;
-        dispatcher_.breakOff(exchange, steering::DispatchResult::Cancelled,
+        terminated += wasDispatched ? 1 : 0;
+        dispatcher_.abortRequest(exchange, steering::DispatchResult::Cancelled,
             wasDispatched ? model::Reason::StopTimeLimit : model::Reason::Stopping, now);
     }
-    dispatcher_.releaseClosedSlots(now);
-    return cut;
+    dispatcher_.releaseClosingSlots(now);
+    return terminated;
 }
 
 void OwnerRequests::tick(Timestamp now)
--- a/src/requests/internal/ownerrequests.h
+++ b/src/requests/internal/ownerrequests.h
@@ -6,7 +6,7 @@
 #pragma once
 
 #include "requests/internal/ownerdispatcher.h"
-#include "requests/internal/ownerpeers.h"
+#include "requests/internal/ownerduplicatefilter.h"
 #include "requests/internal/ownertable.h"
 #include "requests/iownerrequests.h"
 
@@ -14,7 +14,7 @@
 
 namespace saltvane::requests {
 
-/// Takes the frames of entry hosts and the events of targets to the exchange they belong to.
+/// Dispatches frames of entry hosts and events of targets to the exchange that they belong to.
 class OwnerRequests : public IOwnerRequests {
 public:
     explicit OwnerRequests(const OwnerRequestsOptions& options);
@@ -35,7 +35,7 @@
     void onFrame(const ExchangeKey& key, const model::ForwardBody& body, Timestamp now);
     void onFrame(const ExchangeKey& key, const model::ForwardWindow& window, Timestamp now);
     void onFrame(const ExchangeKey& key, const model::ForwardCancel& cancel, Timestamp now);
-    [[nodiscard]] bool isFresh(const model::Delivery& delivery, Timestamp now);
+    [[nodiscard]] bool acceptSender(const model::Delivery& delivery, Timestamp now);
 
     void onEvent(OwnerExchange& exchange, TargetResponseHead& head, Timestamp now);
     void onEvent(OwnerExchange& exchange, TargetResponseBody& body, Timestamp now);
@@ -43,16 +43,16 @@
     void onEvent(OwnerExchange& exchange, TargetRequestProgress& progress, Timestamp now);
     void onEvent(OwnerExchange& exchange, TargetFailed& failure, Timestamp now);
 
-    /// Sends what the entry host's window allows; ends the request when all is out.
+    /// Sends as much of the response as the window of the entry host allows; ends the request after the last frame.
     void pump(OwnerExchange& exchange, Timestamp now);
-    void breakBody(OwnerExchange& exchange, steering::DispatchResult result, model::Reason reason, Timestamp now);
+    void abortBrokenBody(OwnerExchange& exchange, steering::DispatchResult result, model::Reason reason, Timestamp now);
     void expire(OwnerExchange& exchange, Timestamp now);
 
     OwnerRequestsOptions options_;
-    model::Counters ownCounters_; ///< Where the options name none.
+    model::Counters ownCounters_; ///< Used if the options contain no counters.
     model::Counters& counters_;
     OwnerTable table_;
-    OwnerPeers peers_;
+    OwnerDuplicateFilter duplicates_;
     OwnerDispatcher dispatcher_;
 };
 
--- a/src/requests/internal/ownerslots.cpp
+++ b/src/requests/internal/ownerslots.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// Longer than the way of a connection's end to a target of the same zone, and shorter than most answers.
-constexpr Duration ClosingTime = 5ms;
+/// Longer than a connection close needs to reach a target in the same zone, and shorter than most response times.
+constexpr Duration ConnectionCloseDelay = 5ms;
 
 } // namespace
 
@@ -26,28 +26,29 @@
     pool_.release(slot, result, latency, now);
 }
 
-void OwnerSlots::releaseClosed(
+void OwnerSlots::releaseAfterClose(
     const steering::ITargetPool::Slot& slot, steering::DispatchResult result, Duration latency, Timestamp now)
 {
-    closed_.push_back({.slot = slot, .result = result, .latency = latency, .freeAt = now + ClosingTime});
+    closingSlots_.push_back(
+        {.slot = slot, .result = result, .latency = latency, .releaseAt = now + ConnectionCloseDelay});
 }
 
 void OwnerSlots::tick(Timestamp now)
 {
-    while (!closed_.empty() && closed_.front().freeAt <= now)
+    while (!closingSlots_.empty() && closingSlots_.front().releaseAt <= now)
         releaseFirst(now);
 }
 
 void OwnerSlots::releaseAll(Timestamp now)
 {
-    while (!closed_.empty())
+    while (!closingSlots_.empty())
         releaseFirst(now);
 }
 
 void OwnerSlots::releaseFirst(Timestamp now)
 {
-    const Closed closed = closed_.front();
-    closed_.pop_front();
+    const ClosingSlot closed = closingSlots_.front();
+    closingSlots_.pop_front();
     release(closed.slot, closed.result, closed.latency, now);
 }
 
--- a/src/requests/internal/ownerslots.h
+++ b/src/requests/internal/ownerslots.h
@@ -13,8 +13,9 @@
 
 namespace saltvane::requests {
 
-/// The slots this host's requests hold. Gives each back exactly once. The slot of an exchange that was broken off stays
-/// taken for a moment: the target may still be at work on it until it sees that the connection is closed.
+/// The target slots used by requests of this host; each is released exactly once. After an exchange was aborted, its
+/// slot stays in use for a short time, because the target may work on the request until it detects the closed
+/// connection.
 class OwnerSlots {
 public:
     explicit OwnerSlots(steering::ITargetPool& pool)
@@ -24,29 +25,29 @@
 
     [[nodiscard]] std::optional<steering::ITargetPool::Slot> acquire(
         const ServiceName& service, std::span<const TargetId> excluded, Timestamp now);
-    /// The target is done with it.
+    /// Releases the slot of an exchange that the target has finished.
     void release(
         const steering::ITargetPool::Slot& slot, steering::DispatchResult result, Duration latency, Timestamp now);
-    /// The connection was closed under the target's hands.
-    void releaseClosed(
+    /// Releases the slot after a delay: the connection was closed while the target may still be working.
+    void releaseAfterClose(
         const steering::ITargetPool::Slot& slot, steering::DispatchResult result, Duration latency, Timestamp now);
-    /// Gives back the slots whose moment is over.
+    /// Releases the slots whose delay has passed.
     void tick(Timestamp now);
     void releaseAll(Timestamp now);
-    /// Slots of exchanges that were broken off, not given back yet.
-    [[nodiscard]] uint32_t closing() const { return static_cast<uint32_t>(closed_.size()); }
+    /// Slots of aborted exchanges that are not released yet.
+    [[nodiscard]] uint32_t closingCount() const { return static_cast<uint32_t>(closingSlots_.size()); }
 
 private:
-    struct Closed {
+    struct ClosingSlot {
         steering::ITargetPool::Slot slot;
         steering::DispatchResult result = steering::DispatchResult::Cancelled;
         Duration latency {};
-        Timestamp freeAt;
+        Timestamp releaseAt;
     };
     void releaseFirst(Timestamp now);
 
     steering::ITargetPool& pool_;
-    std::deque<Closed> closed_;
+    std::deque<ClosingSlot> closingSlots_;
 };
 
 } // namespace saltvane::requests
--- a/src/requests/internal/ownertable.cpp
+++ b/src/requests/internal/ownertable.cpp
@@ -63,7 +63,7 @@
     exchange.attempt.reset();
 }
 
-std::vector<OwnerExchangeId> OwnerTable::all() const
+std::vector<OwnerExchangeId> OwnerTable::ids() const
 {
     std::vector<OwnerExchangeId> ids;
     ids.reserve(exchanges_.size());
@@ -72,7 +72,7 @@
     return ids;
 }
 
-std::vector<OwnerExchangeId> OwnerTable::ofHost(const HostId& host, std::optional<Incarnation> except) const
+std::vector<OwnerExchangeId> OwnerTable::idsOfHost(const HostId& host, std::optional<Incarnation> except) const
 {
     std::vector<OwnerExchangeId> ids;
     for (const auto& [id, exchange] : exchanges_) {
--- a/src/requests/internal/ownertable.h
+++ b/src/requests/internal/ownertable.h
@@ -15,7 +15,7 @@
 
 namespace saltvane::requests {
 
-/// The forwarded requests under way, found by id, key, dispatch and deadline.
+/// The forwarded requests in progress, with indices by id, key, dispatch and deadline.
 class OwnerTable {
 public:
     OwnerExchange& add(ExchangeKey key, const model::ForwardRequest& request, Timestamp now);
@@ -28,11 +28,11 @@
     void endAttempt(OwnerExchange& exchange);
 
     [[nodiscard]] size_t size() const { return exchanges_.size(); }
-    /// In the order of their arrival.
-    [[nodiscard]] std::vector<OwnerExchangeId> all() const;
-    /// All of the host but those of the incarnation `except`.
-    [[nodiscard]] std::vector<OwnerExchangeId> ofHost(const HostId& host, std::optional<Incarnation> except) const;
-    /// The one with the earliest deadline, if that has passed.
+    /// All ids in order of arrival.
+    [[nodiscard]] std::vector<OwnerExchangeId> ids() const;
+    /// The requests of the host, except those of the incarnation `except`.
+    [[nodiscard]] std::vector<OwnerExchangeId> idsOfHost(const HostId& host, std::optional<Incarnation> except) const;
+    /// The request with the earliest deadline if that has passed; otherwise null.
     [[nodiscard]] OwnerExchange* findExpired(Timestamp now);
 
 private:
--- a/src/requests/internal/ownerupload.cpp
+++ b/src/requests/internal/ownerupload.cpp
@@ -11,9 +11,9 @@
 
 namespace {
 
-/// Smaller growth of the window is saved up. The entry host is never stuck by it: it stops only once the whole window
-/// is under way, and that is many times more.
-constexpr uint64_t SmallestGrant = InitialBodyWindow / 8;
+/// Smaller grants are accumulated. The entry host isn't blocked by this, because it stops only when a full window is
+/// unacknowledged, which is eight times as much.
+constexpr uint64_t MinWindowGrant = InitialBodyWindow / 8;
 
 } // namespace
 
@@ -23,37 +23,37 @@
 {
 }
 
-OwnerUpload::Check OwnerUpload::append(const model::ForwardBody& body)
+OwnerUpload::AppendResult OwnerUpload::append(const model::ForwardBody& body)
 {
     if (isComplete_ || body.offset != received_)
-        return Check::BrokenOffset;
+        return AppendResult::OffsetMismatch;
     if (body.bytes.size() > InitialBodyWindow + granted_ - received_)
-        return Check::BeyondWindow;
+        return AppendResult::WindowExceeded;
     const uint64_t received = received_ + body.bytes.size();
     if (length_ && (received > *length_ || (body.isLast && received != *length_)))
-        return Check::BrokenLength;
+        return AppendResult::LengthMismatch;
     received_ = received;
     isComplete_ = body.isLast;
     if (received_ > InitialBodyWindow)
-        dropKept();
-    if (isKept_)
-        kept_ += body.bytes;
-    return Check::Good;
+        discardRetained();
+    if (isRetained_)
+        retained_ += body.bytes;
+    return AppendResult::Ok;
 }
 
-void OwnerUpload::dropKept()
+void OwnerUpload::discardRetained()
 {
-    isKept_ = false;
-    kept_ = std::string();
+    isRetained_ = false;
+    retained_ = std::string();
 }
 
-uint64_t OwnerUpload::noteTaken(uint64_t bytes)
+uint64_t OwnerUpload::acknowledge(uint64_t bytes)
 {
-    taken_ += std::min(bytes, received_ - taken_);
-    if (isComplete_ || taken_ < granted_ + SmallestGrant)
+    acknowledged_ += std::min(bytes, received_ - acknowledged_);
+    if (isComplete_ || acknowledged_ < granted_ + MinWindowGrant)
         return 0;
-    const uint64_t growth = taken_ - granted_;
-    granted_ = taken_;
+    const uint64_t growth = acknowledged_ - granted_;
+    granted_ = acknowledged_;
     return growth;
 }
 
--- a/src/requests/internal/peerdeadline.cpp
+++ b/src/requests/internal/peerdeadline.cpp
@@ -10,19 +10,20 @@
 namespace saltvane::requests {
 namespace {
 
-/// Two ticks of a host.
+/// Time for two ticks of a host.
 constexpr Duration TickAllowance = 20ms;
-/// Of what is left, at most this part is kept back.
-constexpr int LargestPart = 4;
+/// At most 1 / MaxReserveDivisor of the remaining time is reserved for the reply.
+constexpr int MaxReserveDivisor = 4;
 
 } // namespace
 
-Duration peerDeadline(const model::Deployment& deployment, const ZoneName& self, const ZoneName& peer, Duration left)
+Duration peerDeadline(
+    const model::Deployment& deployment, const ZoneName& self, const ZoneName& peer, Duration remaining)
 {
     const auto from = deployment.findZone(self);
     const auto to = deployment.findZone(peer);
     const Duration oneWay = from && to ? deployment.delay(*from, *to) : deployment.bundle().delays.betweenRegions;
-    return left - std::min<Duration>(2 * oneWay + TickAllowance, left / LargestPart);
+    return remaining - std::min<Duration>(2 * oneWay + TickAllowance, remaining / MaxReserveDivisor);
 }
 
 } // namespace saltvane::requests
--- a/src/requests/internal/peerdeadline.h
+++ b/src/requests/internal/peerdeadline.h
@@ -9,9 +9,10 @@
 
 namespace saltvane::requests {
 
-/// The deadline a peer gets: shorter than what is left here by the time its word takes to come back, so that a
-/// request it did not run is told as such instead of as unknown. `peer` is empty where its zone is not known.
+/// Deadline for a forwarded request. It is shorter than the remaining time by the delay of the reply, so that a request
+/// that the peer did not run is reported as "not run" before this host has to report it as unknown. `peer` is empty if
+/// its zone is unknown.
 [[nodiscard]] Duration peerDeadline(
-    const model::Deployment& deployment, const ZoneName& self, const ZoneName& peer, Duration left);
+    const model::Deployment& deployment, const ZoneName& self, const ZoneName& peer, Duration remaining);
 
 } // namespace saltvane::requests
--- a/src/requests/internal/requestbody.cpp
+++ b/src/requests/internal/requestbody.cpp
@@ -17,7 +17,7 @@
 {
     if (isComplete_)
         return bytes.empty();
-    if (held().size() + bytes.size() > InitialBodyWindow)
+    if (buffered().size() + bytes.size() > InitialBodyWindow)
         return false;
     bytes_.append(bytes);
     if (declaredLength_ && received() > *declaredLength_)
@@ -30,30 +30,30 @@
 
 std::string RequestBody::bytesAt(uint64_t offset, uint64_t count) const
 {
-    return std::string(held().substr(offset - start_, count));
+    return std::string(buffered().substr(offset - startOffset_, count));
 }
 
 uint64_t RequestBody::release(uint64_t offset)
 {
-    if (offset <= start_ || !mustLetGo())
+    if (offset <= startOffset_ || !mustReleaseEarly())
         return 0;
-    const uint64_t count = offset - start_;
-    start_ = offset;
-    dropped_ += count;
-    if (dropped_ >= InitialBodyWindow / 2) {
-        bytes_.erase(0, dropped_);
-        dropped_ = 0;
+    const uint64_t count = offset - startOffset_;
+    startOffset_ = offset;
+    releasedBytes_ += count;
+    if (releasedBytes_ >= InitialBodyWindow / 2) {
+        bytes_.erase(0, releasedBytes_);
+        releasedBytes_ = 0;
     }
     return count;
 }
 
-bool RequestBody::mustLetGo() const
+bool RequestBody::mustReleaseEarly() const
 {
     if (isComplete_)
         return false;
     if (declaredLength_)
         return *declaredLength_ > InitialBodyWindow;
-    return held().size() >= InitialBodyWindow / 2;
+    return buffered().size() >= InitialBodyWindow / 2;
 }
 
 } // namespace saltvane::requests
--- a/src/requests/internal/requestparser.cpp
+++ b/src/requests/internal/requestparser.cpp
@@ -13,7 +13,7 @@
 namespace saltvane::requests {
 namespace {
 
-constexpr size_t LargestKey = 255;
+constexpr size_t MaxKeyLength = 255;
 
 ParsedRequest& fail(ParsedRequest& parsed, model::Reason reason, std::string_view field)
 {
@@ -33,7 +33,7 @@
     return host.substr(0, colon);
 }
 
-/// The service that the Host header names: by the whole name, else by its first label.
+/// The service named by the Host header: by the whole name, otherwise by its first label.
 std::optional<ServiceIndex> serviceOfHost(const model::Deployment& deployment, std::string_view host)
 {
     const std::string_view name = hostWithoutPort(host);
@@ -48,7 +48,7 @@
     if (keys.empty())
         return true;
     const std::string_view key = keys.front();
-    if (keys.size() > 1 || key.empty() || key.size() > LargestKey || !isVisibleAscii(key))
+    if (keys.size() > 1 || key.empty() || key.size() > MaxKeyLength || !isVisibleAscii(key))
         return false;
     parsed.idempotencyKey = std::string(key);
     return true;
@@ -65,8 +65,8 @@
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), milliseconds);
     if (values.size() > 1 || error != std::errc {} || end != text.data() + text.size())
         return false;
-    const int64_t largest = std::chrono::duration_cast<std::chrono::milliseconds>(service.maximumDeadline).count();
-    if (milliseconds < 1 || milliseconds > largest)
+    const int64_t maximum = std::chrono::duration_cast<std::chrono::milliseconds>(service.maximumDeadline).count();
+    if (milliseconds < 1 || milliseconds > maximum)
         return false;
     parsed.deadline = std::chrono::milliseconds(milliseconds);
     return true;
@@ -81,17 +81,17 @@
     if (!readKey(request, parsed))
         return fail(parsed, model::Reason::BadRequest, KeyHeader);
 
-    const std::vector<std::string_view> named = fieldValues(request.headers, ServiceHeader);
+    const std::vector<std::string_view> serviceNames = fieldValues(request.headers, ServiceHeader);
     const std::vector<std::string_view> hosts = fieldValues(request.headers, "Host");
-    if (named.size() > 1)
+    if (serviceNames.size() > 1)
         return fail(parsed, model::Reason::BadRequest, ServiceHeader);
     std::optional<ServiceIndex> index;
-    if (!named.empty())
-        index = deployment.findService(ServiceName(named.front()));
+    if (!serviceNames.empty())
+        index = deployment.findService(ServiceName(serviceNames.front()));
     else if (!hosts.empty())
         index = serviceOfHost(deployment, hosts.front());
     if (!index)
-        return fail(parsed, model::Reason::UnknownService, named.empty() ? "Host" : ServiceHeader);
+        return fail(parsed, model::Reason::UnknownService, serviceNames.empty() ? "Host" : ServiceHeader);
 
     const model::Service& service = deployment.service(*index);
     parsed.service = service.name;
@@ -108,9 +108,9 @@
     ParsedRequest parsed;
     if (!readKey(request, parsed))
         return fail(parsed, model::Reason::BadRequest, KeyHeader);
-    const std::vector<std::string_view> named = fieldValues(request.headers, ServiceHeader);
-    if (!named.empty())
-        parsed.service = ServiceName(named.front());
+    const std::vector<std::string_view> serviceNames = fieldValues(request.headers, ServiceHeader);
+    if (!serviceNames.empty())
+        parsed.service = ServiceName(serviceNames.front());
     return fail(parsed, model::Reason::NotReady, "");
 }
 
--- a/src/requests/internal/requestparser.h
+++ b/src/requests/internal/requestparser.h
@@ -12,22 +12,22 @@
 
 namespace saltvane::requests {
 
-/// What the headers of a caller's request say about it.
+/// Properties of a caller's request, as read from its headers.
 struct ParsedRequest {
     ServiceName service;
     RegionName clientRegion;
-    Duration deadline {}; ///< Time from its arrival.
+    Duration deadline {}; ///< Time after the arrival of the request.
     bool isRepeatable = false;
     std::string idempotencyKey;
-    /// None where the request can go on; otherwise why it can't.
+    /// None if the request is valid; otherwise the reason for refusing it.
     model::Reason refusal = model::Reason::None;
-    std::string field; ///< The header at fault.
+    std::string field; ///< Name of the invalid header.
 };
 
-/// Reads the headers of a request. What could be read before a fault was found is in the result too.
+/// Reads the headers of a request. The result contains all values read before the first error.
 [[nodiscard]] ParsedRequest parseRequest(const model::Deployment& deployment, const HttpRequestStarted& request);
 
-/// The Idempotency-Key alone, where no deployment is held yet; empty where there is none.
+/// Reads only the Idempotency-Key and the service name, for requests that arrive before a deployment is installed.
 [[nodiscard]] ParsedRequest parseWithoutDeployment(const HttpRequestStarted& request);
 
 } // namespace saltvane::requests
--- a/src/requests/internal/intake.cpp
+++ b/src/requests/internal/requestreceiver.cpp
@@ -3,14 +3,14 @@
  * saltvane: global traffic steering
  * Copyright (c) 2026 the saltvane authors
  */
-#include "requests/internal/intake.h"
+#include "requests/internal/requestreceiver.h"
 
 #include "requests/headerfilter.h"
-#include "requests/internal/answerrelay.h"
+#include "requests/internal/finalizer.h"
 #include "requests/internal/forwarder.h"
 #include "requests/internal/keyedrequests.h"
 #include "requests/internal/requestparser.h"
-#include "requests/internal/settler.h"
+#include "requests/internal/responserelay.h"
 
 #include <charconv>
 
@@ -26,7 +26,7 @@
 
 } // namespace
 
-void Intake::handle(HttpRequestStarted started, Timestamp now)
+void RequestReceiver::handle(HttpRequestStarted started, Timestamp now)
 {
     const ParsedRequest parsed
         = context_.deployment ? parseRequest(*context_.deployment, started) : parseWithoutDeployment(started);
@@ -45,51 +45,51 @@
     exchange.isRepeatable = parsed.isRepeatable;
     exchange.idempotencyKey = parsed.idempotencyKey;
 
-    const model::Reason refusal = admission();
+    const model::Reason refusal = admissionRefusal();
     Exchange& added = context_.table.add(std::move(exchange));
     context_.counters->add(model::Counter::Requests);
     if (parsed.refusal != model::Reason::None && parsed.refusal != model::Reason::NotReady)
-        return context_.settler->refuse(
+        return context_.finalizer->refuse(
             added, {.outcome = model::Outcome::NotRun, .reason = parsed.refusal, .field = parsed.field}, now);
     if (added.isKeyed())
         return context_.keyed->begin(added, refusal, now);
     if (refusal != model::Reason::None)
-        return context_.settler->giveUp(added, refusal, DefaultRetryAfter, now);
+        return context_.finalizer->giveUp(added, refusal, DefaultRetryAfter, now);
     context_.forwarder->start(added, now);
 }
 
-void Intake::handle(const HttpRequestBody& body, Timestamp now)
+void RequestReceiver::handle(const HttpRequestBody& body, Timestamp now)
 {
     if (Exchange* exchange = context_.table.find(body.handle))
-        takeBody(*exchange, body.bytes, body.isLast, now);
+        acceptBody(*exchange, body.bytes, body.isLast, now);
 }
 
-void Intake::handle(const HttpRequestAborted& aborted, Timestamp now)
+void RequestReceiver::handle(const HttpRequestAborted& aborted, Timestamp now)
 {
     if (Exchange* exchange = context_.table.find(aborted.handle))
-        context_.settler->endForGoneCaller(*exchange, model::Reason::ClientGone, now);
+        context_.finalizer->finishForDisconnectedCaller(*exchange, model::Reason::ClientGone, now);
 }
 
-void Intake::handle(const HttpResponseProgress& progress, Timestamp)
+void RequestReceiver::handle(const HttpResponseProgress& progress, Timestamp)
 {
     if (Exchange* exchange = context_.table.find(progress.handle))
-        context_.answers->noteProgress(*exchange, progress.bytes);
+        context_.responses->onCallerProgress(*exchange, progress.bytes);
 }
 
-void Intake::handle(const HttpResponseDone& done, Timestamp)
+void RequestReceiver::handle(const HttpResponseDone& done, Timestamp)
 {
     Exchange* exchange = context_.table.find(done.handle);
-    if (exchange && exchange->phase == Phase::Settled)
+    if (exchange && exchange->phase == Phase::Finalized)
         context_.table.remove(*exchange);
 }
 
-void Intake::handle(const model::Delivery& delivery, const model::ForwardRequest& request, Timestamp now)
+void RequestReceiver::handle(const model::Delivery& delivery, const model::ForwardRequest& request, Timestamp now)
 {
     if (!isNew(delivery, request.correlation))
         return context_.counters->add(model::Counter::StaleMessages);
     context_.counters->add(model::Counter::ForwardsReceived);
     Exchange exchange;
-    exchange.origin = LinkOrigin {
+    exchange.origin = ForwardedOrigin {
         .host = delivery.from, .incarnation = delivery.fromIncarnation, .correlation = request.correlation};
     exchange.request = request.request;
     exchange.service = request.service;
@@ -102,92 +102,93 @@
     exchange.deadline = now + request.deadline;
     exchange.idempotencyKey = request.idempotencyKey;
 
-    const model::Reason refusal = admission();
+    const model::Reason refusal = admissionRefusal();
     Exchange& added = context_.table.add(std::move(exchange));
     if (!added.isKeyed())
-        return context_.settler->refuse(
+        return context_.finalizer->refuse(
             added, {.outcome = model::Outcome::NotRun, .reason = model::Reason::MissingKey}, now);
     context_.keyed->begin(added, refusal, now);
 }
 
-void Intake::handle(const model::Delivery& delivery, const model::ForwardBody& body, Timestamp now)
+void RequestReceiver::handle(const model::Delivery& delivery, const model::ForwardBody& body, Timestamp now)
 {
     Exchange* exchange = match(delivery, body.correlation);
     if (!exchange)
         return;
     if (body.offset != exchange->body.received())
         return refuseBody(*exchange, now);
-    takeBody(*exchange, body.bytes, body.isLast, now);
+    acceptBody(*exchange, body.bytes, body.isLast, now);
 }
 
-void Intake::handle(const model::Delivery& delivery, const model::ForwardWindow& window, Timestamp)
+void RequestReceiver::handle(const model::Delivery& delivery, const model::ForwardWindow& window, Timestamp)
 {
     if (Exchange* exchange = match(delivery, window.correlation))
-        context_.answers->noteProgress(*exchange, window.bytes);
+        context_.responses->onCallerProgress(*exchange, window.bytes);
 }
 
-void Intake::handle(const model::Delivery& delivery, const model::ForwardCancel& cancel, Timestamp now)
+void RequestReceiver::handle(const model::Delivery& delivery, const model::ForwardCancel& cancel, Timestamp now)
 {
     if (Exchange* exchange = match(delivery, cancel.correlation))
-        context_.settler->endForGoneCaller(*exchange, cancel.reason, now);
+        context_.finalizer->finishForDisconnectedCaller(*exchange, cancel.reason, now);
 }
 
-RequestId Intake::nextRequestId()
+RequestId RequestReceiver::nextRequestId()
 {
     const membership::HostIdentity& self = context_.options.self;
     return RequestId(self.host.value() + "-" + toHex(self.incarnation.value) + "-" + toHex(++lastRequest_));
 }
 
-model::Reason Intake::admission() const
+model::Reason RequestReceiver::admissionRefusal() const
 {
     if (!context_.isReady || !context_.deployment)
         return model::Reason::NotReady;
     if (context_.isStopping)
         return model::Reason::Stopping;
-    if (context_.table.size() >= context_.options.largestInFlight)
+    if (context_.table.size() >= context_.options.maxInFlight)
         return model::Reason::NoRoom;
     return model::Reason::None;
 }
 
-/// A repeated or overtaken frame must not start a request again: its sender may have been told that it did not run.
-bool Intake::isNew(const model::Delivery& delivery, CorrelationId correlation)
+/// A duplicate or delayed frame must not start a request again, because its sender may have been told that the request
+/// did not run.
+bool RequestReceiver::isNew(const model::Delivery& delivery, CorrelationId correlation)
 {
     Sender& sender = senders_[delivery.from];
     if (delivery.fromIncarnation < sender.incarnation)
         return false;
     if (delivery.fromIncarnation > sender.incarnation)
-        sender = {.incarnation = delivery.fromIncarnation, .last = {}};
-    if (correlation <= sender.last)
+        sender = {.incarnation = delivery.fromIncarnation, .lastCorrelation = {}};
+    if (correlation <= sender.lastCorrelation)
         return false;
-    sender.last = correlation;
+    sender.lastCorrelation = correlation;
     return true;
 }
 
-/// Frames of requests that this side does not know belong to the owner side, which counts late ones.
-Exchange* Intake::match(const model::Delivery& delivery, CorrelationId correlation)
+/// Returns null for frames of unknown requests. They belong to the owner side, which counts late frames.
+Exchange* RequestReceiver::match(const model::Delivery& delivery, CorrelationId correlation)
 {
     Exchange* exchange = context_.table.find(delivery.from, correlation);
     if (!exchange)
         return nullptr;
-    const auto& link = std::get<LinkOrigin>(exchange->origin);
-    return link.incarnation == delivery.fromIncarnation ? exchange : nullptr;
+    const auto& forwarded = std::get<ForwardedOrigin>(exchange->origin);
+    return forwarded.incarnation == delivery.fromIncarnation ? exchange : nullptr;
 }
 
-void Intake::takeBody(Exchange& exchange, std::string_view bytes, bool isLast, Timestamp now)
+void RequestReceiver::acceptBody(Exchange& exchange, std::string_view bytes, bool isLast, Timestamp now)
 {
-    if (exchange.phase == Phase::Settled)
+    if (exchange.phase == Phase::Finalized)
         return;
     if (!exchange.body.append(bytes, isLast))
         return refuseBody(exchange, now);
-    context_.keyed->noteBody(exchange, now);
+    context_.keyed->onBodyReceived(exchange, now);
     context_.forwarder->pumpBody(exchange);
 }
 
-void Intake::refuseBody(Exchange& exchange, Timestamp now)
+void RequestReceiver::refuseBody(Exchange& exchange, Timestamp now)
 {
     if (exchange.attempt)
         context_.forwarder->cancel(exchange, model::Reason::BadRequest, now);
-    context_.settler->giveUp(exchange, model::Reason::BadRequest, Duration::zero(), now);
+    context_.finalizer->giveUp(exchange, model::Reason::BadRequest, Duration::zero(), now);
 }
 
 } // namespace saltvane::requests
--- a/src/requests/internal/intake.h
+++ b/src/requests/internal/requestreceiver.h
@@ -11,10 +11,10 @@
 
 namespace saltvane::requests {
 
-/// Takes requests in: from callers over HTTP and, as the minter of their keys, from other entry hosts.
-class Intake {
+/// Receives requests from callers over HTTP and, for keys that this host issued, from other entry hosts.
+class RequestReceiver {
 public:
-    explicit Intake(EntryContext& context)
+    explicit RequestReceiver(EntryContext& context)
         : context_(context)
     {
     }
@@ -33,14 +33,14 @@
 private:
     struct Sender {
         Incarnation incarnation;
-        CorrelationId last; ///< Its correlation ids only grow.
+        CorrelationId lastCorrelation; ///< Highest id seen; the correlation ids of an incarnation increase.
     };
 
     [[nodiscard]] RequestId nextRequestId();
-    [[nodiscard]] model::Reason admission() const;
+    [[nodiscard]] model::Reason admissionRefusal() const;
     [[nodiscard]] bool isNew(const model::Delivery& delivery, CorrelationId correlation);
     [[nodiscard]] Exchange* match(const model::Delivery& delivery, CorrelationId correlation);
-    void takeBody(Exchange& exchange, std::string_view bytes, bool isLast, Timestamp now);
+    void acceptBody(Exchange& exchange, std::string_view bytes, bool isLast, Timestamp now);
     void refuseBody(Exchange& exchange, Timestamp now);
 
     EntryContext& context_;
--- a/src/requests/internal/answerrelay.h
+++ b/src/requests/internal/responserelay.h
@@ -9,10 +9,11 @@
 
 namespace saltvane::requests {
 
-/// Passes answers of owners and minters on to the caller, whole or visibly broken.
-class AnswerRelay {
+/// Relays responses of owners and issuers to the caller, either completely or with a failure that the caller can
+/// detect.
+class ResponseRelay {
 public:
-    explicit AnswerRelay(EntryContext& context)
+    explicit ResponseRelay(EntryContext& context)
         : context_(context)
     {
     }
@@ -21,16 +22,17 @@
     void handle(const model::Delivery& delivery, const model::ForwardBody& body, Timestamp now);
     void handle(const model::Delivery& delivery, const model::ForwardEnd& end, Timestamp now);
     void handle(const model::Delivery& delivery, const model::ForwardWindow& window, Timestamp now);
-    /// The caller's side took so many bytes of the answer.
-    void noteProgress(Exchange& exchange, uint64_t bytes);
-    /// The caller is gone; the answer is read for the key's record as long as it can be kept.
-    void goOnWithoutCaller(Exchange& exchange, Timestamp now);
+    /// This number of bytes of the response was written to the caller.
+    void onCallerProgress(Exchange& exchange, uint64_t bytes);
+    /// Continues after the caller disconnected: the response is received as long as it can be stored for its key.
+    void continueWithoutCaller(Exchange& exchange, Timestamp now);
 
 private:
-    /// The exchange whose attempt the frame belongs to; null, and counted, where it ended or was another peer's.
+    /// The exchange whose attempt the frame belongs to. Null, and counted as a late frame, if the attempt has ended or
+    /// the frame is from another peer.
     [[nodiscard]] Exchange* match(const model::Delivery& delivery, CorrelationId correlation);
-    void breakOff(Exchange& exchange, Timestamp now);
-    void finishAnswer(Exchange& exchange, Timestamp now);
+    void abortAttempt(Exchange& exchange, Timestamp now);
+    void finishResponse(Exchange& exchange, Timestamp now);
 
     EntryContext& context_;
 };
--- a/src/requests/internal/answerstream.cpp
+++ b/src/requests/internal/responsestream.cpp
@@ -3,13 +3,13 @@
  * saltvane: global traffic steering
  * Copyright (c) 2026 the saltvane authors
  */
-#include "requests/internal/answerstream.h"
+#include "requests/internal/responsestream.h"
 
 #include <utility>
 
 namespace saltvane::requests {
 
-uint64_t StoredAnswer::size() const
+uint64_t StoredResponse::size() const
 {
     uint64_t size = body.size();
     for (const model::Header& header : head.headers)
@@ -17,7 +17,7 @@
     return size;
 }
 
-bool AnswerStream::start(AnswerHead head, bool isBodyless)
+bool ResponseStream::start(ResponseHead head, bool isBodyless)
 {
     if (isStarted_)
         return false;
@@ -27,7 +27,7 @@
     return true;
 }
 
-bool AnswerStream::append(uint64_t offset, std::string_view bytes, bool isLast)
+bool ResponseStream::append(uint64_t offset, std::string_view bytes, bool isLast)
 {
     if (!isStarted_ || isLastSeen_ || offset != received_)
         return false;
@@ -37,16 +37,16 @@
     if (head_.bodyLength && received_ > *head_.bodyLength)
         return false;
     isLastSeen_ = isLast;
-    if (isKept_ && (isHeld() || received_ <= keepLimit_)) {
-        kept_.append(bytes);
+    if (isRetained_ && (isBuffered() || received_ <= retainLimit_)) {
+        retained_.append(bytes);
         return true;
     }
-    isKept_ = false;
-    kept_ = {};
+    isRetained_ = false;
+    retained_ = {};
     return true;
 }
 
-bool AnswerStream::isWhole() const
+bool ResponseStream::isComplete() const
 {
     if (!isStarted_)
         return false;
@@ -57,11 +57,11 @@
     return isLastSeen_;
 }
 
-bool AnswerStream::isHeld() const
+bool ResponseStream::isBuffered() const
 {
-    return isStarted_ && (isBodyless_ || (head_.bodyLength && *head_.bodyLength <= HeldAnswerBytes));
+    return isStarted_ && (isBodyless_ || (head_.bodyLength && *head_.bodyLength <= MaxBufferedResponseBytes));
 }
 
-StoredAnswer AnswerStream::takeStored() { return {.head = head_, .body = std::exchange(kept_, {})}; }
+StoredResponse ResponseStream::extractStored() { return {.head = head_, .body = std::exchange(retained_, {})}; }
 
 } // namespace saltvane::requests
--- a/src/requests/internal/retryrules.h
+++ b/src/requests/internal/retryrules.h
@@ -9,8 +9,8 @@
 
 namespace saltvane::requests {
 
-/// May an attempt that ended so be followed by another one? Not-run work may; work that may have run only where it
-/// is repeatable and the fault is the peer's or the target's.
+/// True if an attempt with this result may be retried. Work that was not run may be retried if another owner or target
+/// may accept it; work that may have run only if it is repeatable and the peer or the target caused the failure.
 [[nodiscard]] bool isRetryAllowed(model::Outcome outcome, model::Reason reason, bool isRepeatable);
 
 } // namespace saltvane::requests
--- a/src/requests/internal/tokenminter.cpp
+++ b/src/requests/internal/tokenissuer.cpp
@@ -3,7 +3,7 @@
  * saltvane: global traffic steering
  * Copyright (c) 2026 the saltvane authors
  */
-#include "requests/internal/tokenminter.h"
+#include "requests/internal/tokenissuer.h"
 
 #include <sodium.h>
 #include <xxhash.h>
@@ -12,8 +12,8 @@
 namespace {
 
 constexpr std::string_view TokenPrefix = "s1";
-constexpr size_t MacBytes = 16; ///< Of crypto_auth's 32.
-constexpr size_t LargestSuffix = 64;
+constexpr size_t MacBytes = 16; ///< The 32 bytes of crypto_auth are truncated.
+constexpr size_t MaxSuffixLength = 64;
 constexpr size_t NumberBytes = 8;
 constexpr size_t FixedBytes = 4 * NumberBytes;
 
@@ -58,14 +58,14 @@
     return bytes;
 }
 
-/// The decoded token of TOKEN.SUFFIX; none where the key has another form.
+/// The decoded token of a key of the form TOKEN.SUFFIX; no value if the key has another form.
 std::optional<std::string> tokenOf(std::string_view key)
 {
     const size_t dot = key.rfind('.');
     if (dot == std::string_view::npos)
         return std::nullopt;
     const size_t suffix = key.size() - dot - 1;
-    if (suffix == 0 || suffix > LargestSuffix || !key.starts_with(TokenPrefix) || dot <= TokenPrefix.size())
+    if (suffix == 0 || suffix > MaxSuffixLength || !key.starts_with(TokenPrefix) || dot <= TokenPrefix.size())
         return std::nullopt;
     std::optional<std::string> bytes = decode(key.substr(TokenPrefix.size(), dot - TokenPrefix.size()));
     if (!bytes || bytes->size() <= FixedBytes + MacBytes)
@@ -75,7 +75,7 @@
 
 } // namespace
 
-TokenMinter::TokenMinter(const TokenMinterOptions& options)
+TokenIssuer::TokenIssuer(const TokenIssuerOptions& options)
     : host_(options.host)
     , incarnation_(options.incarnation)
     , validFor_(options.validFor)
@@ -84,7 +84,7 @@
         options.macKey.size(), nullptr, 0);
 }
 
-std::string TokenMinter::mint(const ServiceName& service, Timestamp now)
+std::string TokenIssuer::mint(const ServiceName& service, Timestamp now)
 {
     std::string payload;
     appendNumber(payload, incarnation_.value);
@@ -95,7 +95,7 @@
     return std::string(TokenPrefix) + encode(payload + mac(payload, service));
 }
 
-Result<TokenClaims, TokenError> TokenMinter::read(
+Result<TokenClaims, TokenError> TokenIssuer::read(
     std::string_view idempotencyKey, const ServiceName& service, Timestamp now) const
 {
     const std::optional<std::string> token = tokenOf(idempotencyKey);
@@ -108,19 +108,19 @@
         return TokenError::BadMac;
 
     const TokenClaims claims {
-        .minter = HostId(payload.substr(FixedBytes)),
+        .issuer = HostId(payload.substr(FixedBytes)),
         .incarnation = {numberAt(payload, 0)},
         .sequence = numberAt(payload, NumberBytes),
         .service = service,
         .expiry = Timestamp(Duration(static_cast<int64_t>(numberAt(payload, 2 * NumberBytes)))),
     };
-    const bool isOwn = claims.minter == host_ && claims.incarnation == incarnation_;
+    const bool isOwn = claims.issuer == host_ && claims.incarnation == incarnation_;
     if (isOwn && now >= claims.expiry)
         return TokenError::Expired;
     return claims;
 }
 
-std::string TokenMinter::mac(std::string_view payload, const ServiceName& service) const
+std::string TokenIssuer::mac(std::string_view payload, const ServiceName& service) const
 {
     std::array<unsigned char, crypto_auth_BYTES> tag {};
     const std::string text = std::string(payload) + service.value();
--- a/src/requests/internal/tokenminter.h
+++ b/src/requests/internal/tokenissuer.h
@@ -14,11 +14,11 @@
 
 namespace saltvane::requests {
 
-/// Tokens are base64url of incarnation, sequence, expiry, service hash, host and a truncated MAC over all of it and
-/// the service's name. docs/REQUESTS.md
-class TokenMinter final : public ITokenMinter {
+/// A token is the base64url encoding of incarnation, sequence, expiry, service hash, host and a truncated MAC over all
+/// of these and the service name. docs/REQUESTS.md
+class TokenIssuer final : public ITokenMinter {
 public:
-    explicit TokenMinter(const TokenMinterOptions& options);
+    explicit TokenIssuer(const TokenIssuerOptions& options);
 
     [[nodiscard]] std::string mint(const ServiceName& service, Timestamp now) override;
     [[nodiscard]] Result<TokenClaims, TokenError> read(
--- a/src/requests/iownerrequests.h
+++ b/src/requests/iownerrequests.h
@@ -16,24 +16,25 @@
 
 namespace saltvane::requests {
 
-/// The owner's side of requests: queue, slot, dispatch on a target, stream, settle. Every forwarded request gets
-/// exactly one ForwardEnd and gives back its slot exactly once. docs/REQUESTS.md
+/// Request handling on the owner of targets: queues a request, acquires a slot, dispatches to a target, streams the
+/// response and reports the outcome. Every forwarded request gets exactly one ForwardEnd and releases its slot exactly
+/// once. docs/REQUESTS.md
 class IOwnerRequests {
 public:
     virtual ~IOwnerRequests() = default;
 
-    /// ForwardRequest (purpose Dispatch), ForwardBody, ForwardWindow, ForwardCancel.
+    /// Handles ForwardRequest (purpose Dispatch), ForwardBody, ForwardWindow and ForwardCancel.
     virtual void handle(const model::Delivery& delivery, Timestamp now) = 0;
     virtual void handle(TargetEvent event, Timestamp now) = 0;
-    /// The entry host is gone: its requests are cancelled.
+    /// The link to the entry host broke or the host restarted: its requests are cancelled.
     virtual void noteHostLost(const HostId& host, Timestamp now) = 0;
-    /// Slots may have become free: the queues are served.
+    /// Dispatches queued requests; called when slots may have become free.
     virtual void serveQueues(Timestamp now) = 0;
-    /// Requests that have not ended, waiting ones included, and slots not given back yet: 0 when a stop loses nothing.
+    /// Unfinished requests, including queued ones, plus slots not released yet. 0 means that a stop loses nothing.
     [[nodiscard]] virtual uint32_t inFlight() const = 0;
     [[nodiscard]] virtual uint32_t queued(const ServiceName& service) const = 0;
     [[nodiscard]] virtual Duration queueDelay(const ServiceName& service, Timestamp now) const = 0;
-    /// Ends what is still in flight; returns how many requests that cut.
+    /// Terminates all requests in flight; returns how many of them had been dispatched.
     virtual uint32_t cutAll(Timestamp now) = 0;
     virtual void tick(Timestamp now) = 0;
     [[nodiscard]] virtual std::vector<Action> takeActions() = 0;
@@ -44,8 +45,9 @@
     steering::ITargetPool* pool = nullptr;
     model::Counters* counters = nullptr;
     steering::QueueOrder queueOrder = steering::QueueOrder::EarliestDeadline;
-    double queuePerRoom = 1.0; ///< Waiting requests allowed per usable slot, and at least one.
-    uint32_t largestAttempts = 2; ///< Targets tried for one forwarded request.
+    /// Limit of the queue: queued requests per usable slot. At least one request may always wait.
+    double maxQueuedPerSlot = 1.0;
+    uint32_t maxAttempts = 2; ///< Targets that one forwarded request is dispatched to, at most.
 };
 
 [[nodiscard]] std::unique_ptr<IOwnerRequests> makeOwnerRequests(const OwnerRequestsOptions& options);
--- a/src/requests/itokenminter.h
+++ b/src/requests/itokenminter.h
@@ -16,41 +16,41 @@
 
 namespace saltvane::requests {
 
-/// What a token says of itself.
+/// Content of a token.
 struct TokenClaims {
-    HostId minter;
+    HostId issuer;
     Incarnation incarnation;
     uint64_t sequence = 0;
     ServiceName service;
-    Timestamp expiry; ///< On the minter's clock.
+    Timestamp expiry; ///< On the clock of the issuer.
 };
 
-/// Why a key is no token of ours that can be used.
+/// Why an idempotency key isn't a valid token of this deployment.
 enum class TokenError {
-    NotAToken, ///< A key of the caller's own making.
+    NotAToken, ///< The caller made the key itself.
     BadMac,
     Expired,
     OtherService
 };
 
-/// Mints idempotency tokens without keeping state. The MAC key is shared by the deployment's hosts, so that any of
-/// them can tell a token's minter; only the minter dispatches. docs/REQUESTS.md
+/// Issues idempotency tokens without storing state. All hosts of the deployment share the MAC key, so each of them can
+/// read which host issued a token; only the issuer dispatches requests with it. docs/REQUESTS.md
 class ITokenMinter {
 public:
     virtual ~ITokenMinter() = default;
     [[nodiscard]] virtual std::string mint(const ServiceName& service, Timestamp now) = 0;
-    /// Reads the token of an Idempotency-Key of the form TOKEN.SUFFIX. Expiry is judged only for own tokens.
+    /// Reads the token from an Idempotency-Key of the form TOKEN.SUFFIX. Expiry is checked only by the issuer.
     [[nodiscard]] virtual Result<TokenClaims, TokenError> read(
         std::string_view idempotencyKey, const ServiceName& service, Timestamp now) const = 0;
 };
 
-struct TokenMinterOptions {
+struct TokenIssuerOptions {
     HostId host;
     Incarnation incarnation;
-    std::string macKey; ///< crypto_auth key material of the deployment.
+    std::string macKey; ///< Key material of the deployment for crypto_auth.
     Duration validFor = 10min;
 };
 
-[[nodiscard]] std::unique_ptr<ITokenMinter> makeTokenMinter(const TokenMinterOptions& options);
+[[nodiscard]] std::unique_ptr<ITokenMinter> makeTokenMinter(const TokenIssuerOptions& options);
 
 } // namespace saltvane::requests
--- a/src/requests/requestsmodule.cpp
+++ b/src/requests/requestsmodule.cpp
@@ -4,7 +4,7 @@
  * Copyright (c) 2026 the saltvane authors
  */
 #include "requests/internal/entryrequests.h"
-#include "requests/internal/tokenminter.h"
+#include "requests/internal/tokenissuer.h"
 
 namespace saltvane::requests {
 
@@ -13,9 +13,9 @@
     return std::make_unique<EntryRequests>(options);
 }
 
-std::unique_ptr<ITokenMinter> makeTokenMinter(const TokenMinterOptions& options)
+std::unique_ptr<ITokenMinter> makeTokenMinter(const TokenIssuerOptions& options)
 {
-    return std::make_unique<TokenMinter>(options);
+    return std::make_unique<TokenIssuer>(options);
 }
 
 } // namespace saltvane::requests
