--- a/src/requests/tests/claimtests.cpp
+++ b/src/requests/tests/claimtests.cpp
@@ -13,7 +13,7 @@
 using model::Outcome;
 using model::Reason;
 
-/// Keys of the callers' own making.
+/// Requests with caller-made keys, which are claimed in the replicated log.
 class ClaimTest : public EntryFixture {
 protected:
     model::ForwardRequest forward(size_t index = 0) { return sent<model::ForwardRequest>().at(index); }
@@ -27,8 +27,8 @@
     EXPECT_EQ(runs(), 0U);
     EXPECT_EQ(claim().key, "order-17");
     EXPECT_EQ(claim().retention, 24h);
-    reply(claim(), ClaimResult::Granted);
-    answer(forward(), "booked");
+    replyToClaim(claim(), ClaimResult::Granted);
+    sendResponse(forward(), "booked");
     EXPECT_EQ(bodies_[handle], "booked");
     const HttpHandle second = post("order-17");
     EXPECT_EQ(headerOf(response(second).headers, ReplayedHeader), "true");
@@ -39,120 +39,120 @@
 TEST_F(ClaimTest, IsSentAgainWithTheSameNumberAndToANewLeader)
 {
     post("order-17");
-    pass(190ms);
+    advanceTime(190ms);
     EXPECT_EQ(sent<model::ClaimRequest>().size(), 1U);
-    pass(10ms);
+    advanceTime(10ms);
     ASSERT_EQ(sent<model::ClaimRequest>().size(), 2U);
     entry_->setControlLeader(OtherEntry);
-    pass(10ms);
+    advanceTime(10ms);
     ASSERT_EQ(sent<model::ClaimRequest>().size(), 3U);
     EXPECT_EQ(outgoing_.back().to, OtherEntry);
     EXPECT_EQ(claim(2).claim, claim(0).claim);
-    reply(claim(), ClaimResult::Granted);
-    reply(claim(), ClaimResult::Granted); // of the second transmission
+    replyToClaim(claim(), ClaimResult::Granted);
+    replyToClaim(claim(), ClaimResult::Granted); // Reply to the second transmission.
     EXPECT_EQ(runs(), 1U);
 }
 
-/// This host can't know whether another one ran the key before: "not run" would be a guess.
+/// Another host may have run the key before, so "not run" can't be reported.
 TEST_F(ClaimTest, WithoutQuorumNothingRunsAndTheOutcomeIsUnknown)
 {
     entry_->setControlLeader(HostId());
     expectRefusal(post("order-17"), Outcome::Unknown, Reason::NoQuorum, 502);
     entry_->setControlLeader(ControlLeader);
     const HttpHandle second = post("order-17");
-    reply(claim(), ClaimResult::NoQuorum);
+    replyToClaim(claim(), ClaimResult::NoQuorum);
     expectRefusal(second, Outcome::Unknown, Reason::NoQuorum, 502);
     EXPECT_EQ(runs(), 0U);
 }
 
-TEST_F(ClaimTest, LostReplyEndsAtTheDeadlineAndAResendGoesOn)
+TEST_F(ClaimTest, LostReplyEndsAtTheDeadlineAndAResendReusesTheClaim)
 {
     const HttpHandle first = post("order-17");
-    pass(2s);
+    advanceTime(2s);
     expectRefusal(first, Outcome::Unknown, Reason::NoQuorum, 502);
     post("order-17");
     const auto claims = sent<model::ClaimRequest>();
     EXPECT_EQ(claims.back().claim, claims.front().claim);
-    reply(claims.back(), ClaimResult::Granted);
+    replyToClaim(claims.back(), ClaimResult::Granted);
     EXPECT_EQ(runs(), 1U);
 }
 
-TEST_F(ClaimTest, LateGrantIsRememberedAndLetsAResendRunAtOnce)
+TEST_F(ClaimTest, LateGrantLetsAResendRunAtOnce)
 {
     post("order-17");
-    pass(2s);
-    reply(claim(), ClaimResult::Granted);
+    advanceTime(2s);
+    replyToClaim(claim(), ClaimResult::Granted);
     EXPECT_EQ(runs(), 0U);
     entry_->setControlLeader(HostId());
     post("order-17");
     EXPECT_EQ(runs(), 1U);
-    end(forward(), Outcome::NotRun, Reason::QueueTimeout);
+    completeForward(forward(), Outcome::NotRun, Reason::QueueTimeout);
     EXPECT_EQ(headerOf(responses_.rbegin()->second.headers, OutcomeHeader), "not-run");
 }
 
-TEST_F(ClaimTest, RunIsRememberedAsLongAsTheLogRemembersTheClaim)
+TEST_F(ClaimTest, RunIsRecordedAsLongAsTheLogRetainsTheClaim)
 {
     post("order-17");
-    reply(claim(), ClaimResult::Granted);
-    end(forward(), Outcome::NotRun, Reason::QueueTimeout);
+    replyToClaim(claim(), ClaimResult::Granted);
+    completeForward(forward(), Outcome::NotRun, Reason::QueueTimeout);
     post("order-17");
-    answer(forward(1));
-    pass(24h);
-    pass(10ms);
+    sendResponse(forward(1));
+    advanceTime(24h);
+    advanceTime(10ms);
     post("order-17");
     EXPECT_EQ(runs(), 2U);
     EXPECT_EQ(sent<model::ClaimRequest>().size(), 1U);
 }
 
-TEST_F(ClaimTest, HeldElsewhereGoesToTheHolderWithAllThatWait)
+TEST_F(ClaimTest, HeldElsewhereForwardsAllWaitersToTheHolder)
 {
     const HttpHandle first = post("order-17");
     const HttpHandle second = post("order-17");
-    reply(claim(), ClaimResult::HeldElsewhere, OtherEntry, OtherIncarnation);
+    replyToClaim(claim(), ClaimResult::HeldElsewhere, OtherEntry, OtherIncarnation);
     ASSERT_EQ(runs(), 2U);
     EXPECT_EQ(forward().purpose, model::ForwardPurpose::Mint);
-    answer(forward(0), "booked", OtherEntry);
-    answer(forward(1), "booked", OtherEntry);
+    sendResponse(forward(0), "booked", OtherEntry);
+    sendResponse(forward(1), "booked", OtherEntry);
     EXPECT_EQ(bodies_[first], "booked");
     EXPECT_EQ(bodies_[second], "booked");
-    EXPECT_EQ(wallet_.taken(), 0);
+    EXPECT_EQ(creditStore_.taken(), 0);
 }
 
-TEST_F(ClaimTest, HolderGoneOrRestartedIsUnknown)
+TEST_F(ClaimTest, UnreachableOrRestartedHolderIsUnknown)
 {
     const HttpHandle first = post("order-17");
-    reply(claim(), ClaimResult::HeldElsewhere, OtherEntry, Incarnation {4});
+    replyToClaim(claim(), ClaimResult::HeldElsewhere, OtherEntry, Incarnation {4});
     expectRefusal(first, Outcome::Unknown, Reason::MinterGone, 409);
     const HttpHandle second = post("order-18");
-    reply(claim(1), ClaimResult::HeldElsewhere, SelfHost, Incarnation {SelfIncarnation.value - 1});
+    replyToClaim(claim(1), ClaimResult::HeldElsewhere, SelfHost, Incarnation {SelfIncarnation.value - 1});
     expectRefusal(second, Outcome::Unknown, Reason::MinterGone, 409);
     EXPECT_EQ(runs(), 0U);
 }
 
-TEST_F(ClaimTest, HeldByThisStartIsAGrant)
+TEST_F(ClaimTest, HeldByThisIncarnationIsAGrant)
 {
     post("order-17");
-    reply(claim(), ClaimResult::HeldElsewhere, SelfHost, SelfIncarnation);
+    replyToClaim(claim(), ClaimResult::HeldElsewhere, SelfHost, SelfIncarnation);
     EXPECT_EQ(runs(), 1U);
 }
 
-TEST_F(ClaimTest, OtherFingerprintIsAConflictForAllThatWait)
+TEST_F(ClaimTest, OtherFingerprintIsAConflictForAllWaiters)
 {
     const HttpHandle first = post("order-17");
     const HttpHandle second = post("order-17");
-    reply(claim(), ClaimResult::OtherFingerprint, OtherEntry);
+    replyToClaim(claim(), ClaimResult::OtherFingerprint, OtherEntry);
     expectRefusal(first, Outcome::NotRun, Reason::KeyConflict, 422);
     expectRefusal(second, Outcome::NotRun, Reason::KeyConflict, 422);
 }
 
-TEST_F(ClaimTest, WaiterTakesTheClaimOverWhenTheOriginalLeaves)
+TEST_F(ClaimTest, WaiterInheritsTheClaimWhenTheOriginalDisconnects)
 {
     const HttpHandle first = post("order-17");
     const HttpHandle second = post("order-17");
-    http(HttpRequestAborted {.handle = first});
-    reply(claim(), ClaimResult::Granted);
+    handleHttp(HttpRequestAborted {.handle = first});
+    replyToClaim(claim(), ClaimResult::Granted);
     ASSERT_EQ(runs(), 1U);
-    answer(forward(), "booked");
+    sendResponse(forward(), "booked");
     EXPECT_EQ(bodies_[second], "booked");
 }
 
--- a/src/requests/tests/entryfixture.cpp
+++ b/src/requests/tests/entryfixture.cpp
@@ -12,11 +12,11 @@
 EntryFixture::EntryFixture()
 {
     const std::string key = "a key of the deployment, long enough";
-    minter_ = makeTokenMinter({.host = SelfHost, .incarnation = SelfIncarnation, .macKey = key});
-    wallet_.owners[NearOwner] = {.zone = ZoneName("uio-carolina"), .free = 4};
-    wallet_.owners[FarOwner] = {.zone = ZoneName("gye-urdesa"), .free = 4};
-    finder_.alive[OtherEntry] = OtherIncarnation;
-    finder_.alive[SelfHost] = SelfIncarnation;
+    tokenIssuer_ = makeTokenMinter({.host = SelfHost, .incarnation = SelfIncarnation, .macKey = key});
+    creditStore_.owners[LocalOwner] = {.zone = ZoneName("uio-carolina"), .free = 4};
+    creditStore_.owners[RemoteOwner] = {.zone = ZoneName("gye-urdesa"), .free = 4};
+    hostLiveness_.alive[OtherEntry] = OtherIncarnation;
+    hostLiveness_.alive[SelfHost] = SelfIncarnation;
     build({});
 }
 
@@ -40,12 +40,12 @@
 {
     options.self = {.host = SelfHost, .incarnation = SelfIncarnation, .zone = ZoneName("uio-carolina")};
     options.steering = &steering_;
-    options.credits = &wallet_;
+    options.credits = &creditStore_;
     options.retryBudget = &budget_;
-    options.minter = minter_.get();
-    options.hosts = &finder_;
+    options.minter = tokenIssuer_.get();
+    options.hosts = &hostLiveness_;
     options.counters = &counters_;
-    options.creditWait = 50ms;
+    options.maxCreditWait = 50ms;
     entry_ = makeEntryRequests(options);
     const model::DeploymentPtr deployment = makeDeployment();
     steering_.install(deployment, now_);
@@ -61,14 +61,14 @@
     headers.push_back({.name = "Saltvane-Service", .value = Settlebox.value()});
     if (!request.key.empty())
         headers.push_back({.name = "Idempotency-Key", .value = request.key});
-    http(HttpRequestStarted {.handle = handle,
+    handleHttp(HttpRequestStarted {.handle = handle,
         .method = request.method,
         .path = request.path,
         .headers = headers,
         .bodyLength = request.body.size(),
         .remoteAddress = "10.1.0.1"});
     if (!request.body.empty())
-        http(HttpRequestBody {.handle = handle, .bytes = request.body, .isLast = true});
+        handleHttp(HttpRequestBody {.handle = handle, .bytes = request.body, .isLast = true});
     return handle;
 }
 
@@ -84,7 +84,7 @@
     return other->mint(Settlebox, now_) + ".1";
 }
 
-void EntryFixture::http(HttpEvent event)
+void EntryFixture::handleHttp(HttpEvent event)
 {
     entry_->handle(std::move(event), now_);
     collect();
@@ -96,7 +96,7 @@
     collect();
 }
 
-void EntryFixture::pass(Duration time)
+void EntryFixture::advanceTime(Duration time)
 {
     now_ += time;
     entry_->tick(now_);
@@ -125,12 +125,12 @@
         } else if (auto* record = std::get_if<AccessRecord>(&action)) {
             records_.push_back(*record);
         } else {
-            ADD_FAILURE() << "an action of the owner side";
+            ADD_FAILURE() << "action of the owner side";
         }
     }
 }
 
-void EntryFixture::answer(const model::ForwardRequest& forward, const std::string& body, const HostId& from)
+void EntryFixture::sendResponse(const model::ForwardRequest& forward, const std::string& body, const HostId& from)
 {
     deliver(from,
         model::ForwardResponseHead {.correlation = forward.correlation, .status = 200, .bodyLength = body.size()});
@@ -140,16 +140,16 @@
                 .direction = model::Direction::ToClient,
                 .bytes = body,
                 .isLast = true});
-    end(forward, model::Outcome::Answered, model::Reason::None, from);
+    completeForward(forward, model::Outcome::Answered, model::Reason::None, from);
 }
 
-void EntryFixture::end(
+void EntryFixture::completeForward(
     const model::ForwardRequest& forward, model::Outcome outcome, model::Reason reason, const HostId& from)
 {
     deliver(from, model::ForwardEnd {.correlation = forward.correlation, .outcome = outcome, .reason = reason});
 }
 
-void EntryFixture::reply(
+void EntryFixture::replyToClaim(
     const model::ClaimRequest& claim, model::ClaimResult result, const HostId& holder, Incarnation incarnation)
 {
     deliver(ControlLeader,
--- a/src/requests/tests/entryfixture.h
+++ b/src/requests/tests/entryfixture.h
@@ -6,10 +6,10 @@
 #pragma once
 
 #include "requests/ientryrequests.h"
-#include "requests/tests/fakehostfinder.h"
+#include "requests/tests/fakecreditstore.h"
+#include "requests/tests/fakehostliveness.h"
 #include "requests/tests/fakeretrybudget.h"
 #include "requests/tests/fakesteering.h"
-#include "requests/tests/fakewallet.h"
 
 #include <gtest/gtest.h>
 #include <map>
@@ -20,15 +20,15 @@
 namespace saltvane::requests {
 
 inline const HostId SelfHost("uio-1");
-inline const HostId NearOwner("uio-1"); ///< This host itself.
-inline const HostId FarOwner("gye-1");
+inline const HostId LocalOwner("uio-1"); ///< Owner on this host.
+inline const HostId RemoteOwner("gye-1");
 inline const HostId OtherEntry("gye-2");
 inline const HostId ControlLeader("uio-9");
 inline constexpr Incarnation SelfIncarnation {7};
 inline constexpr Incarnation OtherIncarnation {5};
 inline const ServiceName Settlebox("settlebox");
 
-/// One entry side with fakes around it; each step's actions are sorted by kind.
+/// Runs the entry side against fakes; sorts the actions of each step by kind.
 class EntryFixture : public testing::Test {
 protected:
     EntryFixture();
@@ -43,27 +43,28 @@
 
     static model::DeploymentPtr makeDeployment();
     void build(EntryRequestsOptions options);
-    /// Starts a request and hands its whole body in.
+    /// Starts a request and delivers its whole body.
     HttpHandle call(const Call& request);
-    /// A non-repeatable request with this key.
+    /// Starts a non-repeatable request with this key.
     HttpHandle post(const std::string& key, const std::string& body = "amount=1");
-    std::string ownKey(const std::string& suffix = "1") { return minter_->mint(Settlebox, now_) + "." + suffix; }
-    /// A key of a token that another host minted.
+    std::string ownKey(const std::string& suffix = "1") { return tokenIssuer_->mint(Settlebox, now_) + "." + suffix; }
+    /// A key with a token that another host issued.
     std::string foreignKey(const HostId& host = OtherEntry, Incarnation incarnation = OtherIncarnation);
 
-    void http(HttpEvent event);
+    void handleHttp(HttpEvent event);
     void deliver(const HostId& from, model::Message message, Incarnation incarnation = OtherIncarnation);
-    void pass(Duration time);
+    void advanceTime(Duration time);
     void collect();
 
-    /// The owner answers the forward whole.
-    void answer(const model::ForwardRequest& forward, const std::string& body = "ok", const HostId& from = NearOwner);
-    void end(const model::ForwardRequest& forward, model::Outcome outcome, model::Reason reason,
-        const HostId& from = NearOwner);
-    void reply(const model::ClaimRequest& claim, model::ClaimResult result, const HostId& holder = SelfHost,
+    /// Delivers a complete response of the owner.
+    void sendResponse(
+        const model::ForwardRequest& forward, const std::string& body = "ok", const HostId& from = LocalOwner);
+    void completeForward(const model::ForwardRequest& forward, model::Outcome outcome, model::Reason reason,
+        const HostId& from = LocalOwner);
+    void replyToClaim(const model::ClaimRequest& claim, model::ClaimResult result, const HostId& holder = SelfHost,
         Incarnation incarnation = SelfIncarnation);
 
-    /// The one response to the handle so far; fails the test where there is none.
+    /// The response to the handle; fails the test if there is none.
     const HttpRespond& response(HttpHandle handle);
     [[nodiscard]] bool hasResponse(HttpHandle handle) const { return responses_.contains(handle); }
     void expectRefusal(HttpHandle handle, model::Outcome outcome, model::Reason reason, int status);
@@ -81,10 +82,10 @@
     Timestamp now_ {1h};
     model::Counters counters_;
     FakeSteering steering_;
-    FakeWallet wallet_;
-    FakeHostFinder finder_;
+    FakeCreditStore creditStore_;
+    FakeHostLiveness hostLiveness_;
     FakeRetryBudget budget_;
-    std::unique_ptr<ITokenMinter> minter_;
+    std::unique_ptr<ITokenMinter> tokenIssuer_;
     std::unique_ptr<IEntryRequests> entry_;
     uint64_t lastHandle_ = 0;
 
--- a/src/requests/tests/fakewallet.h
+++ b/src/requests/tests/fakecreditstore.h
@@ -13,13 +13,13 @@
 
 namespace saltvane::requests {
 
-/// Holds a set number of credits at each owner and counts what is taken and given back.
-class FakeWallet final : public membership::ICreditWallet {
+/// Stores a fixed number of credits for each owner and counts the credits taken and returned.
+class FakeCreditStore final : public membership::ICreditWallet {
 public:
     struct OwnerCredit {
         ZoneName zone;
         int free = 0;
-        int taken = 0; ///< Not given back.
+        int taken = 0; ///< Taken and not returned.
     };
 
     void setOwners(std::span<const Owner>, Timestamp) override { }
@@ -48,9 +48,9 @@
         OwnerCredit& credit = owners[owner];
         ++credit.free;
         --credit.taken;
-        hasWrongGiveBack = hasWrongGiveBack || credit.taken < 0;
+        hasExcessReturn = hasExcessReturn || credit.taken < 0;
     }
-    void noteWanted(const ServiceName&, const ZoneName&, Timestamp) override { ++wanted; }
+    void noteWanted(const ServiceName&, const ZoneName&, Timestamp) override { ++requested; }
     void tick(Timestamp) override { }
     [[nodiscard]] std::vector<model::Outgoing> takeOutgoing() override { return {}; }
 
@@ -63,8 +63,8 @@
     }
 
     std::map<HostId, OwnerCredit> owners;
-    int wanted = 0;
-    bool hasWrongGiveBack = false;
+    int requested = 0;
+    bool hasExcessReturn = false;
 };
 
 } // namespace saltvane::requests
--- a/src/requests/tests/fakehostfinder.h
+++ b/src/requests/tests/fakehostliveness.h
@@ -11,8 +11,8 @@
 
 namespace saltvane::requests {
 
-/// Knows the hosts that a test names.
-class FakeHostFinder final : public IHostFinder {
+/// Reports the hosts in `alive` as alive.
+class FakeHostLiveness final : public IHostFinder {
 public:
     [[nodiscard]] bool isAlive(const HostId& host, Incarnation incarnation) const override
     {
--- a/src/requests/tests/fakeretrybudget.h
+++ b/src/requests/tests/fakeretrybudget.h
@@ -9,19 +9,19 @@
 
 namespace saltvane::requests {
 
-/// A budget of a set number of retries.
+/// A budget with a fixed number of retries.
 class FakeRetryBudget final : public steering::IRetryBudget {
 public:
     void noteAnswered(Timestamp) override { ++answered; }
     [[nodiscard]] bool trySpend(Timestamp) override
     {
-        if (left == 0)
+        if (remaining == 0)
             return false;
-        --left;
+        --remaining;
         return true;
     }
 
-    int left = 1000;
+    int remaining = 1000;
     int answered = 0;
 };
 
--- a/src/requests/tests/ownerfakepool.cpp
+++ b/src/requests/tests/faketargetpool.cpp
@@ -3,13 +3,13 @@
  * saltvane: global traffic steering
  * Copyright (c) 2026 the saltvane authors
  */
-#include "ownerfakepool.h"
+#include "faketargetpool.h"
 
 #include <algorithm>
 
 namespace saltvane::requests {
 
-uint32_t OwnerFakePool::inFlight() const
+uint32_t FakeTargetPool::inFlight() const
 {
     uint32_t sum = 0;
     for (const auto& [id, target] : targets_)
@@ -17,7 +17,7 @@
     return sum;
 }
 
-std::optional<steering::ITargetPool::Slot> OwnerFakePool::acquire(
+std::optional<steering::ITargetPool::Slot> FakeTargetPool::acquire(
     const ServiceName& /*service*/, std::span<const TargetId> excluded, Timestamp /*now*/)
 {
     for (auto& [id, target] : targets_) {
@@ -29,7 +29,7 @@
     return std::nullopt;
 }
 
-void OwnerFakePool::release(const Slot& slot, steering::DispatchResult result, Duration latency, Timestamp /*now*/)
+void FakeTargetPool::release(const Slot& slot, steering::DispatchResult result, Duration latency, Timestamp /*now*/)
 {
     Target& target = targets_[slot.target];
     if (target.inFlight == 0) {
@@ -40,7 +40,7 @@
     releases_.push_back({.target = slot.target, .result = result, .latency = latency});
 }
 
-steering::PoolRoom OwnerFakePool::room(const ServiceName& service) const
+steering::PoolRoom FakeTargetPool::room(const ServiceName& service) const
 {
     steering::PoolRoom room {.service = service, .inFlight = inFlight()};
     for (const auto& [id, target] : targets_) {
@@ -51,7 +51,7 @@
     return room;
 }
 
-std::optional<steering::PoolTargetStatus> OwnerFakePool::find(const TargetId& target) const
+std::optional<steering::PoolTargetStatus> FakeTargetPool::find(const TargetId& target) const
 {
     const auto found = targets_.find(target);
     if (found == targets_.end())
--- a/src/requests/tests/ownerfakepool.h
+++ b/src/requests/tests/faketargetpool.h
@@ -13,8 +13,9 @@
 
 namespace saltvane::requests {
 
-/// A pool by hand: the first target by name with a free slot. Notes every misuse.
-class OwnerFakePool : public steering::ITargetPool {
+/// A pool with a fixed number of slots for each target. Chooses the first target by name that has a free slot; records
+/// incorrect releases.
+class FakeTargetPool : public steering::ITargetPool {
 public:
     struct Release {
         TargetId target;
--- a/src/requests/tests/forwardtests.cpp
+++ b/src/requests/tests/forwardtests.cpp
@@ -18,12 +18,12 @@
     model::ForwardRequest forward(size_t index = 0) { return sent<model::ForwardRequest>().at(index); }
     void head(std::optional<uint64_t> length, int status = 200)
     {
-        deliver(NearOwner,
+        deliver(LocalOwner,
             model::ForwardResponseHead {.correlation = forward().correlation, .status = status, .bodyLength = length});
     }
     void body(uint64_t offset, const std::string& bytes, bool isLast = false)
     {
-        deliver(NearOwner,
+        deliver(LocalOwner,
             model::ForwardBody {.correlation = forward().correlation,
                 .direction = Direction::ToClient,
                 .offset = offset,
@@ -34,7 +34,7 @@
     {
         EXPECT_EQ(aborted_, std::vector<HttpHandle> {handle});
         EXPECT_TRUE(finished_.empty());
-        EXPECT_EQ(wallet_.taken(), 0);
+        EXPECT_EQ(creditStore_.taken(), 0);
         EXPECT_EQ(entry_->inFlight(), 0U);
         EXPECT_EQ(counters_.value(model::Counter::BrokenBodies), 1U);
     }
@@ -45,22 +45,22 @@
 TEST_F(ForwardTest, RetriesNotRunAtAnotherOwner)
 {
     const HttpHandle handle = post(ownKey());
-    end(forward(), Outcome::NotRun, Reason::TargetShed);
+    completeForward(forward(), Outcome::NotRun, Reason::TargetShed);
     ASSERT_EQ(sent<model::ForwardRequest>().size(), 2U);
     EXPECT_TRUE(steering_.lastIsRetry);
     EXPECT_EQ(counters_.retries[static_cast<size_t>(Reason::TargetShed)], 1U);
     const auto bodies = sent<model::ForwardBody>();
     ASSERT_EQ(bodies.size(), 2U);
     EXPECT_EQ(bodies[1].bytes, "amount=1");
-    answer(forward(1), "done", FarOwner);
+    sendResponse(forward(1), "done", RemoteOwner);
     EXPECT_EQ(bodies_[handle], "done");
-    EXPECT_EQ(wallet_.taken(), 0);
+    EXPECT_EQ(creditStore_.taken(), 0);
 }
 
-TEST_F(ForwardTest, TriedTargetsAreExcluded)
+TEST_F(ForwardTest, AttemptedTargetsAreExcluded)
 {
     call({});
-    deliver(NearOwner,
+    deliver(LocalOwner,
         model::ForwardEnd {.correlation = forward().correlation,
             .outcome = Outcome::NotRun,
             .reason = Reason::TargetShed,
@@ -68,43 +68,43 @@
     EXPECT_EQ(forward(1).excludedTargets, std::vector<TargetId> {TargetId("worker-3")});
 }
 
-TEST_F(ForwardTest, NoRetryForReasonsWithoutHopeOrWithoutBudget)
+TEST_F(ForwardTest, NoRetryForFinalReasonsOrWithoutBudget)
 {
     const HttpHandle late = call({});
-    end(forward(), Outcome::NotRun, Reason::QueueTimeout);
+    completeForward(forward(), Outcome::NotRun, Reason::QueueTimeout);
     expectRefusal(late, Outcome::NotRun, Reason::QueueTimeout, 504);
-    budget_.left = 0;
-    const HttpHandle poor = call({});
-    end(forward(1), Outcome::NotRun, Reason::QueueFull);
-    expectRefusal(poor, Outcome::NotRun, Reason::QueueFull, 503);
+    budget_.remaining = 0;
+    const HttpHandle refused = call({});
+    completeForward(forward(1), Outcome::NotRun, Reason::QueueFull);
+    expectRefusal(refused, Outcome::NotRun, Reason::QueueFull, 503);
     EXPECT_EQ(counters_.retries[static_cast<size_t>(Reason::RetryBudgetSpent)], 1U);
 }
 
 TEST_F(ForwardTest, AttemptsAreBounded)
 {
-    build({.largestAttempts = 2});
+    build({.maxAttempts = 2});
     const HttpHandle handle = call({});
-    end(forward(), Outcome::NotRun, Reason::QueueFull);
-    end(forward(1), Outcome::NotRun, Reason::NoTarget, FarOwner);
+    completeForward(forward(), Outcome::NotRun, Reason::QueueFull);
+    completeForward(forward(1), Outcome::NotRun, Reason::NoTarget, RemoteOwner);
     expectRefusal(handle, Outcome::NotRun, Reason::NoTarget, 503);
 }
 
 TEST_F(ForwardTest, UnknownIsRetriedOnlyWhenRepeatable)
 {
     const HttpHandle wire = post(ownKey());
-    end(forward(), Outcome::Unknown, Reason::TargetFailed);
+    completeForward(forward(), Outcome::Unknown, Reason::TargetFailed);
     expectRefusal(wire, Outcome::Unknown, Reason::TargetFailed, 502);
     EXPECT_EQ(sent<model::ForwardRequest>().size(), 1U);
     call({});
-    end(forward(1), Outcome::Unknown, Reason::TargetFailed);
+    completeForward(forward(1), Outcome::Unknown, Reason::TargetFailed);
     EXPECT_EQ(sent<model::ForwardRequest>().size(), 3U);
 }
 
 TEST_F(ForwardTest, UnknownStaysUnknownWhenTheRetryIsNotRun)
 {
     const HttpHandle handle = call({});
-    end(forward(), Outcome::Unknown, Reason::TargetFailed);
-    end(forward(1), Outcome::NotRun, Reason::QueueTimeout, FarOwner);
+    completeForward(forward(), Outcome::Unknown, Reason::TargetFailed);
+    completeForward(forward(1), Outcome::NotRun, Reason::QueueTimeout, RemoteOwner);
     expectRefusal(handle, Outcome::Unknown, Reason::TargetFailed, 502);
 }
 
@@ -112,37 +112,37 @@
 {
     const HttpHandle wire = post(ownKey());
     const HttpHandle read = call({});
-    entry_->noteHostLost(NearOwner, now_);
+    entry_->noteHostLost(LocalOwner, now_);
     collect();
     expectRefusal(wire, Outcome::Unknown, Reason::PeerLost, 502);
     EXPECT_FALSE(hasResponse(read));
-    answer(forward(2), "again", FarOwner);
+    sendResponse(forward(2), "again", RemoteOwner);
     EXPECT_EQ(bodies_[read], "again");
-    EXPECT_EQ(wallet_.taken(), 0);
+    EXPECT_EQ(creditStore_.taken(), 0);
 }
 
-TEST_F(ForwardTest, FramesOfOthersAreDroppedAndCounted)
+TEST_F(ForwardTest, FramesFromOtherPeersAreDroppedAndCounted)
 {
     const HttpHandle handle = call({});
     head(2);
-    answer(forward(), "no", FarOwner); // another host
-    deliver(NearOwner,
+    sendResponse(forward(), "no", RemoteOwner); // From another host.
+    deliver(LocalOwner,
         model::ForwardBody {
             .correlation = forward().correlation, .direction = Direction::ToClient, .bytes = "xx", .isLast = true},
         Incarnation {OtherIncarnation.value + 1});
     EXPECT_EQ(counters_.value(model::Counter::LateFrames), 4U);
     body(0, "ok", true);
-    end(forward(), Outcome::Answered, Reason::None);
+    completeForward(forward(), Outcome::Answered, Reason::None);
     EXPECT_EQ(bodies_[handle], "ok");
 }
 
-TEST_F(ForwardTest, SmallAnswerThatBreaksIsUnknownNotCut)
+TEST_F(ForwardTest, BrokenSmallResponseIsUnknownNotCut)
 {
     const HttpHandle handle = post(ownKey());
     head(10);
     body(0, "12345");
     EXPECT_FALSE(hasResponse(handle));
-    end(forward(), Outcome::Unknown, Reason::TargetFailed);
+    completeForward(forward(), Outcome::Unknown, Reason::TargetFailed);
     expectRefusal(handle, Outcome::Unknown, Reason::TargetFailed, 502);
 }
 
@@ -151,11 +151,11 @@
     const HttpHandle handle = post(ownKey());
     head(10);
     body(0, "12345", true);
-    end(forward(), Outcome::Answered, Reason::None);
+    completeForward(forward(), Outcome::Answered, Reason::None);
     expectRefusal(handle, Outcome::Unknown, Reason::TargetFailed, 502);
 }
 
-TEST_F(ForwardTest, LongAnswerStreamsAndEndsOnlyWhenWhole)
+TEST_F(ForwardTest, LongResponseStreamsAndEndsOnlyWhenComplete)
 {
     const HttpHandle handle = call({});
     head(LongLength);
@@ -163,12 +163,12 @@
     EXPECT_EQ(response(handle).bodyLength, LongLength);
     body(0, std::string(LongLength, 'x'), true);
     EXPECT_TRUE(finished_.empty());
-    end(forward(), Outcome::Answered, Reason::None);
+    completeForward(forward(), Outcome::Answered, Reason::None);
     EXPECT_EQ(finished_.size(), 1U);
     EXPECT_EQ(bodies_[handle].size(), LongLength);
 }
 
-TEST_F(ForwardTest, GapOverlapAndExcessBreakVisibly)
+TEST_F(ForwardTest, GapOverlapAndExcessAbortTheConnection)
 {
     struct Case {
         uint64_t offset;
@@ -187,28 +187,28 @@
     }
 }
 
-TEST_F(ForwardTest, ShortChunkedAnswerBreaksVisibly)
+TEST_F(ForwardTest, ShortChunkedResponseAbortsTheConnection)
 {
     const HttpHandle handle = call({});
     head(std::nullopt);
     body(0, "part");
-    end(forward(), Outcome::Answered, Reason::None); // the last frame never came
+    completeForward(forward(), Outcome::Answered, Reason::None); // The last frame is missing.
     expectBroken(handle);
 }
 
-TEST_F(ForwardTest, DeadlineInTheAnswerBreaksVisibly)
+TEST_F(ForwardTest, DeadlineDuringTheResponseAbortsTheConnection)
 {
     const HttpHandle handle = call({});
     head(LongLength);
-    pass(2s);
+    advanceTime(2s);
     expectBroken(handle);
 }
 
-TEST_F(ForwardTest, HeadAnswerKeepsItsLengthWithoutBody)
+TEST_F(ForwardTest, HeadResponseKeepsItsLengthWithoutBody)
 {
     const HttpHandle handle = call({.method = "HEAD"});
     head(LongLength);
-    end(forward(), Outcome::Answered, Reason::None);
+    completeForward(forward(), Outcome::Answered, Reason::None);
     EXPECT_EQ(response(handle).bodyLength, LongLength);
     EXPECT_EQ(response(handle).bytes, "");
     EXPECT_TRUE(response(handle).isLast);
@@ -220,7 +220,7 @@
     head(LongLength);
     body(0, std::string(5000, 'x'));
     EXPECT_TRUE(sent<model::ForwardWindow>().empty());
-    http(HttpResponseProgress {.handle = handle, .bytes = 5000});
+    handleHttp(HttpResponseProgress {.handle = handle, .bytes = 5000});
     const auto windows = sent<model::ForwardWindow>();
     ASSERT_EQ(windows.size(), 1U);
     EXPECT_EQ(windows[0].bytes, 5000U);
@@ -230,38 +230,39 @@
 TEST_F(ForwardTest, LongRequestBodyFollowsTheOwnersWindow)
 {
     const HttpHandle handle {++lastHandle_};
-    http(HttpRequestStarted {.handle = handle,
+    handleHttp(HttpRequestStarted {.handle = handle,
         .method = "PUT",
         .path = "/file",
         .headers = {{"Saltvane-Service", "settlebox"}},
         .bodyLength = 3 * InitialBodyWindow,
         .remoteAddress = "10.1.0.1"});
     uint64_t allowed = InitialBodyWindow;
-    uint64_t given = 0;
-    uint64_t passedOn = 0;
-    for (int round = 0; round < 100 && given < 3 * InitialBodyWindow; ++round) {
-        const uint64_t part = std::min<uint64_t>({allowed - given, 100'000, 3 * InitialBodyWindow - given});
-        given += part;
-        const bool isLast = given == 3 * InitialBodyWindow;
-        http(HttpRequestBody {.handle = handle, .bytes = std::string(part, 'b'), .isLast = isLast});
+    uint64_t sentByCaller = 0;
+    uint64_t acknowledged = 0;
+    for (int round = 0; round < 100 && sentByCaller < 3 * InitialBodyWindow; ++round) {
+        const uint64_t part
+            = std::min<uint64_t>({allowed - sentByCaller, 100'000, 3 * InitialBodyWindow - sentByCaller});
+        sentByCaller += part;
+        const bool isLast = sentByCaller == 3 * InitialBodyWindow;
+        handleHttp(HttpRequestBody {.handle = handle, .bytes = std::string(part, 'b'), .isLast = isLast});
         uint64_t total = 0;
         for (const auto& frame : sent<model::ForwardBody>()) {
             EXPECT_EQ(frame.offset, total);
             total += frame.bytes.size();
         }
-        EXPECT_LE(total, passedOn + InitialBodyWindow);
-        const uint64_t taken = std::min<uint64_t>(total - passedOn, 70'000);
-        passedOn += taken;
-        deliver(NearOwner,
+        EXPECT_LE(total, acknowledged + InitialBodyWindow);
+        const uint64_t taken = std::min<uint64_t>(total - acknowledged, 70'000);
+        acknowledged += taken;
+        deliver(LocalOwner,
             model::ForwardWindow {
                 .correlation = forward().correlation, .direction = Direction::ToTarget, .bytes = taken});
         allowed = InitialBodyWindow;
         for (const HttpRequestWindow& window : windows_)
             allowed += window.bytes;
-        EXPECT_LE(allowed, passedOn + InitialBodyWindow);
+        EXPECT_LE(allowed, acknowledged + InitialBodyWindow);
     }
-    EXPECT_EQ(given, 3 * InitialBodyWindow);
-    end(forward(), Outcome::NotRun, Reason::QueueFull); // what was let go can't be sent again
+    EXPECT_EQ(sentByCaller, 3 * InitialBodyWindow);
+    completeForward(forward(), Outcome::NotRun, Reason::QueueFull); // Released bytes can't be sent again.
     expectRefusal(handle, Outcome::NotRun, Reason::QueueFull, 503);
 }
 
--- a/src/requests/tests/mintertests.cpp
+++ b/src/requests/tests/issuertests.cpp
@@ -13,13 +13,13 @@
 using model::Outcome;
 using model::Reason;
 
-/// Requests that one entry host hands to the minter of their key: both sides.
-class MinterTest : public EntryFixture {
+/// Requests that an entry host forwards to the issuer of their key, seen from both hosts.
+class IssuerTest : public EntryFixture {
 protected:
     model::ForwardRequest forward(size_t index = 0) { return sent<model::ForwardRequest>().at(index); }
     size_t runs() { return sent<model::ForwardRequest>().size(); }
-    /// Another entry host hands a request with this key to this one.
-    void mint(const std::string& key, uint64_t correlation, Incarnation incarnation = OtherIncarnation)
+    /// Delivers a request with this key from another entry host.
+    void receiveForwarded(const std::string& key, uint64_t correlation, Incarnation incarnation = OtherIncarnation)
     {
         deliver(OtherEntry,
             model::ForwardRequest {.correlation = {correlation},
@@ -52,7 +52,7 @@
     }
 };
 
-TEST_F(MinterTest, ForeignTokenGoesToItsMinterAndTheAnswerBack)
+TEST_F(IssuerTest, ForeignTokenGoesToItsIssuerAndTheResponseBack)
 {
     const std::string key = foreignKey();
     const HttpHandle handle = post(key);
@@ -66,24 +66,24 @@
     deliver(OtherEntry,
         model::ForwardBody {
             .correlation = forward().correlation, .direction = Direction::ToClient, .bytes = "ok", .isLast = true});
-    end(forward(), Outcome::Answered, Reason::None, OtherEntry);
+    completeForward(forward(), Outcome::Answered, Reason::None, OtherEntry);
     EXPECT_EQ(bodies_[handle], "ok");
     EXPECT_EQ(headerOf(response(handle).headers, ReplayedHeader), "true");
-    EXPECT_EQ(wallet_.taken(), 0);
+    EXPECT_EQ(creditStore_.taken(), 0);
 }
 
-TEST_F(MinterTest, MintersRefusalIsPassedOnWithoutRetry)
+TEST_F(IssuerTest, IssuersRefusalIsPassedOnWithoutRetry)
 {
     const HttpHandle first = post(foreignKey());
-    end(forward(), Outcome::NotRun, Reason::NoRoom, OtherEntry);
+    completeForward(forward(), Outcome::NotRun, Reason::NoRoom, OtherEntry);
     expectRefusal(first, Outcome::NotRun, Reason::NoRoom, 503);
     const HttpHandle second = post(foreignKey());
-    end(forward(1), Outcome::Unknown, Reason::KeyInUse, OtherEntry);
+    completeForward(forward(1), Outcome::Unknown, Reason::KeyInUse, OtherEntry);
     expectRefusal(second, Outcome::Unknown, Reason::KeyInUse, 409);
     EXPECT_EQ(runs(), 2U);
 }
 
-TEST_F(MinterTest, MinterGoneOrRestartedIsUnknown)
+TEST_F(IssuerTest, UnreachableOrRestartedIssuerIsUnknown)
 {
     expectRefusal(post(foreignKey(HostId("cue-1"))), Outcome::Unknown, Reason::MinterGone, 409);
     expectRefusal(post(foreignKey(OtherEntry, {4})), Outcome::Unknown, Reason::MinterGone, 409);
@@ -91,44 +91,44 @@
     EXPECT_EQ(runs(), 0U);
 }
 
-TEST_F(MinterTest, MinterIsAskedOnceMoreAfterTheLinkBroke)
+TEST_F(IssuerTest, IssuerIsRetriedAfterTheLinkBroke)
 {
     const HttpHandle handle = post(foreignKey());
     entry_->noteHostLost(OtherEntry, now_);
     collect();
     EXPECT_FALSE(hasResponse(handle));
-    pass(200ms);
+    advanceTime(200ms);
     ASSERT_EQ(runs(), 2U);
     EXPECT_EQ(sent<model::ForwardBody>().back().bytes, "amount=1");
-    answer(forward(1), "booked", OtherEntry);
+    sendResponse(forward(1), "booked", OtherEntry);
     EXPECT_EQ(bodies_[handle], "booked");
 
-    const HttpHandle unlucky = post(foreignKey());
-    finder_.alive.erase(OtherEntry);
+    const HttpHandle orphaned = post(foreignKey());
+    hostLiveness_.alive.erase(OtherEntry);
     entry_->noteHostLost(OtherEntry, now_);
-    pass(200ms);
-    expectRefusal(unlucky, Outcome::Unknown, Reason::MinterGone, 409);
+    advanceTime(200ms);
+    expectRefusal(orphaned, Outcome::Unknown, Reason::MinterGone, 409);
 }
 
-TEST_F(MinterTest, LinkThatStaysBrokenIsUnknownAtTheDeadline)
+TEST_F(IssuerTest, LinkThatStaysBrokenIsUnknownAtTheDeadline)
 {
     const HttpHandle handle = post(foreignKey());
     for (int count = 0; count < 5; ++count) {
         entry_->noteHostLost(OtherEntry, now_);
-        pass(200ms);
+        advanceTime(200ms);
     }
     expectRefusal(handle, Outcome::Unknown, Reason::PeerLost, 502);
     EXPECT_EQ(runs(), 3U);
     EXPECT_EQ(entry_->inFlight(), 1U);
 }
 
-TEST_F(MinterTest, RunsTheKeyOnceForCallersOfTwoHosts)
+TEST_F(IssuerTest, RunsTheKeyOnceForCallersOfTwoHosts)
 {
     const std::string key = ownKey();
     const HttpHandle local = post(key);
-    mint(key, 11);
+    receiveForwarded(key, 11);
     ASSERT_EQ(runs(), 1U);
-    answer(forward(), "booked");
+    sendResponse(forward(), "booked");
     EXPECT_EQ(bodies_[local], "booked");
     const auto heads = sent<model::ForwardResponseHead>();
     ASSERT_EQ(heads.size(), 1U);
@@ -139,90 +139,90 @@
     expectEnd(11, Outcome::Answered, Reason::None);
 }
 
-TEST_F(MinterTest, RepeatedFrameDoesNotRunAgainWhatWasToldAsNotRun)
+TEST_F(IssuerTest, RepeatedFrameDoesNotRunWhatWasReportedNotRun)
 {
     const std::string key = ownKey();
-    mint(key, 11);
-    end(forward(), Outcome::NotRun, Reason::QueueTimeout);
+    receiveForwarded(key, 11);
+    completeForward(forward(), Outcome::NotRun, Reason::QueueTimeout);
     expectEnd(11, Outcome::NotRun, Reason::QueueTimeout);
-    mint(key, 11);
-    mint(key, 10);
-    mint(key, 12, {OtherIncarnation.value - 1});
+    receiveForwarded(key, 11);
+    receiveForwarded(key, 10);
+    receiveForwarded(key, 12, {OtherIncarnation.value - 1});
     EXPECT_EQ(runs(), 1U);
     EXPECT_EQ(counters_.value(model::Counter::StaleMessages), 3U);
-    mint(key, 1, {OtherIncarnation.value + 1});
+    receiveForwarded(key, 1, {OtherIncarnation.value + 1});
     EXPECT_EQ(runs(), 2U);
 }
 
-TEST_F(MinterTest, CancelledRunGoesOnForItsKey)
+TEST_F(IssuerTest, CancelledRunContinuesForItsKey)
 {
     const std::string key = ownKey();
-    mint(key, 11);
+    receiveForwarded(key, 11);
     deliver(OtherEntry, model::ForwardCancel {.correlation = {11}});
     expectEnd(11, Outcome::Unknown, Reason::ClientGone);
     EXPECT_TRUE(sent<model::ForwardCancel>().empty());
-    answer(forward(), "booked");
+    sendResponse(forward(), "booked");
     expectEnd(11, Outcome::Unknown, Reason::ClientGone);
     const HttpHandle resend = post(key);
     EXPECT_EQ(bodies_[resend], "booked");
     EXPECT_EQ(runs(), 1U);
 }
 
-TEST_F(MinterTest, LostEntryHostLeavesTheRunGoingOn)
+TEST_F(IssuerTest, LostEntryHostDoesNotStopTheRun)
 {
     const std::string key = ownKey();
-    mint(key, 11);
+    receiveForwarded(key, 11);
     entry_->noteHostLost(OtherEntry, now_);
     collect();
-    answer(forward(), "booked");
+    sendResponse(forward(), "booked");
     EXPECT_TRUE(ends(11).empty());
     EXPECT_EQ(bodies_[post(key)], "booked");
 }
 
-TEST_F(MinterTest, DeadlineOfAForwardedRequestEndsItOnce)
+TEST_F(IssuerTest, DeadlineOfAForwardedRequestEndsItOnce)
 {
-    mint(ownKey(), 11);
-    pass(1s);
+    receiveForwarded(ownKey(), 11);
+    advanceTime(1s);
     expectEnd(11, Outcome::Unknown, Reason::DeadlineExceeded);
-    answer(forward());
+    sendResponse(forward());
     EXPECT_EQ(ends(11).size(), 1U);
     EXPECT_EQ(entry_->inFlight(), 0U);
 }
 
-/// A host that was restarted knows nothing of keys that its earlier start claimed; the log does.
-TEST_F(MinterTest, CallerMadeKeyIsClaimedAgainByAHolderThatDoesNotKnowIt)
+/// A restarted host has no records of keys that its earlier incarnation claimed; the replicated log has.
+TEST_F(IssuerTest, CallerMadeKeyIsClaimedAgainByAHolderWithoutARecord)
 {
-    mint("order-17", 11);
+    receiveForwarded("order-17", 11);
     EXPECT_EQ(runs(), 0U);
-    reply(sent<model::ClaimRequest>().at(0), model::ClaimResult::HeldElsewhere, SelfHost, {3});
+    replyToClaim(sent<model::ClaimRequest>().at(0), model::ClaimResult::HeldElsewhere, SelfHost, {3});
     expectEnd(11, Outcome::Unknown, Reason::MinterGone);
-    mint("order-18", 12);
-    reply(sent<model::ClaimRequest>().at(1), model::ClaimResult::HeldElsewhere, OtherEntry, OtherIncarnation);
-    expectEnd(12, Outcome::Unknown, Reason::MinterGone); // no second hop
+    receiveForwarded("order-18", 12);
+    replyToClaim(sent<model::ClaimRequest>().at(1), model::ClaimResult::HeldElsewhere, OtherEntry, OtherIncarnation);
+    expectEnd(12, Outcome::Unknown, Reason::MinterGone); // A forwarded request isn't forwarded again.
     EXPECT_EQ(runs(), 0U);
 }
 
-TEST_F(MinterTest, StoppingMinterServesRepliesButNoNewKey)
+TEST_F(IssuerTest, StoppingIssuerServesRepliesButNoNewKey)
 {
     const std::string key = ownKey();
     post(key);
     entry_->startStopping(now_);
-    mint(key, 11);
-    mint(ownKey(), 12);
+    receiveForwarded(key, 11);
+    receiveForwarded(ownKey(), 12);
     expectEnd(12, Outcome::NotRun, Reason::Stopping);
-    answer(forward());
+    sendResponse(forward());
     expectEnd(11, Outcome::Answered, Reason::None);
 }
 
-TEST_F(MinterTest, StoppingHostStillAsksTheMinter)
+TEST_F(IssuerTest, StoppingHostStillForwardsToTheIssuer)
 {
     entry_->startStopping(now_);
     const HttpHandle handle = post(foreignKey());
-    answer(forward(), "booked", OtherEntry);
+    sendResponse(forward(), "booked", OtherEntry);
     EXPECT_EQ(bodies_[handle], "booked");
 }
 
-TEST_F(MinterTest, BrokenBodyFromAnEntryHostIsNotDispatched)
+TEST_F(IssuerTest, BrokenBodyFromAnEntryHostIsNotDispatched)
 {
     const std::string key = ownKey();
     deliver(OtherEntry,
--- a/src/requests/tests/keytests.cpp
+++ b/src/requests/tests/keytests.cpp
@@ -12,7 +12,7 @@
 using model::Outcome;
 using model::Reason;
 
-/// Keys of this host's own tokens.
+/// Requests with keys that this host issued.
 class KeyTest : public EntryFixture {
 protected:
     model::ForwardRequest forward(size_t index = 0) { return sent<model::ForwardRequest>().at(index); }
@@ -24,11 +24,11 @@
     }
 };
 
-TEST_F(KeyTest, ResendGetsTheStoredAnswer)
+TEST_F(KeyTest, ResendGetsTheStoredResponse)
 {
     const std::string key = ownKey();
     const HttpHandle first = post(key);
-    answer(forward(), "booked");
+    sendResponse(forward(), "booked");
     EXPECT_EQ(headerOf(response(first).headers, ReplayedHeader), "");
     expectReplay(post(key), "booked");
     EXPECT_EQ(runs(), 1U);
@@ -38,19 +38,19 @@
 
 TEST_F(KeyTest, SuffixesOfOneTokenAreDifferentKeys)
 {
-    const std::string token = minter_->mint(Settlebox, now_);
+    const std::string token = tokenIssuer_->mint(Settlebox, now_);
     post(token + ".1");
     post(token + ".2");
     EXPECT_EQ(runs(), 2U);
 }
 
-TEST_F(KeyTest, ResendRacingTheOriginalWaitsForItsAnswer)
+TEST_F(KeyTest, ResendRacingTheOriginalWaitsForItsResponse)
 {
     const std::string key = ownKey();
     const HttpHandle first = post(key);
     const HttpHandle second = post(key);
     EXPECT_EQ(runs(), 1U);
-    answer(forward(), "booked");
+    sendResponse(forward(), "booked");
     EXPECT_EQ(bodies_[first], "booked");
     expectReplay(second, "booked");
 }
@@ -60,24 +60,24 @@
     const std::string key = ownKey();
     post(key, "amount=1");
     expectRefusal(post(key, "amount=2"), Outcome::NotRun, Reason::KeyConflict, 422);
-    answer(forward());
+    sendResponse(forward());
     expectRefusal(post(key, "amount=2"), Outcome::NotRun, Reason::KeyConflict, 422);
     expectRefusal(call({.method = "POST", .path = "/other", .key = key, .body = "amount=1"}), Outcome::NotRun,
         Reason::KeyConflict, 422);
     EXPECT_EQ(runs(), 1U);
 }
 
-TEST_F(KeyTest, NotRunMayRunAgainAndWaitersAreToldTheSame)
+TEST_F(KeyTest, NotRunMayRunAgainAndWaitersGetTheSameOutcome)
 {
     const std::string key = ownKey();
     const HttpHandle first = post(key);
     const HttpHandle second = post(key);
-    end(forward(), Outcome::NotRun, Reason::QueueTimeout);
+    completeForward(forward(), Outcome::NotRun, Reason::QueueTimeout);
     expectRefusal(first, Outcome::NotRun, Reason::QueueTimeout, 504);
     expectRefusal(second, Outcome::NotRun, Reason::QueueTimeout, 504);
     EXPECT_EQ(runs(), 1U);
     const HttpHandle third = post(key);
-    answer(forward(1), "booked");
+    sendResponse(forward(1), "booked");
     EXPECT_EQ(bodies_[third], "booked");
 }
 
@@ -85,26 +85,26 @@
 {
     const std::string key = ownKey();
     post(key);
-    end(forward(), Outcome::Unknown, Reason::TargetFailed);
+    completeForward(forward(), Outcome::Unknown, Reason::TargetFailed);
     expectRefusal(post(key), Outcome::Unknown, Reason::KeyInUse, 409);
-    pass(9min);
+    advanceTime(9min);
     for (int count = 0; count < 3; ++count)
-        pass(10ms);
+        advanceTime(10ms);
     expectRefusal(post(key), Outcome::Unknown, Reason::KeyInUse, 409);
-    pass(1min);
+    advanceTime(1min);
     expectRefusal(post(key), Outcome::Unknown, Reason::KeyExpired, 409);
     EXPECT_EQ(runs(), 1U);
 }
 
-TEST_F(KeyTest, RunAfterNotRunIsRememberedUntilTheTokenExpires)
+TEST_F(KeyTest, RunAfterNotRunIsRecordedUntilTheTokenExpires)
 {
     const std::string key = ownKey();
     post(key);
-    end(forward(), Outcome::NotRun, Reason::QueueTimeout);
+    completeForward(forward(), Outcome::NotRun, Reason::QueueTimeout);
     post(key);
-    answer(forward(1));
-    pass(9min);
-    pass(10ms);
+    sendResponse(forward(1));
+    advanceTime(9min);
+    advanceTime(10ms);
     expectReplay(post(key), "ok");
     EXPECT_EQ(runs(), 2U);
 }
@@ -112,156 +112,156 @@
 TEST_F(KeyTest, ExpiredKeyWithARecordIsStillAnswered)
 {
     const std::string key = ownKey();
-    pass(10min - 1s);
+    advanceTime(10min - 1s);
     post(key);
-    answer(forward());
-    pass(2s);
+    sendResponse(forward());
+    advanceTime(2s);
     expectReplay(post(key), "ok");
     const std::string unused = ownKey();
-    pass(10min);
+    advanceTime(10min);
     expectRefusal(post(unused), Outcome::Unknown, Reason::KeyExpired, 409);
     EXPECT_EQ(runs(), 1U);
 }
 
-TEST_F(KeyTest, AnswerTooLargeToKeepIsUnknownToAResend)
+TEST_F(KeyTest, ResponseTooLargeToStoreIsUnknownToAResend)
 {
-    build({.largestStoredAnswer = 100});
+    build({.maxStoredResponseBytes = 100});
     const std::string key = ownKey();
     const HttpHandle first = post(key);
-    answer(forward(), std::string(101, 'x'));
+    sendResponse(forward(), std::string(101, 'x'));
     EXPECT_EQ(bodies_[first].size(), 101U);
     expectRefusal(post(key), Outcome::Unknown, Reason::KeyInUse, 409);
     EXPECT_EQ(runs(), 1U);
 }
 
-TEST_F(KeyTest, OldestAnswersAreLetGoButNeverRunAgain)
+TEST_F(KeyTest, OldestResponsesAreEvictedButNeverRunAgain)
 {
-    build({.largestStoredTotal = 250});
+    build({.maxStoredTotalBytes = 250});
     std::vector<std::string> keys;
     for (size_t index = 0; index < 4; ++index) {
         keys.push_back(ownKey());
         post(keys.back());
-        answer(forward(index), std::string(100, 'x'));
+        sendResponse(forward(index), std::string(100, 'x'));
     }
     expectRefusal(post(keys[0]), Outcome::Unknown, Reason::KeyInUse, 409);
     expectReplay(post(keys[3]), std::string(100, 'x'));
     EXPECT_EQ(runs(), 4U);
 }
 
-TEST_F(KeyTest, FullTableRefusesRatherThanForgets)
+TEST_F(KeyTest, FullTableRefusesNewKeys)
 {
-    build({.largestKeys = 1});
+    build({.maxKeys = 1});
     const std::string key = ownKey();
     post(key);
-    answer(forward());
+    sendResponse(forward());
     expectRefusal(post(ownKey()), Outcome::NotRun, Reason::NoRoom, 503);
     expectReplay(post(key), "ok");
 }
 
-TEST_F(KeyTest, RunGoesOnForItsKeyWhenTheClientIsGone)
+TEST_F(KeyTest, RunContinuesForItsKeyWhenTheClientDisconnects)
 {
     const std::string key = ownKey();
-    http(HttpRequestAborted {.handle = post(key)});
+    handleHttp(HttpRequestAborted {.handle = post(key)});
     EXPECT_TRUE(sent<model::ForwardCancel>().empty());
     const HttpHandle second = post(key);
-    answer(forward(), "booked");
+    sendResponse(forward(), "booked");
     expectReplay(second, "booked");
     EXPECT_EQ(runs(), 1U);
     EXPECT_EQ(records_.size(), 2U);
 }
 
-TEST_F(KeyTest, GoneClientsLongAnswerIsCutButItsRunIsKnown)
+TEST_F(KeyTest, LongResponseToADisconnectedClientIsCutButItsRunIsRecorded)
 {
     const std::string key = ownKey();
-    http(HttpRequestAborted {.handle = post(key)});
-    deliver(NearOwner, model::ForwardResponseHead {.correlation = forward().correlation, .status = 200});
+    handleHttp(HttpRequestAborted {.handle = post(key)});
+    deliver(LocalOwner, model::ForwardResponseHead {.correlation = forward().correlation, .status = 200});
     for (uint64_t offset = 0; offset < 80 * 1024; offset += 40 * 1024)
-        deliver(NearOwner,
+        deliver(LocalOwner,
             model::ForwardBody {.correlation = forward().correlation,
                 .direction = model::Direction::ToClient,
                 .offset = offset,
                 .bytes = std::string(40 * 1024, 'x')});
     EXPECT_EQ(sent<model::ForwardWindow>().size(), 1U);
     EXPECT_EQ(sent<model::ForwardCancel>().size(), 1U);
-    EXPECT_EQ(wallet_.taken(), 0);
+    EXPECT_EQ(creditStore_.taken(), 0);
     expectRefusal(post(key), Outcome::Unknown, Reason::KeyInUse, 409);
 }
 
-TEST_F(KeyTest, ClientGoneWithHalfABodyIsUnknownUntilTheOwnerSaysNotRun)
+TEST_F(KeyTest, DisconnectWithHalfABodyIsUnknownUntilTheOwnerReportsNotRun)
 {
     const std::string key = ownKey();
     const uint64_t length = InitialBodyWindow + 10;
     const HttpHandle first {++lastHandle_};
-    http(HttpRequestStarted {.handle = first,
+    handleHttp(HttpRequestStarted {.handle = first,
         .method = "POST",
         .path = "/file",
         .headers = {{"Saltvane-Service", "settlebox"}, {"Idempotency-Key", key}},
         .bodyLength = length,
         .remoteAddress = "10.1.0.1"});
-    http(HttpRequestBody {.handle = first, .bytes = std::string(InitialBodyWindow, 'b')});
+    handleHttp(HttpRequestBody {.handle = first, .bytes = std::string(InitialBodyWindow, 'b')});
     ASSERT_EQ(runs(), 1U);
-    http(HttpRequestAborted {.handle = first});
+    handleHttp(HttpRequestAborted {.handle = first});
     EXPECT_EQ(sent<model::ForwardCancel>().size(), 1U);
     const std::string body(InitialBodyWindow, 'b');
     const auto resend = [&] {
         const HttpHandle handle {++lastHandle_};
-        http(HttpRequestStarted {.handle = handle,
+        handleHttp(HttpRequestStarted {.handle = handle,
             .method = "POST",
             .path = "/file",
             .headers = {{"Saltvane-Service", "settlebox"}, {"Idempotency-Key", key}},
             .bodyLength = length,
             .remoteAddress = "10.1.0.1"});
-        http(HttpRequestBody {.handle = handle, .bytes = body});
+        handleHttp(HttpRequestBody {.handle = handle, .bytes = body});
         return handle;
     };
     expectRefusal(resend(), Outcome::Unknown, Reason::KeyInUse, 409);
-    end(forward(), Outcome::NotRun, Reason::ClientGone);
+    completeForward(forward(), Outcome::NotRun, Reason::ClientGone);
     resend();
     EXPECT_EQ(runs(), 2U);
 }
 
-TEST_F(KeyTest, DeadlineAnswersAtOnceAndALateNotRunOpensTheKey)
+TEST_F(KeyTest, DeadlineEndsAtOnceAndALateNotRunReopensTheKey)
 {
     const std::string key = ownKey();
     const HttpHandle first = post(key);
     const HttpHandle second = post(key);
-    pass(2s);
+    advanceTime(2s);
     expectRefusal(first, Outcome::Unknown, Reason::DeadlineExceeded, 504);
     expectRefusal(second, Outcome::Unknown, Reason::DeadlineExceeded, 504);
-    end(forward(), Outcome::NotRun, Reason::QueueTimeout);
+    completeForward(forward(), Outcome::NotRun, Reason::QueueTimeout);
     post(key);
     EXPECT_EQ(runs(), 2U);
-    EXPECT_EQ(wallet_.taken(), 1);
+    EXPECT_EQ(creditStore_.taken(), 1);
 }
 
-TEST_F(KeyTest, WaiterIsPromotedWhenTheOriginalLeavesBeforeItsRun)
+TEST_F(KeyTest, WaiterIsPromotedWhenTheOriginalDisconnectsBeforeItsRun)
 {
-    wallet_.owners[NearOwner].free = 0;
-    wallet_.owners[FarOwner].free = 0;
+    creditStore_.owners[LocalOwner].free = 0;
+    creditStore_.owners[RemoteOwner].free = 0;
     const std::string key = ownKey();
     const HttpHandle first = post(key);
     const HttpHandle second = post(key);
-    wallet_.owners[NearOwner].free = 1;
-    http(HttpRequestAborted {.handle = first});
+    creditStore_.owners[LocalOwner].free = 1;
+    handleHttp(HttpRequestAborted {.handle = first});
     ASSERT_EQ(runs(), 1U);
-    answer(forward(), "booked");
+    sendResponse(forward(), "booked");
     EXPECT_EQ(bodies_[second], "booked");
 }
 
-TEST_F(KeyTest, WaitersHaveTheirOwnDeadlinesAndMayLeave)
+TEST_F(KeyTest, WaitersHaveTheirOwnDeadlinesAndMayDisconnect)
 {
     const std::string key = ownKey();
     const HttpHandle first = post(key);
     const HttpHandle gone = post(key);
-    const HttpHandle hasty = call({.method = "POST",
+    const HttpHandle impatient = call({.method = "POST",
         .path = "/wire",
         .key = key,
         .body = "amount=1",
         .headers = {{"Saltvane-Deadline-Ms", "100"}}});
-    http(HttpRequestAborted {.handle = gone});
-    pass(100ms);
-    expectRefusal(hasty, Outcome::Unknown, Reason::DeadlineExceeded, 504);
-    answer(forward(), "booked");
+    handleHttp(HttpRequestAborted {.handle = gone});
+    advanceTime(100ms);
+    expectRefusal(impatient, Outcome::Unknown, Reason::DeadlineExceeded, 504);
+    sendResponse(forward(), "booked");
     EXPECT_EQ(bodies_[first], "booked");
     EXPECT_FALSE(hasResponse(gone));
 }
@@ -274,16 +274,16 @@
     entry_->startStopping(now_);
     const HttpHandle second = post(key);
     expectRefusal(post(fresh), Outcome::NotRun, Reason::Stopping, 503);
-    answer(forward(), "booked");
+    sendResponse(forward(), "booked");
     expectReplay(second, "booked");
     expectReplay(post(key), "booked");
 }
 
-TEST_F(KeyTest, NotReadyHostClaimsNothingOfKeysItCannotKnow)
+TEST_F(KeyTest, NotReadyHostReportsUnknownForKeysItCannotKnow)
 {
     const std::string key = ownKey();
     post(key);
-    answer(forward());
+    sendResponse(forward());
     entry_->setReady(false);
     expectReplay(post(key), "ok");
     expectRefusal(post(ownKey()), Outcome::NotRun, Reason::NotReady, 503);
@@ -304,15 +304,15 @@
     const std::string key = ownKey();
     post(key, "amount=1");
     const HttpHandle second {++lastHandle_};
-    http(HttpRequestStarted {.handle = second,
+    handleHttp(HttpRequestStarted {.handle = second,
         .method = "POST",
         .path = "/wire",
         .headers = {{"Saltvane-Service", "settlebox"}, {"Idempotency-Key", key}},
         .remoteAddress = "10.1.0.1"});
-    http(HttpRequestBody {.handle = second, .bytes = "amount"});
-    http(HttpRequestBody {.handle = second, .bytes = "=1"});
-    http(HttpRequestBody {.handle = second, .bytes = {}, .isLast = true});
-    answer(forward(), "booked");
+    handleHttp(HttpRequestBody {.handle = second, .bytes = "amount"});
+    handleHttp(HttpRequestBody {.handle = second, .bytes = "=1"});
+    handleHttp(HttpRequestBody {.handle = second, .bytes = {}, .isLast = true});
+    sendResponse(forward(), "booked");
     expectReplay(second, "booked");
 }
 
--- a/src/requests/tests/ownerbodytests.cpp
+++ b/src/requests/tests/ownerbodytests.cpp
@@ -14,70 +14,70 @@
 
 class OwnerBodyTest : public OwnerFixture { };
 
-TEST_F(OwnerBodyTest, ChunkedAnswerEndsWithALastFrame)
+TEST_F(OwnerBodyTest, ChunkedResponseEndsWithALastFrame)
 {
     pool_.add("a", 1);
     deliver(request(1));
-    happen(TargetResponseHead {.dispatch = lastDispatch(), .status = 200});
-    happen(TargetResponseBody {.dispatch = lastDispatch(), .bytes = "x"});
+    handleTargetEvent(TargetResponseHead {.dispatch = lastDispatch(), .status = 200});
+    handleTargetEvent(TargetResponseBody {.dispatch = lastDispatch(), .bytes = "x"});
     EXPECT_FALSE(sent<model::ForwardBody>().back().isLast);
-    happen(TargetResponseDone {.dispatch = lastDispatch()});
+    handleTargetEvent(TargetResponseDone {.dispatch = lastDispatch()});
     EXPECT_TRUE(sent<model::ForwardBody>().back().isLast);
     expectEnd(Outcome::Answered, Reason::None);
 }
 
-TEST_F(OwnerBodyTest, HeadAnswerStatesALengthWithoutABody)
+TEST_F(OwnerBodyTest, HeadResponseStatesALengthWithoutABody)
 {
     pool_.add("a", 1);
     model::ForwardRequest head = request(1);
     head.method = "HEAD";
     deliver(head);
-    happen(TargetResponseHead {.dispatch = lastDispatch(), .status = 200, .bodyLength = 500});
-    happen(TargetResponseDone {.dispatch = lastDispatch()});
+    handleTargetEvent(TargetResponseHead {.dispatch = lastDispatch(), .status = 200, .bodyLength = 500});
+    handleTargetEvent(TargetResponseDone {.dispatch = lastDispatch()});
     expectEnd(Outcome::Answered, Reason::None);
     EXPECT_TRUE(sent<model::ForwardBody>().empty());
     EXPECT_EQ(sent<model::ForwardResponseHead>().front().bodyLength, 500U);
 }
 
-TEST_F(OwnerBodyTest, ShortAnswerIsUnknown)
+TEST_F(OwnerBodyTest, ShortResponseIsUnknown)
 {
     pool_.add("a", 1);
     deliver(request(1));
-    happen(TargetResponseHead {.dispatch = lastDispatch(), .status = 200, .bodyLength = 10});
-    happen(TargetResponseBody {.dispatch = lastDispatch(), .bytes = "short"});
-    happen(TargetResponseDone {.dispatch = lastDispatch()});
+    handleTargetEvent(TargetResponseHead {.dispatch = lastDispatch(), .status = 200, .bodyLength = 10});
+    handleTargetEvent(TargetResponseBody {.dispatch = lastDispatch(), .bytes = "short"});
+    handleTargetEvent(TargetResponseDone {.dispatch = lastDispatch()});
     expectEnd(Outcome::Unknown, Reason::TargetFailed);
     EXPECT_EQ(counters_.value(model::Counter::BrokenBodies), 1U);
 }
 
-TEST_F(OwnerBodyTest, LongAnswerIsUnknownAndCut)
+TEST_F(OwnerBodyTest, LongResponseIsUnknownAndCut)
 {
     pool_.add("a", 1);
     deliver(request(1));
-    happen(TargetResponseHead {.dispatch = lastDispatch(), .status = 200, .bodyLength = 2});
-    happen(TargetResponseBody {.dispatch = lastDispatch(), .bytes = "long"});
+    handleTargetEvent(TargetResponseHead {.dispatch = lastDispatch(), .status = 200, .bodyLength = 2});
+    handleTargetEvent(TargetResponseBody {.dispatch = lastDispatch(), .bytes = "long"});
     expectEnd(Outcome::Unknown, Reason::TargetFailed);
     EXPECT_EQ(actions<TargetCancel>().size(), 1U);
     EXPECT_TRUE(sent<model::ForwardBody>().empty());
 }
 
-TEST_F(OwnerBodyTest, AnswerWaitsForTheEntryHostsWindow)
+TEST_F(OwnerBodyTest, ResponseWaitsForTheEntryHostsWindow)
 {
     constexpr size_t Size = 2 * InitialBodyWindow;
     pool_.add("a", 1);
     deliver(request(1));
     const DispatchId dispatch = lastDispatch();
-    happen(TargetResponseHead {.dispatch = dispatch, .status = 200, .bodyLength = Size});
-    happen(TargetResponseBody {.dispatch = dispatch, .bytes = std::string(InitialBodyWindow + 1000, 'x')});
-    uint64_t out = 0;
+    handleTargetEvent(TargetResponseHead {.dispatch = dispatch, .status = 200, .bodyLength = Size});
+    handleTargetEvent(TargetResponseBody {.dispatch = dispatch, .bytes = std::string(InitialBodyWindow + 1000, 'x')});
+    uint64_t sentBytes = 0;
     for (const model::ForwardBody& frame : sent<model::ForwardBody>()) {
         EXPECT_LE(frame.bytes.size(), 64U * 1024);
-        EXPECT_EQ(frame.offset, out);
-        out += frame.bytes.size();
+        EXPECT_EQ(frame.offset, sentBytes);
+        sentBytes += frame.bytes.size();
     }
-    EXPECT_EQ(out, InitialBodyWindow);
+    EXPECT_EQ(sentBytes, InitialBodyWindow);
     EXPECT_TRUE(actions<TargetResponseWindow>().empty());
-    forget();
+    clearActions();
     deliver(model::ForwardWindow {.correlation = {1}, .direction = model::Direction::ToClient, .bytes = 5000});
     ASSERT_EQ(sent<model::ForwardBody>().size(), 1U);
     EXPECT_EQ(sent<model::ForwardBody>().front().bytes.size(), 1000U);
@@ -85,14 +85,14 @@
     EXPECT_EQ(actions<TargetResponseWindow>().front().bytes, 5000U);
 }
 
-TEST_F(OwnerBodyTest, SlotIsFreeOnceTheTargetIsDoneThoughTheEntryHostIsSlow)
+TEST_F(OwnerBodyTest, SlotIsReleasedWhenTheTargetFinishesEvenIfTheEntryHostIsSlow)
 {
     pool_.add("a", 1);
     deliver(request(1));
     const DispatchId dispatch = lastDispatch();
-    happen(TargetResponseHead {.dispatch = dispatch, .status = 200});
-    happen(TargetResponseBody {.dispatch = dispatch, .bytes = std::string(InitialBodyWindow + 10, 'x')});
-    happen(TargetResponseDone {.dispatch = dispatch});
+    handleTargetEvent(TargetResponseHead {.dispatch = dispatch, .status = 200});
+    handleTargetEvent(TargetResponseBody {.dispatch = dispatch, .bytes = std::string(InitialBodyWindow + 10, 'x')});
+    handleTargetEvent(TargetResponseDone {.dispatch = dispatch});
     EXPECT_EQ(pool_.inFlight(), 0U);
     EXPECT_EQ(owner_->inFlight(), 1U);
     EXPECT_TRUE(sent<model::ForwardEnd>().empty());
@@ -105,13 +105,13 @@
 {
     pool_.add("a", 1);
     deliver(request(1));
-    happen(TargetResponseHead {.dispatch = lastDispatch(), .status = 200});
+    handleTargetEvent(TargetResponseHead {.dispatch = lastDispatch(), .status = 200});
     deliver(model::ForwardWindow {.correlation = {1}, .direction = model::Direction::ToClient, .bytes = 1});
     expectEnd(Outcome::Unknown, Reason::BadRequest);
     EXPECT_EQ(counters_.value(model::Counter::BrokenBodies), 1U);
 }
 
-TEST_F(OwnerBodyTest, UploadWindowGrowsWithWhatTheTargetTook)
+TEST_F(OwnerBodyTest, UploadWindowGrowsWithBytesTakenByTheTarget)
 {
     pool_.add("a", 1);
     model::ForwardRequest upload = request(1);
@@ -119,7 +119,7 @@
     deliver(upload);
     deliver(body(1, 0, std::string(InitialBodyWindow, 'x')));
     EXPECT_EQ(actions<TargetRequestBody>().back().bytes.size(), InitialBodyWindow);
-    happen(TargetRequestProgress {.dispatch = lastDispatch(), .bytes = 100'000});
+    handleTargetEvent(TargetRequestProgress {.dispatch = lastDispatch(), .bytes = 100'000});
     ASSERT_EQ(sent<model::ForwardWindow>().size(), 1U);
     EXPECT_EQ(sent<model::ForwardWindow>().front().bytes, 100'000U);
     deliver(body(1, InitialBodyWindow, std::string(100'000, 'y')));
@@ -137,9 +137,9 @@
     upload.bodyLength = std::nullopt;
     deliver(upload);
     deliver(body(1, 0, std::string(InitialBodyWindow, 'x')));
-    happen(TargetRequestProgress {.dispatch = lastDispatch(), .bytes = InitialBodyWindow});
+    handleTargetEvent(TargetRequestProgress {.dispatch = lastDispatch(), .bytes = InitialBodyWindow});
     deliver(body(1, InitialBodyWindow, "y"));
-    happen(TargetResponseHead {.dispatch = lastDispatch(), .status = 429});
+    handleTargetEvent(TargetResponseHead {.dispatch = lastDispatch(), .status = 429});
     expectEnd(Outcome::NotRun, Reason::TargetShed);
     EXPECT_EQ(actions<TargetStart>().size(), 1U);
 }
@@ -172,9 +172,9 @@
     model::ForwardRequest upload = request(1);
     upload.bodyLength = 10;
     deliver(upload);
-    pass(2s);
+    advanceTime(2s);
     expectEnd(Outcome::Unknown, Reason::DeadlineExceeded);
-    pass(10ms);
+    advanceTime(10ms);
     EXPECT_EQ(pool_.releases().front().result, DispatchResult::Cancelled);
 }
 
--- a/src/requests/tests/ownerchecker.cpp
+++ b/src/requests/tests/ownerchecker.cpp
@@ -24,7 +24,7 @@
     return bytes;
 }
 
-uint64_t OwnerChecker::open(const ExchangeKey& key, uint64_t bodySize)
+uint64_t OwnerChecker::addRequest(const ExchangeKey& key, uint64_t bodySize)
 {
     const uint64_t number = exchanges_.size() + 1;
     exchanges_[number] = {.key = key, .number = number, .bodySize = bodySize};
@@ -37,16 +37,16 @@
         std::visit([this](const auto& content) { onAction(content); }, action);
 }
 
-void OwnerChecker::checkOver()
+void OwnerChecker::checkFinished()
 {
     for (const auto& [number, exchange] : exchanges_) {
         if (exchange.ends == 0 && !exchange.isLost)
             report("request " + std::to_string(number) + " has no end");
     }
-    for (const uint64_t dispatch : liveDispatches())
-        report("dispatch " + std::to_string(dispatch) + " is left over");
+    for (const uint64_t dispatch : activeDispatches())
+        report("dispatch " + std::to_string(dispatch) + " is still active");
     if (records_ != exchanges_.size())
-        report("not one access record for each request");
+        report("number of access records differs from number of requests");
 }
 
 void OwnerChecker::noteHostLost(const HostId& host)
@@ -57,34 +57,35 @@
     }
 }
 
-std::vector<uint64_t> OwnerChecker::liveDispatches() const
+std::vector<uint64_t> OwnerChecker::activeDispatches() const
 {
-    std::vector<uint64_t> live;
+    std::vector<uint64_t> active;
     for (const auto& [id, dispatch] : dispatches_) {
-        if (dispatch.fate == Fate::Live)
-            live.push_back(id);
+        if (dispatch.state == DispatchState::Active)
+            active.push_back(id);
     }
-    return live;
+    return active;
 }
 
-uint32_t OwnerChecker::openRequests() const
+uint32_t OwnerChecker::unfinishedRequests() const
 {
     return static_cast<uint32_t>(std::ranges::count_if(
         exchanges_, [](const auto& entry) { return entry.second.ends == 0 && !entry.second.isLost; }));
 }
 
-uint32_t OwnerChecker::liveOn(const TargetId& target) const
+uint32_t OwnerChecker::activeOn(const TargetId& target) const
 {
-    return static_cast<uint32_t>(std::ranges::count_if(dispatches_,
-        [&target](const auto& entry) { return entry.second.fate == Fate::Live && entry.second.target == target; }));
+    return static_cast<uint32_t>(std::ranges::count_if(dispatches_, [&target](const auto& entry) {
+        return entry.second.state == DispatchState::Active && entry.second.target == target;
+    }));
 }
 
-OwnerChecker::Dispatch* OwnerChecker::live(DispatchId dispatch, std::string_view what)
+OwnerChecker::Dispatch* OwnerChecker::findActive(DispatchId dispatch, std::string_view eventName)
 {
     const auto found = dispatches_.find(dispatch.value);
-    if (found != dispatches_.end() && found->second.fate == Fate::Live)
+    if (found != dispatches_.end() && found->second.state == DispatchState::Active)
         return &found->second;
-    report(std::string(what) + " for a dispatch that is over");
+    report(std::string(eventName) + " for a finished dispatch");
     return nullptr;
 }
 
@@ -95,16 +96,16 @@
     if (exchange.ends > 0)
         report("dispatch of a request that has ended");
     for (const uint64_t earlier : exchange.dispatches) {
-        if (dispatches_.at(earlier).fate == Fate::Live)
+        if (dispatches_.at(earlier).state == DispatchState::Active)
             report("two dispatches of one request at a time");
         if (dispatches_.at(earlier).target == start.target)
-            report("the same target tried twice");
-        const Fate fate = dispatches_.at(earlier).fate;
-        if (fate != Fate::Unsent && fate != Fate::Shed && !start.isRepeatable)
+            report("two dispatches of one request to the same target");
+        const DispatchState state = dispatches_.at(earlier).state;
+        if (state != DispatchState::NotSent && state != DispatchState::Shed && !start.isRepeatable)
             report("a non-repeatable request was run again");
     }
     if (exchange.isHeadSeen)
-        report("dispatch after a byte of an answer");
+        report("dispatch after the start of a response");
     exchange.dispatches.push_back(start.dispatch.value);
     dispatches_[start.dispatch.value]
         = {.exchange = number, .target = start.target, .isBodyComplete = start.bodyLength == 0};
@@ -112,34 +113,34 @@
 
 void OwnerChecker::onAction(const TargetRequestBody& body)
 {
-    Dispatch* dispatch = live(body.dispatch, "request body");
+    Dispatch* dispatch = findActive(body.dispatch, "request body");
     if (!dispatch)
         return;
     const Exchange& exchange = exchanges_.at(dispatch->exchange);
     if (dispatch->isBodyComplete)
         report("request body after its end");
     if (body.bytes != bodyBytes(exchange.number, dispatch->bodyReceived, body.bytes.size()))
-        report("request body mixed up");
+        report("request body has wrong bytes");
     dispatch->bodyReceived += body.bytes.size();
     dispatch->isBodyComplete = body.isLast;
     if (body.isLast && dispatch->bodyReceived != exchange.bodySize)
-        report("request body short");
+        report("request body incomplete");
 }
 
 void OwnerChecker::onAction(const TargetResponseWindow& window)
 {
-    if (Dispatch* dispatch = live(window.dispatch, "window"))
+    if (Dispatch* dispatch = findActive(window.dispatch, "window"))
         dispatch->window += window.bytes;
 }
 
 void OwnerChecker::onAction(const TargetCancel& cancel)
 {
-    // A target whose shed answer is in gets a cancel too: the connection is closed.
+    // A dispatch that was shed is cancelled too, to close its connection.
     const auto found = dispatches_.find(cancel.dispatch.value);
-    if (found != dispatches_.end() && found->second.fate == Fate::Shed)
+    if (found != dispatches_.end() && found->second.state == DispatchState::Shed)
         return;
-    if (Dispatch* dispatch = live(cancel.dispatch, "cancel"))
-        dispatch->fate = Fate::Cancelled;
+    if (Dispatch* dispatch = findActive(cancel.dispatch, "cancel"))
+        dispatch->state = DispatchState::Cancelled;
 }
 
 OwnerChecker::Exchange* OwnerChecker::find(const HostId& host, CorrelationId correlation)
@@ -157,7 +158,7 @@
             if constexpr (requires { message.correlation; }) {
                 Exchange* exchange = find(outgoing.to, message.correlation);
                 if (!exchange)
-                    return report("message to a host that is gone");
+                    return report("message to a lost host");
                 if (exchange->ends > 0)
                     return report("message after the end of request " + std::to_string(exchange->number));
                 onMessage(*exchange, message);
@@ -171,27 +172,27 @@
 void OwnerChecker::onMessage(Exchange& exchange, const model::ForwardResponseHead& /*head*/)
 {
     if (exchange.isHeadSeen)
-        report("two heads of one answer");
+        report("two heads of one response");
     exchange.isHeadSeen = true;
 }
 
 void OwnerChecker::onMessage(Exchange& exchange, const model::ForwardBody& body)
 {
     if (!exchange.isHeadSeen || exchange.isLastSeen || body.offset != exchange.received)
-        report("answer body out of order");
+        report("response body out of order");
     if (body.bytes != bodyBytes(exchange.dispatches.back(), exchange.received, body.bytes.size()))
-        report("answer body mixed up");
+        report("response body has wrong bytes");
     exchange.received += body.bytes.size();
     exchange.isLastSeen = body.isLast;
-    if (exchange.received > exchange.taken + InitialBodyWindow)
-        report("answer body beyond the window");
+    if (exchange.received > exchange.acknowledged + InitialBodyWindow)
+        report("response body exceeds the window");
 }
 
 void OwnerChecker::onMessage(Exchange& exchange, const model::ForwardWindow& window)
 {
     exchange.granted += window.bytes;
     if (exchange.granted > dispatches_.at(exchange.dispatches.back()).bodyReceived)
-        report("window for bytes that no target has");
+        report("window for bytes that no target received");
 }
 
 void OwnerChecker::onMessage(Exchange& exchange, const model::ForwardEnd& end)
@@ -203,26 +204,26 @@
     if (end.outcome == Outcome::NotRun)
         checkNotRun(exchange);
     for (const uint64_t dispatch : exchange.dispatches) {
-        if (dispatches_.at(dispatch).fate == Fate::Live)
-            report("end while a target is at work");
+        if (dispatches_.at(dispatch).state == DispatchState::Active)
+            report("end while a dispatch is active");
     }
 }
 
 void OwnerChecker::checkAnswered(const Exchange& exchange)
 {
     const Dispatch& last = dispatches_.at(exchange.dispatches.back());
-    if (last.fate != Fate::Answered)
-        report("answered without a whole answer");
+    if (last.state != DispatchState::Answered)
+        report("answered without a complete response");
     if (exchange.received != last.size || (last.size > 0 && !exchange.isLastSeen))
-        report("short answer told as whole");
+        report("incomplete response reported as answered");
 }
 
 void OwnerChecker::checkNotRun(const Exchange& exchange)
 {
     for (const uint64_t dispatch : exchange.dispatches) {
-        const Fate fate = dispatches_.at(dispatch).fate;
-        if (fate != Fate::Unsent && fate != Fate::Shed)
-            report("false not run");
+        const DispatchState state = dispatches_.at(dispatch).state;
+        if (state != DispatchState::NotSent && state != DispatchState::Shed)
+            report("dispatched request reported as not run");
     }
 }
 
--- a/src/requests/tests/ownerchecker.h
+++ b/src/requests/tests/ownerchecker.h
@@ -6,7 +6,7 @@
 #pragma once
 
 #include "requests/exchangetypes.h"
-#include "requests/internal/ownerpeers.h"
+#include "requests/internal/ownerduplicatefilter.h"
 
 #include <map>
 #include <string>
@@ -16,16 +16,16 @@
 
 namespace saltvane::requests {
 
-/// The byte at an offset of the body that belongs to a request or dispatch of this number.
+/// Byte at `offset` of the generated body of the request or dispatch with this number.
 [[nodiscard]] char bodyByteAt(uint64_t number, uint64_t offset);
 [[nodiscard]] std::string bodyBytes(uint64_t number, uint64_t offset, size_t count);
 
-/// Knows the truth about every request and target exchange of a storm and judges what the owner does by it.
+/// Tracks the true state of every request and dispatch in a stress run and checks the actions of the owner against it.
 class OwnerChecker {
 public:
-    enum class Fate {
-        Live,
-        Unsent, ///< Provably no byte was sent.
+    enum class DispatchState {
+        Active,
+        NotSent, ///< It is certain that no byte was sent.
         Shed,
         Answered,
         Failed,
@@ -33,44 +33,44 @@
     };
     struct Exchange {
         ExchangeKey key;
-        uint64_t number = 0; ///< Of its body's bytes.
+        uint64_t number = 0; ///< Seed of its body bytes.
         uint64_t bodySize = 0;
         std::vector<uint64_t> dispatches;
         uint32_t ends = 0;
         bool isHeadSeen = false;
         bool isLastSeen = false;
-        bool isLost = false; ///< Its entry host is gone: no end is owed.
-        uint64_t received = 0; ///< Bytes of the answer.
-        uint64_t taken = 0; ///< Of those, told as taken.
-        uint64_t granted = 0; ///< Bytes beyond the first window that the entry host may send.
+        bool isLost = false; ///< Its entry host is lost, so no end is expected.
+        uint64_t received = 0; ///< Bytes of the response received by the entry host.
+        uint64_t acknowledged = 0; ///< Bytes of the response acknowledged to the owner.
+        uint64_t granted = 0; ///< Bytes beyond InitialBodyWindow that the entry host may send.
     };
     struct Dispatch {
         uint64_t exchange = 0;
         TargetId target;
-        Fate fate = Fate::Live;
-        bool isHeadOut = false;
+        DispatchState state = DispatchState::Active;
+        bool isHeadSent = false;
         bool hasLength = false;
-        uint64_t size = 0; ///< Of its answer.
-        uint64_t out = 0; ///< Bytes of the answer handed to the owner.
+        uint64_t size = 0; ///< Size of the response body.
+        uint64_t sentBytes = 0; ///< Bytes of the response delivered to the owner.
         uint64_t window = InitialBodyWindow;
         uint64_t bodyReceived = 0;
-        uint64_t bodyTaken = 0;
+        uint64_t bodyAcknowledged = 0;
         bool isBodyComplete = false;
     };
 
     /// Registers a request before its frame is delivered; returns its number.
-    uint64_t open(const ExchangeKey& key, uint64_t bodySize);
+    uint64_t addRequest(const ExchangeKey& key, uint64_t bodySize);
     void check(const std::vector<Action>& actions);
-    /// At the very end: every request ended, every exchange with a target over.
-    void checkOver();
+    /// Checks at the end of a run that every request has ended and no dispatch is active.
+    void checkFinished();
     void noteHostLost(const HostId& host);
-    void noteFate(uint64_t dispatch, Fate fate) { dispatches_.at(dispatch).fate = fate; }
+    void setState(uint64_t dispatch, DispatchState state) { dispatches_.at(dispatch).state = state; }
 
     [[nodiscard]] std::map<uint64_t, Exchange>& exchanges() { return exchanges_; }
     [[nodiscard]] std::map<uint64_t, Dispatch>& dispatches() { return dispatches_; }
-    [[nodiscard]] std::vector<uint64_t> liveDispatches() const;
-    [[nodiscard]] uint32_t openRequests() const;
-    [[nodiscard]] uint32_t liveOn(const TargetId& target) const;
+    [[nodiscard]] std::vector<uint64_t> activeDispatches() const;
+    [[nodiscard]] uint32_t unfinishedRequests() const;
+    [[nodiscard]] uint32_t activeOn(const TargetId& target) const;
     [[nodiscard]] const std::vector<std::string>& findings() const { return findings_; }
     [[nodiscard]] uint32_t ends(model::Outcome outcome) const { return ends_[static_cast<size_t>(outcome)]; }
     void report(std::string finding) { findings_.push_back(std::move(finding)); }
@@ -94,7 +94,7 @@
     }
     void checkAnswered(const Exchange& exchange);
     void checkNotRun(const Exchange& exchange);
-    Dispatch* live(DispatchId dispatch, std::string_view what);
+    Dispatch* findActive(DispatchId dispatch, std::string_view eventName);
     Exchange* find(const HostId& host, CorrelationId correlation);
 
     std::map<uint64_t, Exchange> exchanges_;
--- a/src/requests/tests/ownerfixture.h
+++ b/src/requests/tests/ownerfixture.h
@@ -5,7 +5,7 @@
  */
 #pragma once
 
-#include "ownerfakepool.h"
+#include "faketargetpool.h"
 #include "requests/iownerrequests.h"
 
 #include <gtest/gtest.h>
@@ -16,18 +16,18 @@
 
 namespace saltvane::requests {
 
-/// Drives one owner by hand and collects what it does.
+/// Delivers messages and events to one owner and collects its actions.
 class OwnerFixture : public ::testing::Test {
 protected:
     OwnerFixture() { makeOwner(2); }
 
-    void makeOwner(uint32_t largestAttempts)
+    void makeOwner(uint32_t maxAttempts)
     {
         owner_ = makeOwnerRequests({.self = {.host = HostId("owner"), .zone = ZoneName("zone-a")},
             .pool = &pool_,
             .counters = &counters_,
             .queueOrder = steering::QueueOrder::Fifo,
-            .largestAttempts = largestAttempts});
+            .maxAttempts = maxAttempts});
     }
 
     void deliver(model::Message message, uint64_t incarnation = 1, const std::string& host = "entry")
@@ -37,12 +37,12 @@
             now_);
         collect();
     }
-    void happen(TargetEvent event)
+    void handleTargetEvent(TargetEvent event)
     {
         owner_->handle(std::move(event), now_);
         collect();
     }
-    void pass(Duration time)
+    void advanceTime(Duration time)
     {
         now_ += time;
         owner_->tick(now_);
@@ -62,15 +62,15 @@
     {
         return {.correlation = {correlation}, .offset = offset, .bytes = std::move(bytes), .isLast = isLast};
     }
-    void answer(DispatchId dispatch, const std::string& content)
+    void sendResponse(DispatchId dispatch, const std::string& content)
     {
-        happen(TargetResponseHead {.dispatch = dispatch, .status = 200, .bodyLength = content.size()});
+        handleTargetEvent(TargetResponseHead {.dispatch = dispatch, .status = 200, .bodyLength = content.size()});
         if (!content.empty())
-            happen(TargetResponseBody {.dispatch = dispatch, .bytes = content});
-        happen(TargetResponseDone {.dispatch = dispatch});
+            handleTargetEvent(TargetResponseBody {.dispatch = dispatch, .bytes = content});
+        handleTargetEvent(TargetResponseDone {.dispatch = dispatch});
     }
 
-    /// All actions of a kind since the last forget().
+    /// All actions of a kind since the last clearActions().
     template <typename Kind> std::vector<Kind> actions() const
     {
         std::vector<Kind> found;
@@ -97,9 +97,9 @@
         EXPECT_EQ(ends.front().outcome, outcome);
         EXPECT_EQ(ends.front().reason, reason);
     }
-    void forget() { actions_.clear(); }
+    void clearActions() { actions_.clear(); }
 
-    OwnerFakePool pool_;
+    FakeTargetPool pool_;
     model::Counters counters_;
     std::unique_ptr<IOwnerRequests> owner_;
     Timestamp now_ {1h};
--- a/src/requests/tests/ownerrequeststests.cpp
+++ b/src/requests/tests/ownerrequeststests.cpp
@@ -14,13 +14,13 @@
 
 class OwnerRequestsTest : public OwnerFixture { };
 
-TEST_F(OwnerRequestsTest, AnswersAndGivesTheSlotBack)
+TEST_F(OwnerRequestsTest, AnswersAndReleasesTheSlot)
 {
     pool_.add("a", 1);
     deliver(request(1));
     ASSERT_EQ(actions<TargetStart>().size(), 1U);
-    pass(20ms);
-    answer(lastDispatch(), "hello");
+    advanceTime(20ms);
+    sendResponse(lastDispatch(), "hello");
     expectEnd(Outcome::Answered, Reason::None);
     const auto bodies = sent<model::ForwardBody>();
     ASSERT_EQ(bodies.size(), 1U);
@@ -34,11 +34,11 @@
     EXPECT_EQ(owner_->inFlight(), 0U);
 }
 
-TEST_F(OwnerRequestsTest, InternalAndHopByHopHeadersStayHere)
+TEST_F(OwnerRequestsTest, InternalAndHopByHopHeadersAreNotForwarded)
 {
     pool_.add("a", 1);
     deliver(request(1));
-    happen(TargetResponseHead {.dispatch = lastDispatch(),
+    handleTargetEvent(TargetResponseHead {.dispatch = lastDispatch(),
         .status = 200,
         .headers = {{"saltvane-outcome", "forged"}, {"Connection", "close, X-Hop"}, {"x-hop", "1"},
             {"Transfer-Encoding", "chunked"}, {"Content-Type", "text/plain"}},
@@ -96,7 +96,7 @@
     deliver(body(2, 0, "he"));
     deliver(body(2, 2, "llo", true));
     const DispatchId first = lastDispatch();
-    answer(first, "");
+    sendResponse(first, "");
     ASSERT_EQ(actions<TargetStart>().size(), 2U);
     ASSERT_EQ(actions<TargetRequestBody>().size(), 1U);
     EXPECT_EQ(actions<TargetRequestBody>().front().bytes, "hello");
@@ -110,23 +110,23 @@
     first.deadline = 10s;
     deliver(first);
     deliver(request(2));
-    pass(2100ms);
+    advanceTime(2100ms);
     expectEnd(Outcome::NotRun, Reason::QueueTimeout);
     EXPECT_EQ(owner_->queued(ServiceName("quotes")), 0U);
 }
 
-TEST_F(OwnerRequestsTest, WaiterWhoExcludesTheFreeTargetLetsOthersPass)
+TEST_F(OwnerRequestsTest, WaiterThatExcludesTheFreeTargetDoesNotBlockOthers)
 {
     pool_.add("a", 1);
     pool_.add("b", 1);
     deliver(request(1));
     deliver(request(2));
     const DispatchId onA = actions<TargetStart>().front().dispatch;
-    model::ForwardRequest picky = request(3);
-    picky.excludedTargets = {TargetId("a")};
-    deliver(picky);
+    model::ForwardRequest restricted = request(3);
+    restricted.excludedTargets = {TargetId("a")};
+    deliver(restricted);
     deliver(request(4));
-    answer(onA, "");
+    sendResponse(onA, "");
     ASSERT_EQ(actions<TargetStart>().size(), 3U);
     EXPECT_EQ(actions<TargetStart>().back().target, TargetId("a"));
     EXPECT_EQ(owner_->queued(ServiceName("quotes")), 1U);
@@ -141,12 +141,12 @@
     posted.bodyLength = 3;
     deliver(posted);
     deliver(body(1, 0, "abc", true));
-    happen(TargetResponseHead {.dispatch = lastDispatch(), .status = 429});
+    handleTargetEvent(TargetResponseHead {.dispatch = lastDispatch(), .status = 429});
     ASSERT_EQ(actions<TargetStart>().size(), 2U);
     EXPECT_EQ(actions<TargetStart>().back().target, TargetId("b"));
     EXPECT_EQ(actions<TargetRequestBody>().back().bytes, "abc");
     EXPECT_EQ(pool_.releases().front().result, DispatchResult::Shed);
-    answer(lastDispatch(), "ok");
+    sendResponse(lastDispatch(), "ok");
     expectEnd(Outcome::Answered, Reason::None);
     EXPECT_EQ(sent<model::ForwardEnd>().front().tries, 2U);
     EXPECT_EQ(counters_.value(model::Counter::Retries), 1U);
@@ -156,19 +156,19 @@
 {
     pool_.add("a", 1);
     deliver(request(1));
-    happen(TargetResponseHead {
+    handleTargetEvent(TargetResponseHead {
         .dispatch = lastDispatch(), .status = 503, .headers = {{"saltvane-shed", "1"}, {"Retry-After", "7"}}});
     expectEnd(Outcome::NotRun, Reason::TargetShed);
     EXPECT_EQ(sent<model::ForwardEnd>().front().retryAfter, 7s);
     EXPECT_EQ(actions<TargetCancel>().size(), 1U);
 }
 
-TEST_F(OwnerRequestsTest, UnmarkedUnavailableIsTheAnswer)
+TEST_F(OwnerRequestsTest, UnmarkedUnavailableIsPassedOn)
 {
     pool_.add("a", 1);
     deliver(request(1));
-    happen(TargetResponseHead {.dispatch = lastDispatch(), .status = 503, .bodyLength = 0});
-    happen(TargetResponseDone {.dispatch = lastDispatch()});
+    handleTargetEvent(TargetResponseHead {.dispatch = lastDispatch(), .status = 503, .bodyLength = 0});
+    handleTargetEvent(TargetResponseDone {.dispatch = lastDispatch()});
     expectEnd(Outcome::Answered, Reason::None);
 }
 
@@ -177,9 +177,9 @@
     pool_.add("a", 1);
     pool_.add("b", 1);
     deliver(request(1));
-    happen(TargetFailed {.dispatch = lastDispatch(), .mayHaveReachedTarget = false});
+    handleTargetEvent(TargetFailed {.dispatch = lastDispatch(), .mayHaveReachedTarget = false});
     ASSERT_EQ(actions<TargetStart>().size(), 2U);
-    happen(TargetFailed {.dispatch = lastDispatch(), .mayHaveReachedTarget = false});
+    handleTargetEvent(TargetFailed {.dispatch = lastDispatch(), .mayHaveReachedTarget = false});
     expectEnd(Outcome::NotRun, Reason::ConnectFailed);
     EXPECT_EQ(sent<model::ForwardEnd>().front().tries, 0U);
 }
@@ -189,22 +189,22 @@
     pool_.add("a", 1);
     pool_.add("b", 1);
     deliver(request(1));
-    happen(TargetFailed {.dispatch = lastDispatch()});
+    handleTargetEvent(TargetFailed {.dispatch = lastDispatch()});
     expectEnd(Outcome::Unknown, Reason::TargetFailed);
     EXPECT_EQ(actions<TargetStart>().size(), 1U);
 }
 
-TEST_F(OwnerRequestsTest, RepeatableThatMayHaveRunIsNeverToldNotRun)
+TEST_F(OwnerRequestsTest, RepeatableThatMayHaveRunIsNeverReportedNotRun)
 {
     pool_.add("a", 1);
     pool_.add("b", 1);
     model::ForwardRequest repeatable = request(1);
     repeatable.isRepeatable = true;
     deliver(repeatable);
-    happen(TargetFailed {.dispatch = lastDispatch()});
+    handleTargetEvent(TargetFailed {.dispatch = lastDispatch()});
     ASSERT_EQ(actions<TargetStart>().size(), 2U);
     EXPECT_TRUE(actions<TargetStart>().back().isRepeatable);
-    happen(TargetFailed {.dispatch = lastDispatch(), .mayHaveReachedTarget = false});
+    handleTargetEvent(TargetFailed {.dispatch = lastDispatch(), .mayHaveReachedTarget = false});
     expectEnd(Outcome::Unknown, Reason::TargetFailed);
 }
 
@@ -217,7 +217,7 @@
     expectEnd(Outcome::NotRun, Reason::ClientGone);
 }
 
-TEST_F(OwnerRequestsTest, CancelledSlotIsGivenBackAfterTheConnectionsEnd)
+TEST_F(OwnerRequestsTest, CancelledSlotIsReleasedAfterTheConnectionCloses)
 {
     pool_.add("a", 1);
     deliver(request(1));
@@ -225,31 +225,31 @@
     expectEnd(Outcome::Unknown, Reason::ClientGone);
     EXPECT_EQ(actions<TargetCancel>().size(), 1U);
     EXPECT_EQ(pool_.inFlight(), 1U);
-    pass(10ms);
+    advanceTime(10ms);
     EXPECT_EQ(pool_.inFlight(), 0U);
     EXPECT_EQ(pool_.releases().front().result, DispatchResult::Cancelled);
 }
 
-TEST_F(OwnerRequestsTest, SilentTargetIsStalled)
+TEST_F(OwnerRequestsTest, UnresponsiveTargetIsStalled)
 {
     pool_.add("a", 1);
     deliver(request(1));
-    pass(2s);
+    advanceTime(2s);
     expectEnd(Outcome::Unknown, Reason::TargetStalled);
     EXPECT_EQ(actions<TargetCancel>().size(), 1U);
-    pass(10ms);
+    advanceTime(10ms);
     EXPECT_EQ(pool_.releases().front().result, DispatchResult::Failed);
 }
 
-TEST_F(OwnerRequestsTest, LostHostsRequestsAreCancelledAndNobodyIsTold)
+TEST_F(OwnerRequestsTest, RequestsOfALostHostAreCancelledWithoutAReply)
 {
     pool_.add("a", 1);
     deliver(request(1));
     deliver(request(2));
     deliver(request(1), 1, "other");
     owner_->noteHostLost(HostId("entry"), now_);
-    forget();
-    pass(10ms);
+    clearActions();
+    advanceTime(10ms);
     EXPECT_TRUE(sent<model::ForwardEnd>().empty());
     ASSERT_EQ(actions<TargetStart>().size(), 0U);
     EXPECT_EQ(owner_->inFlight(), 0U);
@@ -260,7 +260,7 @@
     pool_.add("a", 2);
     deliver(request(1));
     deliver(request(1));
-    answer(lastDispatch(), "");
+    sendResponse(lastDispatch(), "");
     deliver(request(1));
     EXPECT_EQ(actions<TargetStart>().size(), 1U);
     EXPECT_EQ(counters_.value(model::Counter::LateFrames), 2U);
@@ -293,27 +293,27 @@
     EXPECT_EQ(counters_.value(model::Counter::StaleMessages), 1U);
 }
 
-TEST_F(OwnerRequestsTest, EventsOfEndedDispatchesReachNobody)
+TEST_F(OwnerRequestsTest, EventsOfEndedDispatchesAreIgnored)
 {
     pool_.add("a", 1);
     deliver(request(1));
     const DispatchId first = lastDispatch();
-    answer(first, "");
+    sendResponse(first, "");
     deliver(request(2));
-    forget();
-    happen(TargetResponseHead {.dispatch = first, .status = 200});
-    happen(TargetResponseBody {.dispatch = first, .bytes = "late"});
-    happen(TargetFailed {.dispatch = first});
+    clearActions();
+    handleTargetEvent(TargetResponseHead {.dispatch = first, .status = 200});
+    handleTargetEvent(TargetResponseBody {.dispatch = first, .bytes = "late"});
+    handleTargetEvent(TargetFailed {.dispatch = first});
     EXPECT_TRUE(actions_.empty());
 }
 
-TEST_F(OwnerRequestsTest, CutEndsAllAndCountsWhatWasDispatched)
+TEST_F(OwnerRequestsTest, TerminateAllEndsAllAndCountsDispatched)
 {
     pool_.add("a", 1);
     deliver(request(1));
     deliver(request(2));
     EXPECT_EQ(owner_->cutAll(now_), 1U);
-    pass(0ms);
+    advanceTime(0ms);
     const auto ends = sent<model::ForwardEnd>();
     ASSERT_EQ(ends.size(), 2U);
     EXPECT_EQ(ends[0].outcome, Outcome::Unknown);
--- a/src/requests/tests/ownerstorm.h
+++ b/src/requests/tests/ownerstress.h
@@ -5,8 +5,8 @@
  */
 #pragma once
 
+#include "faketargetpool.h"
 #include "ownerchecker.h"
-#include "ownerfakepool.h"
 #include "requests/iownerrequests.h"
 
 #include <memory>
@@ -16,33 +16,33 @@
 
 namespace saltvane::requests {
 
-/// A seeded storm of frames, target events, losses and late duplicates around one owner in virtual time.
-class OwnerStorm {
+/// Runs one owner in virtual time with seeded random frames, target events, host losses and delayed duplicates.
+class OwnerStress {
 public:
-    explicit OwnerStorm(uint64_t seed);
+    explicit OwnerStress(uint64_t seed);
 
     void run(int steps);
-    /// Lets all deadlines pass and judges what is left.
-    void settle();
+    /// Advances time past all deadlines and checks the final state.
+    void finish();
     [[nodiscard]] OwnerChecker& checker() { return checker_; }
-    [[nodiscard]] const OwnerFakePool& pool() const { return pool_; }
+    [[nodiscard]] const FakeTargetPool& pool() const { return pool_; }
     [[nodiscard]] const model::Counters& counters() const { return counters_; }
 
 private:
-    struct Caller {
+    struct CallerState {
         uint64_t request = 0;
         model::ForwardRequest frame;
         uint64_t sent = 0;
         bool isLastSent = false;
         bool isBroken = false;
     };
-    using Step = void (OwnerStorm::*)();
+    using Step = void (OwnerStress::*)();
 
     void step();
     void openRequest();
     void sendBody();
-    void targetEvent();
-    void takeAnswer();
+    void sendTargetEvent();
+    void acknowledgeResponse();
     void cancelRequest();
     void repeatFrame();
     void lateEvent();
@@ -52,16 +52,16 @@
 
     void shed(uint64_t id, OwnerChecker::Dispatch& dispatch);
     void fail(uint64_t id, OwnerChecker::Dispatch& dispatch);
-    void answerOn(uint64_t id, OwnerChecker::Dispatch& dispatch);
-    void endAtWrongLength(uint64_t id, OwnerChecker::Dispatch& dispatch);
+    void sendResponsePart(uint64_t id, OwnerChecker::Dispatch& dispatch);
+    void sendWrongLength(uint64_t id, OwnerChecker::Dispatch& dispatch);
     void deliver(const ExchangeKey& key, model::Message message);
-    void happen(TargetEvent event);
+    void handleTargetEvent(TargetEvent event);
     void collect();
     uint64_t pick(uint64_t bound) { return random_() % bound; }
-    Caller* pickOpen();
+    CallerState* pickOpen();
 
     std::mt19937_64 random_;
-    OwnerFakePool pool_;
+    FakeTargetPool pool_;
     model::Counters counters_;
     OwnerChecker checker_;
     std::unique_ptr<IOwnerRequests> owner_;
@@ -70,7 +70,7 @@
     std::vector<TargetId> targets_ {TargetId("t1"), TargetId("t2"), TargetId("t3")};
     std::map<HostId, uint64_t> incarnations_;
     uint64_t lastCorrelation_ = 0;
-    std::vector<Caller> callers_;
+    std::vector<CallerState> callers_;
 };
 
 } // namespace saltvane::requests
--- a/src/requests/tests/ownerstormtests.cpp
+++ b/src/requests/tests/ownerstresstests.cpp
@@ -3,7 +3,7 @@
  * saltvane: global traffic steering
  * Copyright (c) 2026 the saltvane authors
  */
-#include "ownerstorm.h"
+#include "ownerstress.h"
 
 #include <gtest/gtest.h>
 
@@ -12,27 +12,27 @@
 
 using model::Outcome;
 
-constexpr int StepsPerStorm = 4000;
+constexpr int StepsPerRun = 4000;
 
-TEST(OwnerStormTest, EveryRequestEndsOnceWithTheTruth)
+TEST(OwnerStressTest, EveryRequestEndsOnceWithTheTrueOutcome)
 {
     uint32_t answered = 0;
     uint32_t notRun = 0;
     uint32_t unknown = 0;
     model::Counters counters;
     for (uint64_t seed = 1; seed <= 20; ++seed) {
-        OwnerStorm storm(seed);
-        storm.run(StepsPerStorm);
-        storm.settle();
-        ASSERT_TRUE(storm.checker().findings().empty())
-            << "seed " << seed << ": " << storm.checker().findings().front();
-        answered += storm.checker().ends(Outcome::Answered);
-        notRun += storm.checker().ends(Outcome::NotRun);
-        unknown += storm.checker().ends(Outcome::Unknown);
+        OwnerStress stress(seed);
+        stress.run(StepsPerRun);
+        stress.finish();
+        ASSERT_TRUE(stress.checker().findings().empty())
+            << "seed " << seed << ": " << stress.checker().findings().front();
+        answered += stress.checker().ends(Outcome::Answered);
+        notRun += stress.checker().ends(Outcome::NotRun);
+        unknown += stress.checker().ends(Outcome::Unknown);
         for (size_t i = 0; i < counters.values.size(); ++i)
-            counters.values[i] += storm.counters().values[i];
+            counters.values[i] += stress.counters().values[i];
     }
-    // The storm reaches what it is for.
+    // The runs cover all outcomes, retries and kinds of invalid frames.
     EXPECT_GT(answered, 1000U);
     EXPECT_GT(notRun, 1000U);
     EXPECT_GT(unknown, 100U);
@@ -42,20 +42,20 @@
     EXPECT_GT(counters.value(model::Counter::BrokenBodies), 10U);
 }
 
-/// The checker must see each fault it is there for.
+/// Verifies that the checker finds each kind of fault.
 class OwnerCheckerTest : public ::testing::Test {
 protected:
     OwnerCheckerTest()
     {
-        checker_.open({HostId("entry"), {1}, {1}}, 0);
+        checker_.addRequest({HostId("entry"), {1}, {1}}, 0);
         checker_.check({TargetStart {.dispatch = {1}, .target = TargetId("t"), .path = "1", .bodyLength = 0}});
     }
-    static Action end(Outcome outcome)
+    static Action endMessage(Outcome outcome)
     {
         return model::Outgoing {
             .to = HostId("entry"), .message = model::ForwardEnd {.correlation = {1}, .outcome = outcome}};
     }
-    bool sees(std::string_view text) const
+    bool hasFinding(std::string_view text) const
     {
         for (const std::string& finding : checker_.findings()) {
             if (finding.find(text) != std::string::npos)
@@ -66,53 +66,53 @@
     OwnerChecker checker_;
 };
 
-TEST_F(OwnerCheckerTest, SeesASecondEnd)
+TEST_F(OwnerCheckerTest, FindsASecondEnd)
 {
-    checker_.check({TargetCancel {.dispatch = {1}}, end(Outcome::Unknown)});
+    checker_.check({TargetCancel {.dispatch = {1}}, endMessage(Outcome::Unknown)});
     EXPECT_TRUE(checker_.findings().empty());
-    checker_.check({end(Outcome::Unknown)});
-    EXPECT_TRUE(sees("after the end"));
+    checker_.check({endMessage(Outcome::Unknown)});
+    EXPECT_TRUE(hasFinding("after the end"));
 }
 
-TEST_F(OwnerCheckerTest, SeesAMissingEnd)
+TEST_F(OwnerCheckerTest, FindsAMissingEnd)
 {
-    checker_.checkOver();
-    EXPECT_TRUE(sees("has no end"));
-    EXPECT_TRUE(sees("left over"));
+    checker_.checkFinished();
+    EXPECT_TRUE(hasFinding("has no end"));
+    EXPECT_TRUE(hasFinding("still active"));
 }
 
-TEST_F(OwnerCheckerTest, SeesAFalseNotRun)
+TEST_F(OwnerCheckerTest, FindsAFalseNotRun)
 {
-    checker_.check({TargetCancel {.dispatch = {1}}, end(Outcome::NotRun)});
-    EXPECT_TRUE(sees("false not run"));
+    checker_.check({TargetCancel {.dispatch = {1}}, endMessage(Outcome::NotRun)});
+    EXPECT_TRUE(hasFinding("reported as not run"));
 }
 
-TEST_F(OwnerCheckerTest, SeesAShortAnswer)
+TEST_F(OwnerCheckerTest, FindsAShortResponse)
 {
     checker_.dispatches().at(1).size = 5;
-    checker_.noteFate(1, OwnerChecker::Fate::Answered);
-    checker_.check({end(Outcome::Answered)});
-    EXPECT_TRUE(sees("short answer"));
+    checker_.setState(1, OwnerChecker::DispatchState::Answered);
+    checker_.check({endMessage(Outcome::Answered)});
+    EXPECT_TRUE(hasFinding("incomplete response"));
 }
 
-TEST_F(OwnerCheckerTest, SeesASecondRun)
+TEST_F(OwnerCheckerTest, FindsASecondRun)
 {
-    checker_.noteFate(1, OwnerChecker::Fate::Failed);
+    checker_.setState(1, OwnerChecker::DispatchState::Failed);
     checker_.check({TargetStart {.dispatch = {2}, .target = TargetId("u"), .path = "1"}});
-    EXPECT_TRUE(sees("run again"));
+    EXPECT_TRUE(hasFinding("run again"));
 }
 
-TEST_F(OwnerCheckerTest, SeesMixedAnswers)
+TEST_F(OwnerCheckerTest, FindsMixedResponses)
 {
     checker_.check({model::Outgoing {.to = HostId("entry"), .message = model::ForwardResponseHead {.correlation = {1}}},
         model::Outgoing {
             .to = HostId("entry"), .message = model::ForwardBody {.correlation = {1}, .bytes = bodyBytes(2, 0, 3)}}});
-    EXPECT_TRUE(sees("mixed up"));
+    EXPECT_TRUE(hasFinding("wrong bytes"));
 }
 
-TEST(OwnerFakePoolTest, SeesASlotGivenBackTwice)
+TEST(FakeTargetPoolTest, FindsASlotReleasedTwice)
 {
-    OwnerFakePool pool;
+    FakeTargetPool pool;
     pool.add("t", 1);
     const auto slot = pool.acquire(ServiceName("quotes"), {}, {});
     pool.release(*slot, steering::DispatchResult::Answered, {}, {});
--- a/src/requests/tests/intaketests.cpp
+++ b/src/requests/tests/requestreceivertests.cpp
@@ -12,9 +12,9 @@
 using model::Outcome;
 using model::Reason;
 
-class IntakeTest : public EntryFixture { };
+class RequestReceiverTest : public EntryFixture { };
 
-TEST_F(IntakeTest, RemovesHopByHopAndInternalHeaders)
+TEST_F(RequestReceiverTest, RemovesHopByHopAndInternalHeaders)
 {
     call({.headers = {{"Connection", "close, X-Drop"}, {"x-drop", "1"}, {"TE", "trailers"}, {"Expect", "100-continue"},
               {"saltvane-request-id", "forged"}, {"Saltvane-Shed", "1"}, {"X-Keep", "yes"}}});
@@ -28,16 +28,16 @@
         EXPECT_EQ(headerOf(headers, name), "") << name;
 }
 
-TEST_F(IntakeTest, AnswerCarriesOutcomeAndRequestId)
+TEST_F(RequestReceiverTest, ResponseCarriesOutcomeAndRequestId)
 {
     const HttpHandle handle = call({});
     const auto forward = sent<model::ForwardRequest>().at(0);
-    deliver(NearOwner,
+    deliver(LocalOwner,
         model::ForwardResponseHead {.correlation = forward.correlation,
             .status = 404,
             .headers = {{"Saltvane-Outcome", "forged"}, {"Keep-Alive", "5"}, {"ETag", "x"}},
             .bodyLength = 0});
-    end(forward, Outcome::Answered, Reason::None);
+    completeForward(forward, Outcome::Answered, Reason::None);
     const HttpRespond& respond = response(handle);
     EXPECT_EQ(respond.status, 404);
     ASSERT_EQ(fieldValues(respond.headers, OutcomeHeader).size(), 1U);
@@ -45,13 +45,13 @@
     EXPECT_EQ(headerOf(respond.headers, RequestIdHeader), forward.request.value());
     EXPECT_EQ(headerOf(respond.headers, "ETag"), "x");
     EXPECT_EQ(headerOf(respond.headers, "Keep-Alive"), "");
-    EXPECT_EQ(wallet_.taken(), 0);
+    EXPECT_EQ(creditStore_.taken(), 0);
     ASSERT_EQ(records_.size(), 1U);
     EXPECT_EQ(records_[0].outcome, Outcome::Answered);
     EXPECT_EQ(records_[0].status, 404);
 }
 
-TEST_F(IntakeTest, RefusesMalformedHeadersNamingTheField)
+TEST_F(RequestReceiverTest, RefusesMalformedHeadersNamingTheField)
 {
     for (const char* text : {"", "0", "-1", "1.5", "60001", "9999999999999999999", "10ms"}) {
         const HttpHandle handle = call({.headers = {{"Saltvane-Deadline-Ms", text}}});
@@ -67,10 +67,10 @@
     EXPECT_TRUE(sent<model::ClaimRequest>().empty());
 }
 
-TEST_F(IntakeTest, FindsTheServiceByHost)
+TEST_F(RequestReceiverTest, FindsTheServiceByHost)
 {
     const auto start = [this](const std::string& host) {
-        http(HttpRequestStarted {.handle = {++lastHandle_},
+        handleHttp(HttpRequestStarted {.handle = {++lastHandle_},
             .method = "GET",
             .path = "/nav",
             .headers = {{"Host", host}},
@@ -85,72 +85,73 @@
     expectRefusal(start("valoria.settlebox"), Outcome::NotRun, Reason::UnknownService, 404);
 }
 
-TEST_F(IntakeTest, RefusesNonRepeatableWithoutKey)
+TEST_F(RequestReceiverTest, RefusesNonRepeatableWithoutKey)
 {
     expectRefusal(call({.method = "POST"}), Outcome::NotRun, Reason::MissingKey, 400);
 }
 
-TEST_F(IntakeTest, DeadlineTravelsAndEndsTheRequest)
+TEST_F(RequestReceiverTest, DeadlineIsForwardedAndEndsTheRequest)
 {
     const HttpHandle handle = call({.headers = {{"Saltvane-Deadline-Ms", "300"}}});
     const auto forward = sent<model::ForwardRequest>().at(0);
-    // The owner gives up first, so that its word is back in time.
+    // The owner's deadline is earlier, so that its report arrives in time.
     EXPECT_EQ(forward.deadline, 280ms);
     EXPECT_EQ(headerOf(forward.headers, "Saltvane-Deadline-Ms"), "280");
-    pass(299ms);
+    advanceTime(299ms);
     EXPECT_FALSE(hasResponse(handle));
-    pass(1ms);
+    advanceTime(1ms);
     expectRefusal(handle, Outcome::Unknown, Reason::DeadlineExceeded, 504);
     EXPECT_EQ(sent<model::ForwardCancel>().size(), 1U);
-    EXPECT_EQ(wallet_.taken(), 0);
-    answer(forward);
-    EXPECT_EQ(counters_.value(model::Counter::LateFrames), 2U); // its end was still expected
+    EXPECT_EQ(creditStore_.taken(), 0);
+    sendResponse(forward);
+    EXPECT_EQ(counters_.value(model::Counter::LateFrames),
+        2U); // The end frame belongs to a cancelled attempt and isn't counted.
 }
 
-TEST_F(IntakeTest, WaitsForCreditThenRefusesWithRoundedRetryAfter)
+TEST_F(RequestReceiverTest, WaitsForCreditThenRefusesWithRoundedRetryAfter)
 {
-    for (auto& [host, credit] : wallet_.owners)
+    for (auto& [host, credit] : creditStore_.owners)
         credit.free = 0;
     const HttpHandle handle = call({});
-    EXPECT_EQ(wallet_.wanted, 2);
-    pass(40ms);
+    EXPECT_EQ(creditStore_.requested, 2);
+    advanceTime(40ms);
     EXPECT_FALSE(hasResponse(handle));
-    pass(10ms);
+    advanceTime(10ms);
     expectRefusal(handle, Outcome::NotRun, Reason::NoRoom, 503);
     EXPECT_EQ(headerOf(response(handle).headers, "Retry-After"), "2");
     EXPECT_EQ(counters_.refusal(Reason::NoRoom), 1U);
 }
 
-TEST_F(IntakeTest, CreditGivenBackServesTheWaitingAtOnce)
+TEST_F(RequestReceiverTest, ReturnedCreditServesWaitingRequestsAtOnce)
 {
-    wallet_.owners[NearOwner].free = 1;
-    wallet_.owners[FarOwner].free = 0;
+    creditStore_.owners[LocalOwner].free = 1;
+    creditStore_.owners[RemoteOwner].free = 0;
     call({});
     const HttpHandle second = call({});
     ASSERT_EQ(sent<model::ForwardRequest>().size(), 1U);
-    answer(sent<model::ForwardRequest>()[0]);
+    sendResponse(sent<model::ForwardRequest>()[0]);
     ASSERT_EQ(sent<model::ForwardRequest>().size(), 2U);
-    answer(sent<model::ForwardRequest>()[1], "second");
+    sendResponse(sent<model::ForwardRequest>()[1], "second");
     EXPECT_EQ(bodies_[second], "second");
-    EXPECT_EQ(wallet_.taken(), 0);
+    EXPECT_EQ(creditStore_.taken(), 0);
 }
 
-TEST_F(IntakeTest, DeadlineBeforeForwardingIsNotRun)
+TEST_F(RequestReceiverTest, DeadlineBeforeForwardingIsNotRun)
 {
-    for (auto& [host, credit] : wallet_.owners)
+    for (auto& [host, credit] : creditStore_.owners)
         credit.free = 0;
     const HttpHandle handle = call({.headers = {{"Saltvane-Deadline-Ms", "20"}}});
-    pass(20ms);
+    advanceTime(20ms);
     expectRefusal(handle, Outcome::NotRun, Reason::DeadlineExceeded, 504);
 }
 
-TEST_F(IntakeTest, ZoneClosedIsRefusedAtOnce)
+TEST_F(RequestReceiverTest, ZoneClosedIsRefusedAtOnce)
 {
     steering_.refusal = steering::Refusal {.reason = Reason::ZoneClosed};
     expectRefusal(call({}), Outcome::NotRun, Reason::ZoneClosed, 503);
 }
 
-TEST_F(IntakeTest, NotReadyAndStoppingRefuseButFinishWhatIsInFlight)
+TEST_F(RequestReceiverTest, NotReadyAndStoppingRefuseButFinishWhatIsInFlight)
 {
     const HttpHandle early = call({});
     entry_->startStopping(now_);
@@ -158,43 +159,43 @@
     expectRefusal(late, Outcome::NotRun, Reason::Stopping, 503);
     EXPECT_EQ(headerOf(response(late).headers, "Retry-After"), "1");
     EXPECT_EQ(entry_->inFlight(), 2U);
-    answer(sent<model::ForwardRequest>().at(0), "whole");
+    sendResponse(sent<model::ForwardRequest>().at(0), "whole");
     EXPECT_EQ(bodies_[early], "whole");
-    http(HttpResponseDone {.handle = early});
-    http(HttpResponseDone {.handle = late});
+    handleHttp(HttpResponseDone {.handle = early});
+    handleHttp(HttpResponseDone {.handle = late});
     EXPECT_EQ(entry_->inFlight(), 0U);
     build({});
     entry_->setReady(false);
     expectRefusal(call({}), Outcome::NotRun, Reason::NotReady, 503);
 }
 
-TEST_F(IntakeTest, TooManyInFlightAreRefused)
+TEST_F(RequestReceiverTest, TooManyInFlightAreRefused)
 {
-    build({.largestInFlight = 1});
+    build({.maxInFlight = 1});
     call({});
     expectRefusal(call({}), Outcome::NotRun, Reason::NoRoom, 503);
 }
 
-TEST_F(IntakeTest, CutAllTellsEachOnce)
+TEST_F(RequestReceiverTest, TerminateAllEndsEachRequestOnce)
 {
     const HttpHandle forwarded = call({});
-    for (auto& [host, credit] : wallet_.owners)
+    for (auto& [host, credit] : creditStore_.owners)
         credit.free = 0;
     const HttpHandle waiting = call({});
     EXPECT_EQ(entry_->cutAll(now_), 2U);
     collect();
     expectRefusal(forwarded, Outcome::Unknown, Reason::StopTimeLimit, 502);
     expectRefusal(waiting, Outcome::NotRun, Reason::StopTimeLimit, 503);
-    EXPECT_EQ(wallet_.taken(), 0);
+    EXPECT_EQ(creditStore_.taken(), 0);
 }
 
-TEST_F(IntakeTest, ClientGoneCancelsAndGetsNoAction)
+TEST_F(RequestReceiverTest, DisconnectCancelsAndCausesNoAction)
 {
     const HttpHandle handle = call({});
-    http(HttpRequestAborted {.handle = handle});
+    handleHttp(HttpRequestAborted {.handle = handle});
     EXPECT_EQ(sent<model::ForwardCancel>().size(), 1U);
     EXPECT_FALSE(hasResponse(handle));
-    EXPECT_EQ(wallet_.taken(), 0);
+    EXPECT_EQ(creditStore_.taken(), 0);
     EXPECT_EQ(entry_->inFlight(), 0U);
     ASSERT_EQ(records_.size(), 1U);
     EXPECT_EQ(records_[0].reason, Reason::ClientGone);
