--- a/src/requests/internal/keyedrequests.cpp
+++ b/src/requests/internal/keyedrequests.cpp
@@ -36,7 +36,7 @@
     if (!isKnown && admissionRefusal != model::Reason::None) {
         // A stopping host still forwards to the issuer, because only the issuer knows whether the key has run.
         const bool canQueryIssuer
-            = admissionRefusal == model::Reason::Stopping && identify(exchange, now).kind == KeyKind::Foreign;
+            = admissionRefusal == model::Reason::Stopping && identifyKey(exchange, now).kind == KeyKind::Foreign;
         if (!canQueryIssuer)
             return context_.finalizer->giveUp(exchange, admissionRefusal, DefaultRetryAfter, now);
     }
@@ -47,7 +47,7 @@
 
 void KeyedRequests::beginWithoutRecord(Exchange& exchange, Timestamp now)
 {
-    const Identity identity = identify(exchange, now);
+    const Identity identity = identifyKey(exchange, now);
     switch (identity.kind) {
     case KeyKind::Own:
     case KeyKind::CallerMade:
@@ -63,7 +63,7 @@
     }
 }
 
-KeyedRequests::Identity KeyedRequests::identify(const Exchange& exchange, Timestamp now) const
+KeyedRequests::Identity KeyedRequests::identifyKey(const Exchange& exchange, Timestamp now) const
 {
     const Result<TokenClaims, TokenError> token
         = context_.options.minter->read(exchange.idempotencyKey, exchange.service, now);
@@ -108,7 +108,7 @@
     const uint64_t fingerprint = fingerprintOf(exchange.service.value(), exchange.method, exchange.path, exchange.body);
     KeyRecord* record = context_.keys.find(exchange.keyName());
     if (!record) {
-        if (identify(exchange, now).kind == KeyKind::Expired)
+        if (identifyKey(exchange, now).kind == KeyKind::Expired)
             return refuseAsUnknown(exchange, model::Reason::KeyExpired, now);
         record = addRecord(exchange, fingerprint, now);
     }
@@ -122,7 +122,7 @@
 
 KeyRecord* KeyedRequests::addRecord(const Exchange& exchange, uint64_t fingerprint, Timestamp now)
 {
-    const Identity identity = identify(exchange, now);
+    const Identity identity = identifyKey(exchange, now);
     KeyRecord* record = context_.keys.add(exchange.keyName(), fingerprint, identity.expiry);
     if (record)
         record->needsClaim = identity.kind == KeyKind::CallerMade;
@@ -240,7 +240,7 @@
 {
     const KeyRecord* record = context_.keys.find(exchange.keyName());
     if (!record) {
-        const KeyKind kind = identify(exchange, now).kind;
+        const KeyKind kind = identifyKey(exchange, now).kind;
         return kind == KeyKind::Own || kind == KeyKind::Invalid;
     }
     const bool isOwnRun = record->state == KeyState::Running && record->runner == exchange.id;
--- a/src/requests/internal/keyedrequests.h
+++ b/src/requests/internal/keyedrequests.h
@@ -46,7 +46,7 @@
         Timestamp expiry;
     };
 
-    [[nodiscard]] Identity identify(const Exchange& exchange, Timestamp now) const;
+    [[nodiscard]] Identity identifyKey(const Exchange& exchange, Timestamp now) const;
     void beginWithoutRecord(Exchange& exchange, Timestamp now);
     void startAtHolder(Exchange& exchange, const HostId& holder, Incarnation incarnation, Timestamp now);
     void resolveRecord(Exchange& exchange, Timestamp now);
--- a/src/requests/internal/keytable.h
+++ b/src/requests/internal/keytable.h
@@ -55,7 +55,8 @@
 };
 
 /// The keys that this host may have run, with the responses stored for resends. Size is bounded: a full table accepts
-/// no new key instead of evicting one. Responses are evicted oldest first; keys are never removed before their expiry.
+/// no new key instead of evicting one. Responses are evicted oldest first; the record of a key that may have run is
+/// never erased before its expiry.
 class KeyTable {
 public:
     struct Limits {
--- a/src/requests/internal/ownerheaders.cpp
+++ b/src/requests/internal/ownerheaders.cpp
@@ -24,8 +24,8 @@
 
 bool isShedMarked(std::span<const model::Header> headers)
 {
-    const std::vector<std::string_view> marks = fieldValues(headers, ShedHeader);
-    return !marks.empty() && marks.front() == "1";
+    const std::vector<std::string_view> values = fieldValues(headers, ShedHeader);
+    return !values.empty() && values.front() == "1";
 }
 
 } // namespace
--- a/src/requests/internal/requestparser.cpp
+++ b/src/requests/internal/requestparser.cpp
@@ -24,7 +24,7 @@
 
 bool isVisibleAscii(std::string_view text)
 {
-    return std::all_of(text.begin(), text.end(), [](char letter) { return letter > 0x20 && letter < 0x7f; });
+    return std::all_of(text.begin(), text.end(), [](char character) { return character > 0x20 && character < 0x7f; });
 }
 
 std::string_view hostWithoutPort(std::string_view host)
--- a/src/requests/tests/ownerstress.cpp
+++ b/src/requests/tests/ownerstress.cpp
@@ -44,7 +44,7 @@
         &OwnerStress::sendBody, &OwnerStress::sendBody, &OwnerStress::sendTargetEvent, &OwnerStress::sendTargetEvent,
         &OwnerStress::sendTargetEvent, &OwnerStress::sendTargetEvent, &OwnerStress::sendTargetEvent,
         &OwnerStress::sendTargetEvent, &OwnerStress::acknowledgeResponse, &OwnerStress::acknowledgeResponse,
-        &OwnerStress::repeatFrame, &OwnerStress::lateEvent, &OwnerStress::passTime, &OwnerStress::passTime};
+        &OwnerStress::repeatFrame, &OwnerStress::sendLateEvent, &OwnerStress::advanceTime, &OwnerStress::advanceTime};
     static constexpr std::array RareSteps {
         &OwnerStress::cancelRequest, &OwnerStress::cancelRequest, &OwnerStress::changeSlots, &OwnerStress::loseHost};
     constexpr uint64_t RareOneIn = 30;
@@ -75,7 +75,7 @@
     deliver(key, caller.frame);
 }
 
-OwnerStress::CallerState* OwnerStress::pickOpen()
+OwnerStress::CallerState* OwnerStress::pickUnfinished()
 {
     constexpr size_t Tail = 24;
     if (callers_.empty())
@@ -88,7 +88,7 @@
 
 void OwnerStress::sendBody()
 {
-    CallerState* caller = pickOpen();
+    CallerState* caller = pickUnfinished();
     if (!caller || caller->isLastSent || caller->isBroken)
         return;
     const OwnerChecker::Exchange& exchange = checker_.exchanges().at(caller->request);
@@ -185,7 +185,7 @@
 
 void OwnerStress::acknowledgeResponse()
 {
-    CallerState* caller = pickOpen();
+    CallerState* caller = pickUnfinished();
     if (!caller)
         return;
     OwnerChecker::Exchange& exchange = checker_.exchanges().at(caller->request);
@@ -200,7 +200,7 @@
 
 void OwnerStress::cancelRequest()
 {
-    if (const CallerState* caller = pickOpen()) {
+    if (const CallerState* caller = pickUnfinished()) {
         const ExchangeKey key = checker_.exchanges().at(caller->request).key;
         deliver(key, model::ForwardCancel {.correlation = key.correlation});
     }
@@ -215,7 +215,7 @@
     deliver(checker_.exchanges().at(caller.request).key, caller.frame);
 }
 
-void OwnerStress::lateEvent()
+void OwnerStress::sendLateEvent()
 {
     if (checker_.dispatches().empty())
         return;
@@ -249,7 +249,7 @@
     collect();
 }
 
-void OwnerStress::passTime()
+void OwnerStress::advanceTime()
 {
     now_ += std::chrono::microseconds(pick(20'000));
     owner_->tick(now_);
--- a/src/requests/tests/ownerstress.h
+++ b/src/requests/tests/ownerstress.h
@@ -45,10 +45,10 @@
     void acknowledgeResponse();
     void cancelRequest();
     void repeatFrame();
-    void lateEvent();
+    void sendLateEvent();
     void loseHost();
     void changeSlots();
-    void passTime();
+    void advanceTime();
 
     void shed(uint64_t id, OwnerChecker::Dispatch& dispatch);
     void fail(uint64_t id, OwnerChecker::Dispatch& dispatch);
@@ -58,7 +58,7 @@
     void handleTargetEvent(TargetEvent event);
     void collect();
     uint64_t pick(uint64_t bound) { return random_() % bound; }
-    CallerState* pickOpen();
+    CallerState* pickUnfinished();
 
     std::mt19937_64 random_;
     FakeTargetPool pool_;
