--- a/src/steering/internal/demandmeter.cpp
+++ b/src/steering/internal/demandmeter.cpp
@@ -9,6 +9,6 @@
 
 namespace saltvane::steering {
 
-double DemandMeter::fadeFactor(Duration elapsed) { return std::exp(-toSeconds(elapsed) / toSeconds(TimeConstant)); }
+double DemandMeter::decayFactor(Duration elapsed) { return std::exp(-toSeconds(elapsed) / toSeconds(TimeConstant)); }
 
 } // namespace saltvane::steering
--- a/src/steering/internal/demandmeter.h
+++ b/src/steering/internal/demandmeter.h
@@ -9,14 +9,14 @@
 
 namespace saltvane::steering {
 
-/// Concurrency of requests that end, by Little's law: arrival rate times time in flight, smoothed over seconds.
+/// Concurrency of the completed requests by Little's law: arrival rate times time in flight, smoothed exponentially.
 class DemandMeter {
 public:
-    void note(Duration inFlight) { sum_ += toSeconds(inFlight); }
-    /// Fades what was noted by `factor`, from fadeFactor().
-    void fade(double factor) { sum_ *= factor; }
+    void record(Duration inFlight) { sum_ += toSeconds(inFlight); }
+    /// Decays the recorded sum by `factor`, as returned by decayFactor().
+    void decay(double factor) { sum_ *= factor; }
     [[nodiscard]] double concurrency() const { return sum_ / toSeconds(TimeConstant); }
-    [[nodiscard]] static double fadeFactor(Duration elapsed);
+    [[nodiscard]] static double decayFactor(Duration elapsed);
 
 private:
     static constexpr Duration TimeConstant = 3s;
--- a/src/steering/internal/ejection.cpp
+++ b/src/steering/internal/ejection.cpp
@@ -11,41 +11,41 @@
 
 namespace {
 
-constexpr Duration LongestEjection = 60s;
-constexpr uint32_t LargestDoublings = 16;
+constexpr Duration MaxEjectionTime = 60s;
+constexpr uint32_t MaxDoublings = 16;
 
 } // namespace
 
-bool Ejection::noteFailed(uint32_t failuresToEject)
+bool Ejection::recordFailure(uint32_t failuresToEject)
 {
-    answersInRow_ = 0;
-    ++failuresInRow_;
-    return failuresInRow_ >= failuresToEject;
+    consecutiveAnswers_ = 0;
+    ++consecutiveFailures_;
+    return consecutiveFailures_ >= failuresToEject;
 }
 
 void Ejection::noteAnswered(uint32_t failuresToEject)
 {
-    failuresInRow_ = 0;
-    ++answersInRow_;
-    if (answersInRow_ >= failuresToEject)
-        ejectionsInRow_ = 0;
+    consecutiveFailures_ = 0;
+    ++consecutiveAnswers_;
+    if (consecutiveAnswers_ >= failuresToEject)
+        consecutiveEjections_ = 0;
 }
 
 void Ejection::eject(Duration base, Timestamp now)
 {
-    const auto doublings = std::min(ejectionsInRow_, LargestDoublings);
-    until_ = now + std::min(base * (int64_t {1} << doublings), std::max(base, LongestEjection));
+    const auto doublings = std::min(consecutiveEjections_, MaxDoublings);
+    ejectedUntil_ = now + std::min(base * (int64_t {1} << doublings), std::max(base, MaxEjectionTime));
     isEjected_ = true;
     isTrialRunning_ = false;
-    failuresInRow_ = 0;
-    ++ejectionsInRow_;
+    consecutiveFailures_ = 0;
+    ++consecutiveEjections_;
 }
 
 void Ejection::restore()
 {
     isEjected_ = false;
     isTrialRunning_ = false;
-    failuresInRow_ = 0;
+    consecutiveFailures_ = 0;
 }
 
 } // namespace saltvane::steering
--- a/src/steering/internal/ejection.h
+++ b/src/steering/internal/ejection.h
@@ -11,30 +11,34 @@
 
 namespace saltvane::steering {
 
-/// Whether one target is ejected on own evidence: failures in a row. It returns by one trial request at a time.
+/// Ejection state of one target, from the results of this host's requests: ejected after consecutive failures, restored
+/// by a successful trial request. One trial runs at a time.
 class Ejection {
 public:
-    /// Counts a failure; true when the target has failed often enough in a row to be ejected.
-    [[nodiscard]] bool noteFailed(uint32_t failuresToEject);
+    /// Counts a failure; returns true if there were enough consecutive failures to eject the target.
+    [[nodiscard]] bool recordFailure(uint32_t failuresToEject);
     void noteAnswered(uint32_t failuresToEject);
-    /// Ejects for `base`, doubled for each ejection in a row.
+    /// Ejects the target for `base`, doubled for each consecutive ejection. A failed trial ejects it again.
     void eject(Duration base, Timestamp now);
-    /// The trial failed: ejected again, for longer.
+    /// Ends a trial without a result; another one may start.
     void endTrial() { isTrialRunning_ = false; }
     void startTrial() { isTrialRunning_ = true; }
     void restore();
 
     [[nodiscard]] bool isEjected() const { return isEjected_; }
-    /// Ejected, and its time is over: one request may test it.
-    [[nodiscard]] bool isTrialDue(Timestamp now) const { return isEjected_ && !isTrialRunning_ && now >= until_; }
+    /// True if the ejection time has passed and no trial runs: one request may test the target.
+    [[nodiscard]] bool isReadyForTrial(Timestamp now) const
+    {
+        return isEjected_ && !isTrialRunning_ && now >= ejectedUntil_;
+    }
 
 private:
     bool isEjected_ = false;
     bool isTrialRunning_ = false;
-    uint32_t failuresInRow_ = 0;
-    uint32_t answersInRow_ = 0;
-    uint32_t ejectionsInRow_ = 0;
-    Timestamp until_;
+    uint32_t consecutiveFailures_ = 0;
+    uint32_t consecutiveAnswers_ = 0;
+    uint32_t consecutiveEjections_ = 0;
+    Timestamp ejectedUntil_;
 };
 
 } // namespace saltvane::steering
--- a/src/steering/internal/fillorder.h
+++ b/src/steering/internal/fillorder.h
@@ -12,19 +12,19 @@
 
 namespace saltvane::steering {
 
-/// Zones of one delay from a client region.
+/// Zones with the same delay from a client region.
 struct DelayTier {
     RegionIndex region;
     Duration delay {};
     std::vector<ZoneIndex> zones;
 };
 
-/// The order in which planners hand out room: all (client region, zones of one delay) tiers of a deployment by delay.
+/// The order in which planners assign capacity: the delay tiers of all client regions of a deployment, by delay.
 class FillOrder {
 public:
     explicit FillOrder(const model::Deployment& deployment);
 
-    /// Every tier, shortest delay first; ties by region.
+    /// All tiers, shortest delay first; ties by region.
     [[nodiscard]] std::span<const DelayTier> tiers() const { return tiers_; }
     /// The tiers of one client region, nearest first.
     [[nodiscard]] const std::vector<DelayTier>& tiersOf(RegionIndex region) const { return byRegion_[region.value]; }
--- a/src/steering/internal/headroomplanner.h
+++ b/src/steering/internal/headroomplanner.h
@@ -9,10 +9,10 @@
 
 namespace saltvane::steering {
 
-/// Weighs headroom most: open zones are used equally, and among such plans the nearest zones are preferred.
+/// Optimises for headroom: open zones get nearly equal utilisation; within that, the nearest zones are preferred.
 class HeadroomPlanner : public IRoutePlanner {
 public:
-    [[nodiscard]] ShareMatrix plan(const PlanInput& input, LinkRoom& links) const override;
+    [[nodiscard]] ShareMatrix plan(const PlanInput& input, LinkHeadroom& links) const override;
 };
 
 } // namespace saltvane::steering
--- a/src/steering/internal/irouteplanner.cpp
+++ b/src/steering/internal/irouteplanner.cpp
@@ -12,15 +12,15 @@
 
 namespace saltvane::steering {
 
-LinkRoom::LinkRoom(const model::Deployment& deployment)
-    : regions_(deployment.regionCount())
-    , room_(regions_ * regions_, std::numeric_limits<double>::infinity())
+LinkHeadroom::LinkHeadroom(const model::Deployment& deployment)
+    : regionCount_(deployment.regionCount())
+    , headroom_(regionCount_ * regionCount_, std::numeric_limits<double>::infinity())
 {
-    for (uint32_t from = 0; from < regions_; ++from) {
-        for (uint32_t to = 0; to < regions_; ++to) {
+    for (uint32_t from = 0; from < regionCount_; ++from) {
+        for (uint32_t to = 0; to < regionCount_; ++to) {
             const auto limit = deployment.linkLimit({from}, {to});
             if (limit && from != to)
-                room_[from * regions_ + to] = *limit;
+                headroom_[from * regionCount_ + to] = *limit;
         }
     }
 }
--- a/src/steering/internal/irouteplanner.h
+++ b/src/steering/internal/irouteplanner.h
@@ -15,38 +15,39 @@
 
 namespace saltvane::steering {
 
-/// What links between regions can still take, as requests in flight, while the services are planned in turn.
-class LinkRoom {
+/// Headroom of the links between regions, as requests in flight, while the services are planned one after another.
+class LinkHeadroom {
 public:
-    explicit LinkRoom(const model::Deployment& deployment);
-    [[nodiscard]] double left(RegionIndex from, RegionIndex to) const
+    explicit LinkHeadroom(const model::Deployment& deployment);
+    [[nodiscard]] double available(RegionIndex from, RegionIndex to) const
     {
-        return room_[from.value * regions_ + to.value];
+        return headroom_[from.value * regionCount_ + to.value];
     }
-    void take(RegionIndex from, RegionIndex to, double requests)
+    void reserve(RegionIndex from, RegionIndex to, double requests)
     {
-        room_[from.value * regions_ + to.value] -= requests;
+        headroom_[from.value * regionCount_ + to.value] -= requests;
     }
 
 private:
-    size_t regions_;
-    std::vector<double> room_;
+    size_t regionCount_;
+    std::vector<double> headroom_;
 };
 
-/// What a plan for one service is computed from; equal on every host.
+/// Input of the plan for one service; equal on every host.
 struct PlanInput {
     const model::Deployment& deployment;
     const FillOrder& order;
     ServiceIndex service;
-    std::span<const double> rooms; ///< By zone, scaled by the open share; 0 where closed or not live.
+    std::span<const double>
+        capacities; ///< By zone, scaled by the open share; 0 if the zone is closed or has no capacity.
     std::span<const double> demands; ///< Offered concurrency by client region.
 };
 
-/// Computes where a service's traffic should go. One strategy per objective of the bundle.
+/// Computes the planned shares of a service. There is one implementation for each objective of the bundle.
 class IRoutePlanner {
 public:
     virtual ~IRoutePlanner() = default;
-    [[nodiscard]] virtual ShareMatrix plan(const PlanInput& input, LinkRoom& links) const = 0;
+    [[nodiscard]] virtual ShareMatrix plan(const PlanInput& input, LinkHeadroom& links) const = 0;
 };
 
 [[nodiscard]] std::unique_ptr<IRoutePlanner> makeRoutePlanner(model::Objective objective);
--- a/src/steering/internal/latencyplanner.cpp
+++ b/src/steering/internal/latencyplanner.cpp
@@ -11,12 +11,12 @@
 
 namespace {
 
-/// Part of a zone's room that is used before traffic goes to a farther one; the rest takes up fluctuations.
+/// Utilisation of a zone at which traffic spills to a farther one; the rest of its capacity absorbs fluctuations.
 constexpr double TargetUtilisation = 0.9;
 
 } // namespace
 
-ShareMatrix LatencyPlanner::plan(const PlanInput& input, LinkRoom& links) const
+ShareMatrix LatencyPlanner::plan(const PlanInput& input, LinkHeadroom& links) const
 {
     return fillByDelay(input, links, TargetUtilisation);
 }
--- a/src/steering/internal/latencyplanner.h
+++ b/src/steering/internal/latencyplanner.h
@@ -9,10 +9,10 @@
 
 namespace saltvane::steering {
 
-/// Weighs latency most: the nearest zones are used up to a fixed utilisation before the next nearest.
+/// Optimises for latency: the nearest zones are filled up to a fixed utilisation before the next nearest are used.
 class LatencyPlanner : public IRoutePlanner {
 public:
-    [[nodiscard]] ShareMatrix plan(const PlanInput& input, LinkRoom& links) const override;
+    [[nodiscard]] ShareMatrix plan(const PlanInput& input, LinkHeadroom& links) const override;
 };
 
 } // namespace saltvane::steering
--- a/src/steering/internal/movementhistory.cpp
+++ b/src/steering/internal/movementhistory.cpp
@@ -12,19 +12,19 @@
 
 namespace {
 
-/// Movement is summed in whole units, so that running sums stay exact.
+/// Movement is summed in integer units, so that running sums stay exact.
 constexpr double MovementUnit = 1e-12;
 constexpr int BucketsPerWindow = 200;
-constexpr Duration ShortestBucket = 10ms;
-constexpr Duration LongestBucket = 50ms;
-/// Kept at least, so that a bundle with a longer window finds what moved before it.
-constexpr Duration ShortestRetention = 2min;
-/// Arrivals fluctuate: the requests of a coming window are taken as this many standard deviations fewer.
-constexpr double ArrivalDeviations = 4;
+constexpr Duration MinBucketLength = 10ms;
+constexpr Duration MaxBucketLength = 50ms;
+/// Minimum, so that a bundle with a longer window still finds the movement before it.
+constexpr Duration MinRetention = 2min;
+/// Arrivals fluctuate: the requests of the next window are estimated this many standard deviations lower.
+constexpr double ArrivalStandardDeviations = 4;
 
 int64_t toUnits(double share) { return static_cast<int64_t>(std::ceil(share / MovementUnit)); }
 
-double offeredAtLeast(double requests) { return requests - ArrivalDeviations * std::sqrt(requests); }
+double minOfferedRequests(double requests) { return requests - ArrivalStandardDeviations * std::sqrt(requests); }
 
 } // namespace
 
@@ -34,23 +34,23 @@
     window(CapKind::Failover).cap = failover;
     const auto shortest = std::min(shift.window, failover.window);
     const auto longest = std::max(shift.window, failover.window);
-    bucketLength_ = std::clamp(shortest / BucketsPerWindow, ShortestBucket, LongestBucket);
-    retention_ = std::max({retention_, ShortestRetention, 2 * longest});
+    bucketLength_ = std::clamp(shortest / BucketsPerWindow, MinBucketLength, MaxBucketLength);
+    retention_ = std::max({retention_, MinRetention, 2 * longest});
     const auto capacity = static_cast<size_t>(retention_ / bucketLength_) + 2;
     if (capacity > buckets_.capacity())
         buckets_.set_capacity(capacity);
-    recount(CapKind::Shift, now);
-    recount(CapKind::Failover, now);
+    recomputeSums(CapKind::Shift, now);
+    recomputeSums(CapKind::Failover, now);
 }
 
-void MovementHistory::noteDiversion(Timestamp now)
+void MovementHistory::recordDiversion(Timestamp now)
 {
     ++currentBucket(now).diversions;
     for (auto& window : windows_)
         ++window.diversions;
 }
 
-void MovementHistory::noteMoved(double share, Timestamp now)
+void MovementHistory::recordRowMovement(double share, Timestamp now)
 {
     const auto units = toUnits(share);
     auto& bucket = currentBucket(now);
@@ -60,7 +60,7 @@
     }
 }
 
-void MovementHistory::assumeSpent(Timestamp now)
+void MovementHistory::assumeFullySpent(Timestamp now)
 {
     buckets_.clear();
     const auto longest = std::max(windows_[0].cap.window, windows_[1].cap.window);
@@ -70,37 +70,37 @@
             const auto& cap = windows_[kind].cap;
             if (start < now - cap.window)
                 continue;
-            const double part = toSeconds(buckets_.back().end - start) / toSeconds(cap.window);
-            buckets_.back().moved[kind] = toUnits(cap.share * part);
+            const double fraction = toSeconds(buckets_.back().end - start) / toSeconds(cap.window);
+            buckets_.back().moved[kind] = toUnits(cap.share * fraction);
         }
     }
-    recount(CapKind::Shift, now);
-    recount(CapKind::Failover, now);
+    recomputeSums(CapKind::Shift, now);
+    recomputeSums(CapKind::Failover, now);
 }
 
-double MovementHistory::left(CapKind kind, Timestamp now)
+double MovementHistory::remainingAllowance(CapKind kind, Timestamp now)
 {
     auto& sums = window(kind);
-    advance(sums, now);
+    expireBuckets(sums, now);
     const double moved = static_cast<double>(sums.moved) * MovementUnit;
     return std::max(0.0, sums.cap.share - moved - divertedShare(sums, sums.diversions, now));
 }
 
-bool MovementHistory::mayDivert(CapKind kind, double ceiling, Timestamp now)
+bool MovementHistory::mayDivert(CapKind kind, double maxFraction, Timestamp now)
 {
     auto& sums = window(kind);
-    advance(sums, now);
+    expireBuckets(sums, now);
     const double diverted = divertedShare(sums, sums.diversions + 1, now);
     const double moved = static_cast<double>(sums.moved) * MovementUnit;
-    return diverted <= ceiling * sums.cap.share && moved + diverted <= sums.cap.share;
+    return diverted <= maxFraction * sums.cap.share && moved + diverted <= sums.cap.share;
 }
 
-Duration MovementHistory::untilNextExpiry(CapKind kind, Timestamp now)
+Duration MovementHistory::timeToNextExpiry(CapKind kind, Timestamp now)
 {
     auto& sums = window(kind);
-    advance(sums, now);
-    for (size_t at = sums.first; at < buckets_.size(); ++at) {
-        const auto& bucket = buckets_[at];
+    expireBuckets(sums, now);
+    for (size_t index = sums.first; index < buckets_.size(); ++index) {
+        const auto& bucket = buckets_[index];
         if (bucket.moved[static_cast<size_t>(kind)] > 0 || bucket.diversions > 0)
             return bucket.end + sums.cap.window - now;
     }
@@ -115,7 +115,7 @@
 void MovementHistory::openBucket(Timestamp now)
 {
     for (auto& window : windows_)
-        advance(window, now);
+        expireBuckets(window, now);
     appendBucket(now, now + bucketLength_);
 }
 
@@ -136,7 +136,7 @@
     buckets_.push_back({.start = start, .end = end});
 }
 
-void MovementHistory::advance(Window& window, Timestamp now) const
+void MovementHistory::expireBuckets(Window& window, Timestamp now) const
 {
     const auto kind = static_cast<size_t>(&window - windows_.data());
     const auto windowStart = now - window.cap.window;
@@ -149,7 +149,7 @@
     }
 }
 
-void MovementHistory::recount(CapKind kind, Timestamp now)
+void MovementHistory::recomputeSums(CapKind kind, Timestamp now)
 {
     auto& sums = window(kind);
     sums = {.cap = sums.cap};
@@ -158,7 +158,7 @@
         sums.requests += bucket.requests;
         sums.diversions += bucket.diversions;
     }
-    advance(sums, now);
+    expireBuckets(sums, now);
 }
 
 double MovementHistory::divertedShare(const Window& window, uint64_t diversions, Timestamp now) const
@@ -168,8 +168,8 @@
     auto requests = window.requests;
     if (window.first < buckets_.size() && buckets_[window.first].start < now - window.cap.window)
         requests -= buckets_[window.first].requests;
-    // Never more than the whole: a cap of 1 allows every request to move.
-    const double offered = offeredAtLeast(static_cast<double>(requests));
+    // Limited to 1, because a cap of 1 allows every request to move.
+    const double offered = minOfferedRequests(static_cast<double>(requests));
     if (offered <= static_cast<double>(diversions))
         return 1;
     return static_cast<double>(diversions) / offered;
--- a/src/steering/internal/movementhistory.h
+++ b/src/steering/internal/movementhistory.h
@@ -15,20 +15,21 @@
 
 namespace saltvane::steering {
 
-/// Which limit of the bundle rules a movement.
+/// Which cap of the bundle applies to a movement.
 enum class CapKind { Shift, Failover, Count };
 
-/// What moved between zones lately, for one service at this host: route row movement, and requests diverted as a
-/// fraction of the requests offered. Kept over bundle changes, so that a change never gives a second allowance.
+/// Recent movement between zones for one service at this host: movement of route rows, and diverted requests as a
+/// fraction of the offered requests. Retained when the bundle changes, so that a change never grants a second
+/// allowance.
 ///
-/// Time is cut into buckets. A bucket counts as movement while any part of it can lie in the closed window that ends
-/// now, and as offered requests only while all of it does, so both roundings keep below the cap.
+/// Time is divided into buckets. The movement of a bucket counts while any part of the bucket lies in the closed window
+/// that ends now; its offered requests count only while the whole bucket does. Both roundings err below the cap.
 class MovementHistory {
 public:
-    /// Limits from now on. `failover` is the shift cap itself where the bundle states no other.
+    /// Sets the caps. `failover` equals the shift cap if the bundle has no failover cap.
     void setCaps(const model::ShiftCap& shift, const model::ShiftCap& failover, Timestamp now);
 
-    void noteRequest(Timestamp now)
+    void recordRequest(Timestamp now)
     {
         if (buckets_.empty() || now >= buckets_.back().end)
             openBucket(now);
@@ -36,19 +37,20 @@
         for (auto& window : windows_)
             ++window.requests;
     }
-    void noteDiversion(Timestamp now);
-    /// `share` of the traffic moved by route rows.
-    void noteMoved(double share, Timestamp now);
-    /// Takes the past windows as fully spent at an even pace: what a restarted host must assume.
-    void assumeSpent(Timestamp now);
+    void recordDiversion(Timestamp now);
+    /// Records that route rows moved `share` of the traffic.
+    void recordRowMovement(double share, Timestamp now);
+    /// Assumes that the past windows were fully spent at a constant rate. A restarted host must assume this, since it
+    /// does not know what moved.
+    void assumeFullySpent(Timestamp now);
 
     /// Share of the traffic that may still move now.
-    [[nodiscard]] double left(CapKind kind, Timestamp now);
-    /// One more request may be sent elsewhere, with diversions alone below `ceiling`, a fraction of the cap.
-    [[nodiscard]] bool mayDivert(CapKind kind, double ceiling, Timestamp now);
-    /// Until the oldest movement leaves the window; the retry-after of a refusal by the cap.
-    [[nodiscard]] Duration untilNextExpiry(CapKind kind, Timestamp now);
-    /// Nothing is left that any window could count.
+    [[nodiscard]] double remainingAllowance(CapKind kind, Timestamp now);
+    /// True if one more request may be diverted: within the cap, and diversions alone within `maxFraction` of it.
+    [[nodiscard]] bool mayDivert(CapKind kind, double maxFraction, Timestamp now);
+    /// Time until the oldest movement leaves the window; used as retry-after of a refusal by the cap.
+    [[nodiscard]] Duration timeToNextExpiry(CapKind kind, Timestamp now);
+    /// True if no movement is left that any window could count.
     [[nodiscard]] bool isEmpty(Timestamp now) const;
 
 private:
@@ -62,7 +64,7 @@
         uint32_t diversions = 0;
     };
 
-    /// Running sums of the buckets from `first` on.
+    /// Running sums of the buckets from index `first` on.
     struct Window {
         model::ShiftCap cap;
         size_t first = 0;
@@ -73,8 +75,8 @@
 
     void openBucket(Timestamp now);
     void appendBucket(Timestamp start, Timestamp end);
-    void advance(Window& window, Timestamp now) const;
-    void recount(CapKind kind, Timestamp now);
+    void expireBuckets(Window& window, Timestamp now) const;
+    void recomputeSums(CapKind kind, Timestamp now);
     [[nodiscard]] double divertedShare(const Window& window, uint64_t diversions, Timestamp now) const;
     Bucket& currentBucket(Timestamp now);
     Window& window(CapKind kind) { return windows_[static_cast<size_t>(kind)]; }
--- a/src/steering/internal/ownedtarget.cpp
+++ b/src/steering/internal/ownedtarget.cpp
@@ -12,18 +12,19 @@
 
 namespace {
 
-/// Weight of a new latency in the smoothed one.
-constexpr int LatencyWeightParts = 8;
-/// How long a shed lets a report of a full target take its last slot.
-constexpr Duration ShedMemory = 1s;
+/// A new sample enters the smoothed latency with one divided by this as its weight.
+constexpr int LatencyWeightDivisor = 8;
+/// How long after a shed a report that the target is full is trusted. Otherwise one slot stays usable despite the
+/// report.
+constexpr Duration ShedEvidenceLifetime = 1s;
 
 } // namespace
 
 OwnedTarget::OwnedTarget(const PoolTarget& announced, const TargetPoolOptions& options)
     : options_(options)
     , announced_(announced)
-    , slowStart_(
-          announced.concurrencyLimit > 0 ? announced.concurrencyLimit : options.coldConcurrencyLimit, announced.slots)
+    , slowStart_(announced.concurrencyLimit > 0 ? announced.concurrencyLimit : options.initialConcurrencyLimit,
+          announced.slots)
 {
 }
 
@@ -37,30 +38,30 @@
     if (isNewer)
         startCold();
     else
-        slowStart_.setLargest(announced.slots);
+        slowStart_.setMaxLimit(announced.slots);
     return true;
 }
 
 void OwnedTarget::startCold()
 {
-    const auto limit = announced_.concurrencyLimit > 0 ? announced_.concurrencyLimit : options_.coldConcurrencyLimit;
+    const auto limit = announced_.concurrencyLimit > 0 ? announced_.concurrencyLimit : options_.initialConcurrencyLimit;
     slowStart_ = SlowStart(limit, announced_.slots);
     ejection_ = {};
     latency_ = {};
-    wantsEjection_ = false;
-    hasShedLately_ = false;
+    needsEjection_ = false;
+    hasShedRecently_ = false;
 }
 
 uint32_t OwnedTarget::usableSlots(Timestamp now) const
 {
-    if (!mayGetWork() || announced_.foreignInFlight >= announced_.slots)
+    if (!acceptsWork() || announced_.foreignInFlight >= announced_.slots)
         return 0;
     const uint32_t own = announced_.slots - announced_.foreignInFlight;
     if (ejection_.isEjected())
-        return ejection_.isTrialDue(now) ? std::min(own, inFlight() + 1) : 0;
-    const bool believesFull = hasShedLately_ && now - lastShed_ < ShedMemory;
-    const uint32_t reportable = believesFull ? own : own - 1;
-    const uint32_t reported = std::min(announced_.reportedBusyElsewhere, reportable);
+        return ejection_.isReadyForTrial(now) ? std::min(own, inFlight() + 1) : 0;
+    const bool trustsFullReport = hasShedRecently_ && now - lastShed_ < ShedEvidenceLifetime;
+    const uint32_t maxReported = trustsFullReport ? own : own - 1;
+    const uint32_t reported = std::min(announced_.reportedBusyElsewhere, maxReported);
     return std::min(own - reported, slowStart_.limit());
 }
 
@@ -72,9 +73,9 @@
     return sum;
 }
 
-ITargetPool::Slot OwnedTarget::take(Timestamp now)
+ITargetPool::Slot OwnedTarget::acquire(Timestamp now)
 {
-    const bool isTrial = ejection_.isTrialDue(now);
+    const bool isTrial = ejection_.isReadyForTrial(now);
     if (isTrial)
         ejection_.startTrial();
     ++load(announced_.incarnation).inFlight;
@@ -84,9 +85,9 @@
         .isTrial = isTrial};
 }
 
-bool OwnedTarget::giveBack(Incarnation incarnation)
+bool OwnedTarget::release(Incarnation incarnation)
 {
-    const auto found = std::ranges::find(loads_, incarnation, &Load::incarnation);
+    const auto found = std::ranges::find(loads_, incarnation, &IncarnationLoad::incarnation);
     if (found == loads_.end() || found->inFlight == 0)
         return false;
     --found->inFlight;
@@ -95,18 +96,18 @@
     return true;
 }
 
-void OwnedTarget::noteResult(
-    DispatchResult result, Duration latency, bool isInTime, uint32_t inFlightThen, Timestamp now)
+void OwnedTarget::recordResult(
+    DispatchResult result, Duration latency, bool isInTime, uint32_t inFlightBeforeRelease, Timestamp now)
 {
     switch (result) {
     case DispatchResult::Answered:
-        noteAnswered(latency, isInTime, inFlightThen);
+        noteAnswered(latency, isInTime, inFlightBeforeRelease);
         return;
     case DispatchResult::Shed:
-        noteShed(inFlightThen, now);
+        recordShed(inFlightBeforeRelease, now);
         return;
     case DispatchResult::Failed:
-        noteFailed(now);
+        recordFailure(now);
         return;
     case DispatchResult::Cancelled:
         ejection_.endTrial();
@@ -114,44 +115,44 @@
     }
 }
 
-void OwnedTarget::noteAnswered(Duration latency, bool isInTime, uint32_t inFlightThen)
+void OwnedTarget::noteAnswered(Duration latency, bool isInTime, uint32_t inFlightBeforeRelease)
 {
-    latency_ = latency_ == Duration::zero() ? latency : latency_ + (latency - latency_) / LatencyWeightParts;
-    hasShedLately_ = false;
-    wantsEjection_ = false;
+    latency_ = latency_ == Duration::zero() ? latency : latency_ + (latency - latency_) / LatencyWeightDivisor;
+    hasShedRecently_ = false;
+    needsEjection_ = false;
     if (ejection_.isEjected()) {
         ejection_.restore();
-        slowStart_ = SlowStart(options_.coldConcurrencyLimit, announced_.slots);
+        slowStart_ = SlowStart(options_.initialConcurrencyLimit, announced_.slots);
         return;
     }
     ejection_.noteAnswered(options_.failuresToEject);
-    slowStart_.noteAnswered(isInTime, inFlightThen);
+    slowStart_.noteAnswered(isInTime, inFlightBeforeRelease);
 }
 
-void OwnedTarget::noteShed(uint32_t inFlightThen, Timestamp now)
+void OwnedTarget::recordShed(uint32_t inFlightBeforeRelease, Timestamp now)
 {
-    hasShedLately_ = true;
+    hasShedRecently_ = true;
     lastShed_ = now;
     if (ejection_.isEjected()) {
         ejection_.eject(options_.ejectionTime, now);
         return;
     }
-    slowStart_.noteShed(inFlightThen);
+    slowStart_.recordShed(inFlightBeforeRelease);
 }
 
-void OwnedTarget::noteFailed(Timestamp now)
+void OwnedTarget::recordFailure(Timestamp now)
 {
     if (ejection_.isEjected()) {
         ejection_.eject(options_.ejectionTime, now);
         return;
     }
-    slowStart_.noteFailed();
-    wantsEjection_ = ejection_.noteFailed(options_.failuresToEject);
+    slowStart_.recordFailure();
+    needsEjection_ = ejection_.recordFailure(options_.failuresToEject);
 }
 
 void OwnedTarget::eject(Timestamp now)
 {
-    wantsEjection_ = false;
+    needsEjection_ = false;
     ejection_.eject(options_.ejectionTime, now);
 }
 
@@ -165,9 +166,9 @@
         .latency = latency_};
 }
 
-OwnedTarget::Load& OwnedTarget::load(Incarnation incarnation)
+OwnedTarget::IncarnationLoad& OwnedTarget::load(Incarnation incarnation)
 {
-    const auto found = std::ranges::find(loads_, incarnation, &Load::incarnation);
+    const auto found = std::ranges::find(loads_, incarnation, &IncarnationLoad::incarnation);
     if (found != loads_.end())
         return *found;
     loads_.push_back({.incarnation = incarnation});
--- a/src/steering/internal/routecarryover.cpp
+++ b/src/steering/internal/routecarryover.cpp
@@ -13,14 +13,14 @@
 
 namespace {
 
-std::vector<double> renamed(
+std::vector<double> mapZonesByName(
     const std::vector<double>& shares, const model::Deployment& before, const model::Deployment& after)
 {
     std::vector<double> result(after.zoneCount() + 1);
     result.back() = shares.back();
     for (uint32_t zone = 0; zone < before.zoneCount(); ++zone) {
-        const auto target = after.findZone(before.zone({zone}).name);
-        result[target ? target->value : after.zoneCount()] += shares[zone];
+        const auto newZone = after.findZone(before.zone({zone}).name);
+        result[newZone ? newZone->value : after.zoneCount()] += shares[zone];
     }
     return result;
 }
@@ -40,7 +40,7 @@
     routes.index = service;
     routes.rows.resize(deployment.regionCount());
     routes.zones.resize(deployment.zoneCount());
-    routes.hasFailed.resize(deployment.zoneCount());
+    routes.failedZones.resize(deployment.zoneCount());
     routes.demands.resize(deployment.regionCount());
     std::mt19937_64 random(seed + service.value);
     for (auto& row : routes.rows) {
@@ -61,8 +61,8 @@
         const auto former = formerRegion(before, name);
         const auto& from = old.rows[former.value];
         auto& to = routes.rows[region];
-        to.shares = renamed(from.shares, before, after);
-        to.plan = renamed(from.plan, before, after);
+        to.shares = mapZonesByName(from.shares, before, after);
+        to.plan = mapZonesByName(from.plan, before, after);
         to.compile();
         if (!before.findRegion(name))
             continue;
@@ -80,14 +80,14 @@
     return routes;
 }
 
-std::vector<double> sharesOf(const model::RouteRow& row, const model::Deployment& deployment)
+std::vector<double> sharesFromPeerRow(const model::RouteRow& row, const model::Deployment& deployment)
 {
     std::vector<double> shares(deployment.zoneCount() + 1);
-    const size_t named = std::min(row.zones.size(), row.shares.size());
-    for (size_t at = 0; at < named; ++at) {
-        const auto zone = deployment.findZone(row.zones[at]);
+    const size_t count = std::min(row.zones.size(), row.shares.size());
+    for (size_t index = 0; index < count; ++index) {
+        const auto zone = deployment.findZone(row.zones[index]);
         if (zone)
-            shares[zone->value] += std::max(0.0, row.shares[at]);
+            shares[zone->value] += std::max(0.0, row.shares[index]);
     }
     const double sum = std::accumulate(shares.begin(), shares.end(), 0.0);
     if (sum > 1) {
--- a/src/steering/internal/routecarryover.h
+++ b/src/steering/internal/routecarryover.h
@@ -14,16 +14,16 @@
 
 namespace saltvane::steering {
 
-/// Routes of a service that no deployment has named yet.
+/// Initial routes of a service that has been in no deployment before.
 [[nodiscard]] ServiceRoutes makeRoutes(const model::Deployment& deployment, ServiceIndex service, uint64_t seed);
 
-/// Routes of the service under the new deployment, standing where they stood under the old one. Regions and zones are
-/// matched by name. The share of a zone that is gone leads nowhere until it has moved; a new client region begins with
-/// the row of the old default region.
+/// Routes of the service under the new deployment, with the shares that they had under the old one. Regions and zones
+/// are matched by name. The share of a removed zone is unassigned until it has moved to other zones. A new client
+/// region starts with the row of the old default region.
 [[nodiscard]] ServiceRoutes carryOver(ServiceRoutes old, const model::Deployment& before,
     const model::Deployment& after, ServiceIndex service, uint64_t seed);
 
-/// Shares of a peer's row under this deployment; none where the row names another client region.
-[[nodiscard]] std::vector<double> sharesOf(const model::RouteRow& row, const model::Deployment& deployment);
+/// Shares of a peer's row by the zone indices of this deployment. Shares of unknown zones are unassigned.
+[[nodiscard]] std::vector<double> sharesFromPeerRow(const model::RouteRow& row, const model::Deployment& deployment);
 
 } // namespace saltvane::steering
--- a/src/steering/internal/routerow.h
+++ b/src/steering/internal/routerow.h
@@ -15,23 +15,23 @@
 
 namespace saltvane::steering {
 
-/// Zones of one delay that single requests may be diverted to.
+/// Zones with the same delay that single requests may be diverted to.
 struct DiversionTier {
     std::vector<ZoneIndex> zones;
 };
 
-/// The route row of one client region for one service, with all that a choice needs.
+/// The route row of one client region for one service, with the state needed to choose a zone.
 struct RouteRowState {
-    /// Makes the table follow the shares; after each change of them.
+    /// Rebuilds the table from the shares; to be called after each change of them.
     void compile() { table.compile(std::span(shares).first(shares.size() - 1)); }
 
-    std::vector<double> shares; ///< By zone; the last is the share that leads nowhere.
-    std::vector<double> plan; ///< Where the shares move to.
-    RouteTable table; ///< Of `shares`.
-    std::vector<DiversionTier> diversions; ///< Open live zones, nearest first.
-    uint64_t point = 0; ///< Of the low-discrepancy sequence.
+    std::vector<double> shares; ///< By zone; the last entry is the unassigned share.
+    std::vector<double> plan; ///< The shares that the row moves to.
+    RouteTable table; ///< Compiled from `shares`.
+    std::vector<DiversionTier> diversions; ///< Open zones that have not failed, nearest first.
+    uint64_t point = 0; ///< Current point of the low-discrepancy sequence.
     DemandMeter demand;
-    Duration networkDelay {}; ///< To the row's zones and back, by its shares.
+    Duration networkDelay {}; ///< Round trip to the row's zones, weighted by its shares.
 };
 
 } // namespace saltvane::steering
--- a/src/steering/internal/routetable.cpp
+++ b/src/steering/internal/routetable.cpp
@@ -12,14 +12,14 @@
 
 namespace {
 
-constexpr double WholeTolerance = 1e-9;
+constexpr double FullShareTolerance = 1e-9;
 
-uint64_t lastPoint(double upTo)
+uint64_t lastPoint(double cumulativeShare)
 {
-    constexpr auto Largest = std::numeric_limits<uint64_t>::max();
-    if (upTo >= 1 - WholeTolerance)
-        return Largest;
-    return static_cast<uint64_t>(std::ldexp(upTo, 64));
+    constexpr auto Max = std::numeric_limits<uint64_t>::max();
+    if (cumulativeShare >= 1 - FullShareTolerance)
+        return Max;
+    return static_cast<uint64_t>(std::ldexp(cumulativeShare, 64));
 }
 
 } // namespace
@@ -34,12 +34,12 @@
         sum += shares[zone];
         ranges_.push_back({.last = lastPoint(sum), .zone = {zone}});
     }
-    size_t at = 0;
+    size_t range = 0;
     for (size_t cell = 0; cell < guide_.size(); ++cell) {
         const auto first = static_cast<uint64_t>(cell) << GuideShift;
-        while (at < ranges_.size() && first > ranges_[at].last)
-            ++at;
-        guide_[cell] = static_cast<uint16_t>(at);
+        while (range < ranges_.size() && first > ranges_[range].last)
+            ++range;
+        guide_[cell] = static_cast<uint16_t>(range);
     }
 }
 
--- a/src/steering/internal/routetable.h
+++ b/src/steering/internal/routetable.h
@@ -15,21 +15,22 @@
 
 namespace saltvane::steering {
 
-/// A route row compiled for picking: shares become ranges of a 64-bit number, found through a guide of fixed size, so
-/// that a pick costs nearly the same for few and for many zones.
+/// A route row compiled for fast selection. Each share becomes a range of 64-bit numbers. A guide table of fixed size
+/// gives the index of the range at which to start the search, so that a pick costs nearly the same for any number of
+/// zones.
 class RouteTable {
 public:
-    /// `shares` by zone index. What they lack to 1 leads nowhere.
+    /// `shares` by zone index; what is missing from a sum of 1 is unassigned.
     void compile(std::span<const double> shares);
-    /// Zone whose range holds `point`; none where the row leads nowhere.
+    /// The zone whose range contains `point`; nullopt in the unassigned share.
     [[nodiscard]] std::optional<ZoneIndex> pick(uint64_t point) const
     {
-        size_t at = guide_[point >> GuideShift];
-        while (at < ranges_.size() && point > ranges_[at].last)
-            ++at;
-        if (at == ranges_.size())
+        size_t range = guide_[point >> GuideShift];
+        while (range < ranges_.size() && point > ranges_[range].last)
+            ++range;
+        if (range == ranges_.size())
             return std::nullopt;
-        return ranges_[at].zone;
+        return ranges_[range].zone;
     }
 
 private:
@@ -37,7 +38,7 @@
     static constexpr size_t GuideShift = 64 - GuideBits;
 
     struct Range {
-        uint64_t last = 0; ///< Last point that leads to the zone.
+        uint64_t last = 0; ///< Last point of the range.
         ZoneIndex zone;
     };
 
--- a/src/steering/internal/rowmover.cpp
+++ b/src/steering/internal/rowmover.cpp
@@ -11,44 +11,47 @@
 
 namespace {
 
-/// Part of `wanted` that `limit` allows.
-double partOf(double wanted, double limit) { return wanted <= limit ? 1 : std::max(0.0, limit) / wanted; }
+/// Fraction of `requested` that `limit` allows.
+double allowedFraction(double requested, double limit)
+{
+    return requested <= limit ? 1 : std::max(0.0, limit) / requested;
+}
 
-bool isFailed(const std::vector<bool>& hasFailed, size_t column)
+bool isFailedZone(const std::vector<bool>& failedZones, size_t column)
 {
-    return column < hasFailed.size() && hasFailed[column];
+    return column < failedZones.size() && failedZones[column];
 }
 
 } // namespace
 
-RowStep pendingMovement(
-    std::span<const double> shares, std::span<const double> plan, const std::vector<bool>& hasFailed)
+RowMovement pendingMovement(
+    std::span<const double> shares, std::span<const double> plan, const std::vector<bool>& failedZones)
 {
-    RowStep pending;
+    RowMovement pending;
     for (size_t column = 0; column < shares.size(); ++column) {
-        const double out = std::max(0.0, shares[column] - plan[column]);
-        (isFailed(hasFailed, column) ? pending.failed : pending.planned) += out;
+        const double outgoing = std::max(0.0, shares[column] - plan[column]);
+        (isFailedZone(failedZones, column) ? pending.failed : pending.planned) += outgoing;
     }
     return pending;
 }
 
-RowStep moveRow(
-    std::span<double> shares, std::span<const double> plan, const std::vector<bool>& hasFailed, const RowStep& limit)
+RowMovement moveRow(std::span<double> shares, std::span<const double> plan, const std::vector<bool>& failedZones,
+    const RowMovement& limit)
 {
-    const auto pending = pendingMovement(shares, plan, hasFailed);
-    const double all = pending.planned + pending.failed;
-    if (all <= 0)
+    const auto pending = pendingMovement(shares, plan, failedZones);
+    const double total = pending.planned + pending.failed;
+    if (total <= 0)
         return {};
-    const double plannedPart = partOf(pending.planned, limit.planned);
-    const double failedPart = partOf(pending.failed, limit.failed);
-    const RowStep moved {.planned = pending.planned * plannedPart, .failed = pending.failed * failedPart};
-    const double inPart = (moved.planned + moved.failed) / all;
+    const double plannedFraction = allowedFraction(pending.planned, limit.planned);
+    const double failedFraction = allowedFraction(pending.failed, limit.failed);
+    const RowMovement moved {.planned = pending.planned * plannedFraction, .failed = pending.failed * failedFraction};
+    const double incomingFraction = (moved.planned + moved.failed) / total;
     for (size_t column = 0; column < shares.size(); ++column) {
         const double difference = plan[column] - shares[column];
-        const double outPart = isFailed(hasFailed, column) ? failedPart : plannedPart;
-        const double part = difference > 0 ? inPart : outPart;
-        // The plan itself where the step reaches it, so that no rounding is left.
-        shares[column] = part >= 1 ? plan[column] : shares[column] + difference * part;
+        const double outgoingFraction = isFailedZone(failedZones, column) ? failedFraction : plannedFraction;
+        const double fraction = difference > 0 ? incomingFraction : outgoingFraction;
+        // Assigns the plan itself when the step reaches it, so that no rounding error remains.
+        shares[column] = fraction >= 1 ? plan[column] : shares[column] + difference * fraction;
     }
     return moved;
 }
--- a/src/steering/internal/rowmover.h
+++ b/src/steering/internal/rowmover.h
@@ -10,18 +10,18 @@
 
 namespace saltvane::steering {
 
-/// What one step may move and what it moved, as shares of the row.
-struct RowStep {
-    double planned = 0; ///< Out of live zones.
+/// Movement of one step, as shares of the row: what it may move or has moved.
+struct RowMovement {
+    double planned = 0; ///< Out of zones that have not failed.
     double failed = 0; ///< Out of zones that have failed.
 };
 
-/// Movement that still lies between a row and its plan.
-[[nodiscard]] RowStep pendingMovement(
-    std::span<const double> shares, std::span<const double> plan, const std::vector<bool>& hasFailed);
+/// Movement left until the row reaches its plan.
+[[nodiscard]] RowMovement pendingMovement(
+    std::span<const double> shares, std::span<const double> plan, const std::vector<bool>& failedZones);
 
-/// Moves a row toward its plan by at most `limit`; says by how much.
-RowStep moveRow(
-    std::span<double> shares, std::span<const double> plan, const std::vector<bool>& hasFailed, const RowStep& limit);
+/// Moves a row towards its plan by at most `limit`; returns how much it moved.
+RowMovement moveRow(std::span<double> shares, std::span<const double> plan, const std::vector<bool>& failedZones,
+    const RowMovement& limit);
 
 } // namespace saltvane::steering
--- a/src/steering/internal/rowshift.cpp
+++ b/src/steering/internal/rowshift.cpp
@@ -14,21 +14,21 @@
 namespace {
 
 constexpr Duration StepInterval = 100ms;
-/// A late tick catches up with at most this part of the window.
-constexpr int CatchUpParts = 10;
-/// Differences between plans below this are taken as noise.
+/// A late tick makes up for at most the cap's window divided by this.
+constexpr int MaxCatchUpDivisor = 10;
+/// Smaller differences between plans are treated as noise.
 constexpr double PlanDeadBand = 0.03;
-/// But a zone whose share grows by this factor is warming up or has been opened.
-constexpr double GrowthFactor = 1.5;
-constexpr double SmallestGrowth = 0.001;
-/// Rows this near to their plan count as arrived.
+/// A zone whose share grows by this factor is warming up or has been opened: never treated as noise.
+constexpr double MinGrowthFactor = 1.5;
+constexpr double MinGrowth = 0.001;
+/// Rows closer to their plan than this count as having reached it.
 constexpr double SettledDistance = 0.002;
-constexpr double Negligible = 1e-9;
+constexpr double NegligibleShare = 1e-9;
 
-bool usesDeadZone(const ServiceRoutes& routes, const std::vector<double>& plan)
+bool plansZoneWithoutCapacity(const ServiceRoutes& routes, const std::vector<double>& plan)
 {
     for (size_t zone = 0; zone < routes.zones.size(); ++zone) {
-        if (plan[zone] > 0 && routes.zones[zone].openRoom <= 0)
+        if (plan[zone] > 0 && routes.zones[zone].openCapacity <= 0)
             return true;
     }
     return false;
@@ -37,41 +37,43 @@
 bool hasGrowingZone(const std::vector<double>& plan, std::span<const double> next)
 {
     for (size_t zone = 0; zone < plan.size(); ++zone) {
-        if (next[zone] > GrowthFactor * plan[zone] + SmallestGrowth)
+        if (next[zone] > MinGrowthFactor * plan[zone] + MinGrowth)
             return true;
     }
     return false;
 }
 
-bool isWorthMoving(const ServiceRoutes& routes, const std::vector<double>& plan, std::span<const double> next)
+bool isSignificantChange(const ServiceRoutes& routes, const std::vector<double>& plan, std::span<const double> next)
 {
-    return usesDeadZone(routes, plan) || distance(plan, next) > PlanDeadBand || hasGrowingZone(plan, next);
+    return plansZoneWithoutCapacity(routes, plan) || rowDistance(plan, next) > PlanDeadBand
+        || hasGrowingZone(plan, next);
 }
 
-void measurePending(ServiceRoutes& routes)
+void updateRemainingMovement(ServiceRoutes& routes)
 {
-    routes.pending = 0;
+    routes.remainingMovement = 0;
     for (const auto& row : routes.rows)
-        routes.pending = std::max(routes.pending, distance(row.shares, row.plan));
-    if (routes.pending < SettledDistance)
-        routes.shiftDistance = 0;
+        routes.remainingMovement = std::max(routes.remainingMovement, rowDistance(row.shares, row.plan));
+    if (routes.remainingMovement < SettledDistance)
+        routes.initialMovement = 0;
     else
-        routes.shiftDistance = std::max(routes.shiftDistance, routes.pending);
+        routes.initialMovement = std::max(routes.initialMovement, routes.remainingMovement);
 }
 
-RowStep largestPending(const ServiceRoutes& routes)
+RowMovement maxPendingMovement(const ServiceRoutes& routes)
 {
-    RowStep largest;
+    RowMovement max;
     for (const auto& row : routes.rows) {
-        const auto pending = pendingMovement(row.shares, row.plan, routes.hasFailed);
-        largest.planned = std::max(largest.planned, pending.planned);
-        largest.failed = std::max(largest.failed, pending.failed);
+        const auto pending = pendingMovement(row.shares, row.plan, routes.failedZones);
+        max.planned = std::max(max.planned, pending.planned);
+        max.failed = std::max(max.failed, pending.failed);
     }
-    return largest;
+    return max;
 }
 
-/// What one step may plan to move: the even pace since the last step, within both caps.
-double plannedLimit(ServiceRoutes& routes, const model::ShiftCap& cap, double failedNow, bool isFrozen, Timestamp now)
+/// Planned movement that one step may make: a constant rate since the last step, within both caps.
+double plannedMovementLimit(
+    ServiceRoutes& routes, const model::ShiftCap& cap, double failedMovement, bool isFrozen, Timestamp now)
 {
     const auto elapsed = now - routes.lastStep;
     if (elapsed < StepInterval)
@@ -79,23 +81,24 @@
     routes.lastStep = now;
     if (isFrozen)
         return 0;
-    const auto paced = std::min(elapsed, std::max(StepInterval, cap.window / CatchUpParts));
-    const double pace = PlannedPace * cap.share * toSeconds(paced) / toSeconds(cap.window);
-    const double left = std::min(routes.history.left(CapKind::Shift, now), routes.history.left(CapKind::Failover, now));
-    return std::clamp(left - failedNow, 0.0, pace);
+    const auto creditedTime = std::min(elapsed, std::max(StepInterval, cap.window / MaxCatchUpDivisor));
+    const double ratedMovement = PlannedShiftFraction * cap.share * toSeconds(creditedTime) / toSeconds(cap.window);
+    const double remaining = std::min(routes.history.remainingAllowance(CapKind::Shift, now),
+        routes.history.remainingAllowance(CapKind::Failover, now));
+    return std::clamp(remaining - failedMovement, 0.0, ratedMovement);
 }
 
-RowStep moveRows(ServiceRoutes& routes, const RowStep& limit)
+RowMovement moveRows(ServiceRoutes& routes, const RowMovement& limit)
 {
-    RowStep largest;
+    RowMovement max;
     for (auto& row : routes.rows) {
-        const auto moved = moveRow(row.shares, row.plan, routes.hasFailed, limit);
-        largest.planned = std::max(largest.planned, moved.planned);
-        largest.failed = std::max(largest.failed, moved.failed);
+        const auto moved = moveRow(row.shares, row.plan, routes.failedZones, limit);
+        max.planned = std::max(max.planned, moved.planned);
+        max.failed = std::max(max.failed, moved.failed);
         if (moved.planned + moved.failed > 0)
             row.compile();
     }
-    return largest;
+    return max;
 }
 
 } // namespace
@@ -105,51 +108,51 @@
     for (uint32_t region = 0; region < routes.rows.size(); ++region) {
         auto& row = routes.rows[region];
         const auto next = plan.row({region});
-        if (isNewBundle || isWorthMoving(routes, row.plan, next))
+        if (isNewBundle || isSignificantChange(routes, row.plan, next))
             row.plan.assign(next.begin(), next.end());
     }
-    measurePending(routes);
+    updateRemainingMovement(routes);
 }
 
 void stepRows(
     ServiceRoutes& routes, const model::ShiftCap& cap, bool isFrozen, Timestamp now, model::Counters* counters)
 {
-    const auto pending = largestPending(routes);
-    RowStep limit;
+    const auto pending = maxPendingMovement(routes);
+    RowMovement limit;
     if (pending.failed > 0)
-        limit.failed = std::min(pending.failed, routes.history.left(CapKind::Failover, now));
-    limit.planned = plannedLimit(routes, cap, limit.failed, isFrozen, now);
+        limit.failed = std::min(pending.failed, routes.history.remainingAllowance(CapKind::Failover, now));
+    limit.planned = plannedMovementLimit(routes, cap, limit.failed, isFrozen, now);
     if (pending.planned + pending.failed <= 0)
         return;
     const auto moved = moveRows(routes, limit);
     const double movement = moved.planned + moved.failed;
     if (movement > 0)
-        routes.history.noteMoved(movement, now);
-    measurePending(routes);
+        routes.history.recordRowMovement(movement, now);
+    updateRemainingMovement(routes);
     if (!counters)
         return;
     if (movement > 0)
         counters->add(model::Counter::RowMoves);
-    if (pending.planned + pending.failed > movement + Negligible)
+    if (pending.planned + pending.failed > movement + NegligibleShare)
         counters->add(model::Counter::RowMovesCapped);
 }
 
-void placeRows(ServiceRoutes& routes)
+void setRowsToPlan(ServiceRoutes& routes)
 {
     for (auto& row : routes.rows) {
         row.shares = row.plan;
         row.compile();
     }
-    measurePending(routes);
+    updateRemainingMovement(routes);
 }
 
-bool isShifting(const ServiceRoutes& routes) { return routes.shiftDistance > 0; }
+bool isShifting(const ServiceRoutes& routes) { return routes.initialMovement > 0; }
 
-double progressOf(const ServiceRoutes& routes)
+double shiftProgressOf(const ServiceRoutes& routes)
 {
     if (!isShifting(routes))
         return 1;
-    return std::clamp(1 - routes.pending / routes.shiftDistance, 0.0, 1.0);
+    return std::clamp(1 - routes.remainingMovement / routes.initialMovement, 0.0, 1.0);
 }
 
 } // namespace saltvane::steering
--- a/src/steering/internal/rowshift.h
+++ b/src/steering/internal/rowshift.h
@@ -12,22 +12,22 @@
 
 namespace saltvane::steering {
 
-/// Part of the cap a planned shift uses; the rest stays for single requests that must be diverted meanwhile.
-constexpr double PlannedPace = 0.92;
+/// Fraction of the cap that a planned shift uses; the rest is left for requests diverted during the shift.
+constexpr double PlannedShiftFraction = 0.92;
 
-/// Takes over the plan row by row. Unless `isNewBundle`, a row keeps its plan while the new one differs little, so that
-/// noise in room and demand moves nothing.
+/// Adopts the plan row by row. Unless `isNewBundle`, a row keeps its current plan if the new one differs little, so
+/// that noise in capacity and demand does not move traffic.
 void adoptPlan(ServiceRoutes& routes, const ShareMatrix& plan, bool isNewBundle);
 
-/// Moves the service's rows by what the caps allow now. While frozen only shares of failed zones move.
+/// Moves the service's rows as far as the caps allow now. While frozen, only shares of failed zones move.
 void stepRows(
     ServiceRoutes& routes, const model::ShiftCap& cap, bool isFrozen, Timestamp now, model::Counters* counters);
 
-/// Puts every row at its plan at once; only before the service's first request.
-void placeRows(ServiceRoutes& routes);
+/// Sets every row to its plan at once; only before the service's first request.
+void setRowsToPlan(ServiceRoutes& routes);
 
-/// A shift of the service is running.
 [[nodiscard]] bool isShifting(const ServiceRoutes& routes);
-[[nodiscard]] double progressOf(const ServiceRoutes& routes);
+/// Progress of the running shift, 0 to 1; 1 when none runs.
+[[nodiscard]] double shiftProgressOf(const ServiceRoutes& routes);
 
 } // namespace saltvane::steering
--- a/src/steering/internal/serviceroutes.h
+++ b/src/steering/internal/serviceroutes.h
@@ -15,28 +15,28 @@
 
 namespace saltvane::steering {
 
-/// What is known of one zone for one service.
+/// Reported state of one zone for one service.
 struct ZoneState {
-    double room = 0; ///< Requests at a time, as reported.
-    double openRoom = 0; ///< Room scaled by the open share.
+    double capacity = 0; ///< Concurrent requests, as reported.
+    double openCapacity = 0; ///< Capacity scaled by the open share.
     Duration queueDelay {};
 };
 
-/// Everything steering keeps of one service; the entity that planning, moving and choosing run over.
+/// The state of one service: planning, row movement and zone choice work on it.
 struct ServiceRoutes {
     ServiceIndex index;
     std::vector<RouteRowState> rows; ///< By client region.
     std::vector<ZoneState> zones; ///< By zone.
-    std::vector<bool> hasFailed; ///< By zone: its room is gone while another open zone has some.
+    std::vector<bool> failedZones; ///< By zone: it has no capacity while an open zone has some.
     std::vector<double> demands; ///< Offered concurrency by client region, smoothed.
     MovementHistory history;
     Timestamp lastStep;
-    double shiftDistance = 0; ///< Movement that lay ahead when the running shift began; 0 when none runs.
-    double pending = 0; ///< Movement that lies ahead, of the row that has most.
-    Duration leastQueueDelay {};
+    double initialMovement = 0; ///< Movement that was left when the running shift began; 0 when no shift runs.
+    double remainingMovement = 0; ///< Movement left until the plan is reached; the maximum over all rows.
+    Duration minQueueDelay {}; ///< Over the open zones with capacity.
     bool hasOpenZone = false;
-    bool hasRoom = false; ///< Some open zone has room.
-    bool hasServed = false; ///< A request was chosen for, or rows were adopted: rows move only within the cap.
+    bool hasCapacity = false; ///< Some open zone has capacity.
+    bool hasServed = false; ///< A request was steered or rows were adopted: rows move only within the cap.
 };
 
 } // namespace saltvane::steering
--- a/src/steering/internal/sharematrix.cpp
+++ b/src/steering/internal/sharematrix.cpp
@@ -9,7 +9,7 @@
 
 namespace saltvane::steering {
 
-double distance(std::span<const double> from, std::span<const double> to)
+double rowDistance(std::span<const double> from, std::span<const double> to)
 {
     double sum = 0;
     for (size_t column = 0; column < from.size(); ++column)
--- a/src/steering/internal/sharematrix.h
+++ b/src/steering/internal/sharematrix.h
@@ -12,7 +12,7 @@
 
 namespace saltvane::steering {
 
-/// Shares of each zone, by client region. The last column is the share that leads nowhere.
+/// Share of each zone, by client region. The last column is the unassigned share.
 class ShareMatrix {
 public:
     ShareMatrix() = default;
@@ -36,7 +36,7 @@
     std::vector<double> shares_;
 };
 
-/// Movement that takes one row to the other: half the sum of the absolute differences.
-[[nodiscard]] double distance(std::span<const double> from, std::span<const double> to);
+/// Movement between two rows: half the sum of the absolute differences.
+[[nodiscard]] double rowDistance(std::span<const double> from, std::span<const double> to);
 
 } // namespace saltvane::steering
--- a/src/steering/internal/slowstart.cpp
+++ b/src/steering/internal/slowstart.cpp
@@ -11,45 +11,46 @@
 
 namespace {
 
-constexpr double SmallestLimit = 1;
-/// An answer in time grows the limit by its reciprocal: one more slot for each round of answers.
+constexpr double MinLimit = 1;
+/// Each answer in time grows the limit by its reciprocal, that is by one slot for each round of answers.
 constexpr double GrowthPerRound = 1;
-/// A slow answer still counts a little, so that a target that is always slower does not stay cold.
+/// Slow answers grow the limit too, but less, so that a target that is always slower does not stay cold.
 constexpr double SlowGrowthPerRound = 0.1;
-constexpr double FailureFactor = 0.7;
-constexpr uint32_t UsedPart = 2;
+constexpr double DecreaseFactor = 0.7;
+/// The limit counts as used if the requests in flight reach the limit divided by this.
+constexpr uint32_t UsedLimitDivisor = 2;
 
 } // namespace
 
-SlowStart::SlowStart(uint32_t limit, uint32_t largest)
-    : limit_(std::max<double>(limit, SmallestLimit))
-    , largest_(largest)
+SlowStart::SlowStart(uint32_t limit, uint32_t maxLimit)
+    : limit_(std::max<double>(limit, MinLimit))
+    , maxLimit_(maxLimit)
 {
-    setLargest(largest);
+    setMaxLimit(maxLimit);
 }
 
-void SlowStart::setLargest(uint32_t largest)
+void SlowStart::setMaxLimit(uint32_t maxLimit)
 {
-    largest_ = largest;
-    limit_ = std::clamp<double>(limit_, SmallestLimit, std::max<double>(largest, SmallestLimit));
+    maxLimit_ = maxLimit;
+    limit_ = std::clamp<double>(limit_, MinLimit, std::max<double>(maxLimit, MinLimit));
 }
 
 void SlowStart::noteAnswered(bool isInTime, uint32_t inFlight)
 {
-    if (inFlight * UsedPart < limit())
+    if (inFlight * UsedLimitDivisor < limit())
         return;
     grow((isInTime ? GrowthPerRound : SlowGrowthPerRound) / limit_);
 }
 
-void SlowStart::noteShed(uint32_t inFlight)
+void SlowStart::recordShed(uint32_t inFlight)
 {
-    shrinkTo(std::min(limit_ * FailureFactor, static_cast<double>(inFlight) - 1));
+    shrinkTo(std::min(limit_ * DecreaseFactor, static_cast<double>(inFlight) - 1));
 }
 
-void SlowStart::noteFailed() { shrinkTo(limit_ * FailureFactor); }
+void SlowStart::recordFailure() { shrinkTo(limit_ * DecreaseFactor); }
 
-void SlowStart::grow(double amount) { limit_ = std::min<double>(limit_ + amount, std::max<double>(largest_, 1)); }
+void SlowStart::grow(double amount) { limit_ = std::min<double>(limit_ + amount, std::max<double>(maxLimit_, 1)); }
 
-void SlowStart::shrinkTo(double limit) { limit_ = std::max(limit, SmallestLimit); }
+void SlowStart::shrinkTo(double limit) { limit_ = std::max(limit, MinLimit); }
 
 } // namespace saltvane::steering
--- a/src/steering/internal/slowstart.h
+++ b/src/steering/internal/slowstart.h
@@ -9,26 +9,28 @@
 
 namespace saltvane::steering {
 
-/// Concurrency limit of one target: begins small and grows by answers in time, shrinks when the target sheds or fails.
+/// Concurrency limit of one target. Starts small, grows with answers in time and shrinks when the target sheds or fails
+/// requests.
 class SlowStart {
 public:
-    /// `limit` begins cold; `largest` are the target's slots.
-    SlowStart(uint32_t limit, uint32_t largest);
+    /// `limit` is the initial limit; `largest` is the target's number of slots.
+    SlowStart(uint32_t limit, uint32_t maxLimit);
 
-    void setLargest(uint32_t largest);
-    /// An answer while `inFlight` requests ran, itself included. Grows only a limit that is used.
+    void setMaxLimit(uint32_t maxLimit);
+    /// Records an answer that came while `inFlight` requests ran, itself included. Grows the limit only if it is in
+    /// use.
     void noteAnswered(bool isInTime, uint32_t inFlight);
-    void noteShed(uint32_t inFlight);
-    void noteFailed();
+    void recordShed(uint32_t inFlight);
+    void recordFailure();
     [[nodiscard]] uint32_t limit() const { return static_cast<uint32_t>(limit_); }
-    [[nodiscard]] bool isWarm() const { return limit() >= largest_; }
+    [[nodiscard]] bool isWarm() const { return limit() >= maxLimit_; }
 
 private:
     void grow(double amount);
     void shrinkTo(double limit);
 
     double limit_;
-    uint32_t largest_;
+    uint32_t maxLimit_;
 };
 
 } // namespace saltvane::steering
--- a/src/steering/internal/steering.cpp
+++ b/src/steering/internal/steering.cpp
@@ -16,18 +16,18 @@
 
 namespace {
 
-/// Reported demand is followed quickly upwards and slowly downwards.
-constexpr double DemandRiseSeconds = 3;
-constexpr double DemandFallSeconds = 10;
-/// Time in flight that is never taken for network delay.
-constexpr int SmallestServicePart = 10;
-/// During a shift a look-up answer is kept for at most this part of the cap's window.
-constexpr int TtlParts = 4;
-constexpr Duration ShortestTtl = 1s;
-
-double follow(double old, double reported, double elapsedSeconds)
+/// Time constants of the smoothed demand: it follows a rise quickly and a fall slowly.
+constexpr double DemandRiseTimeConstantSeconds = 3;
+constexpr double DemandFallTimeConstantSeconds = 10;
+/// At least the time in flight divided by this counts as service time, whatever the network delay.
+constexpr int MinServiceTimeDivisor = 10;
+/// During a shift, look-up answers may be cached for at most the cap's window divided by this.
+constexpr int ShiftTtlDivisor = 4;
+constexpr Duration MinEntryTtl = 1s;
+
+double smoothTowards(double old, double reported, double elapsedSeconds)
 {
-    const double constant = reported > old ? DemandRiseSeconds : DemandFallSeconds;
+    const double constant = reported > old ? DemandRiseTimeConstantSeconds : DemandFallTimeConstantSeconds;
     return old + (reported - old) * (1 - std::exp(-elapsedSeconds / constant));
 }
 
@@ -40,33 +40,33 @@
 
 void Steering::install(model::DeploymentPtr deployment, Timestamp now)
 {
-    retireAll();
+    retireAllRoutes();
     if (!deployment_ && options_.ownRegion.value < deployment->regionCount())
         ownRegion_ = deployment->region(options_.ownRegion).name;
     deployment_ = std::move(deployment);
-    order_ = std::make_unique<FillOrder>(*deployment_);
+    fillOrder_ = std::make_unique<FillOrder>(*deployment_);
     planner_ = makeRoutePlanner(deployment_->bundle().objective);
     for (uint32_t service = 0; service < deployment_->serviceCount(); ++service) {
-        auto routes = takeRoutes({service});
+        auto routes = resumeRoutes({service});
         const auto& definition = deployment_->service({service});
         routes.history.setCaps(definition.shiftCap, definition.failoverCap.value_or(definition.shiftCap), now);
         routes.lastStep = now;
         services_.push_back(std::move(routes));
     }
-    forgetRetired(now);
+    eraseExpiredRoutes(now);
     replan(true, now);
 }
 
-void Steering::retireAll()
+void Steering::retireAllRoutes()
 {
     for (auto& routes : services_) {
         const auto& name = deployment_->service(routes.index).name;
-        retired_.insert_or_assign(name, Retired {.deployment = deployment_, .routes = std::move(routes)});
+        retired_.insert_or_assign(name, RetiredRoutes {.deployment = deployment_, .routes = std::move(routes)});
     }
     services_.clear();
 }
 
-ServiceRoutes Steering::takeRoutes(ServiceIndex service)
+ServiceRoutes Steering::resumeRoutes(ServiceIndex service)
 {
     auto old = retired_.extract(deployment_->service(service).name);
     if (old.empty())
@@ -75,7 +75,7 @@
     return carryOver(std::move(retired.routes), *retired.deployment, *deployment_, service, options_.seed);
 }
 
-void Steering::forgetRetired(Timestamp now)
+void Steering::eraseExpiredRoutes(Timestamp now)
 {
     std::erase_if(retired_, [now](auto& entry) { return entry.second.routes.history.isEmpty(now); });
 }
@@ -90,7 +90,7 @@
         const auto region = deployment_->findRegion(row.region);
         if (!service || !region || services_[service->value].hasServed)
             continue;
-        services_[service->value].rows[region->value].shares = sharesOf(row, *deployment_);
+        services_[service->value].rows[region->value].shares = sharesFromPeerRow(row, *deployment_);
         hasAdopted[service->value] = true;
     }
     for (size_t service = 0; service < services_.size(); ++service) {
@@ -99,7 +99,7 @@
         auto& routes = services_[service];
         routes.hasServed = true;
         routes.lastStep = now;
-        routes.history.assumeSpent(now);
+        routes.history.assumeFullySpent(now);
         for (auto& row : routes.rows)
             row.compile();
     }
@@ -111,7 +111,7 @@
     if (service.value >= services_.size())
         return;
     auto& routes = services_[service.value];
-    if (routes.hasServed || !routes.hasRoom)
+    if (routes.hasServed || !routes.hasCapacity)
         return;
     routes.hasServed = true;
     routes.lastStep = now;
@@ -121,12 +121,12 @@
 {
     if (!deployment_)
         return;
-    takeRooms(rooms);
-    takeDemands(demands, now);
+    applyRooms(rooms);
+    applyDemands(demands, now);
     replan(false, now);
 }
 
-void Steering::takeRooms(std::span<const ZoneRoom> rooms)
+void Steering::applyRooms(std::span<const ZoneRoom> rooms)
 {
     for (auto& routes : services_)
         routes.zones.assign(deployment_->zoneCount(), {});
@@ -134,14 +134,14 @@
         if (room.service.value >= services_.size() || room.zone.value >= deployment_->zoneCount())
             continue;
         auto& zone = services_[room.service.value].zones[room.zone.value];
-        zone.room = room.room;
+        zone.capacity = room.room;
         zone.queueDelay = room.queueDelay;
     }
 }
 
-void Steering::takeDemands(std::span<const RegionDemand> demands, Timestamp now)
+void Steering::applyDemands(std::span<const RegionDemand> demands, Timestamp now)
 {
-    const double elapsed = toSeconds(now - lastDemand_);
+    const double elapsed = toSeconds(now - lastDemandUpdate_);
     std::vector<std::vector<double>> reported(services_.size(), std::vector<double>(deployment_->regionCount()));
     for (const auto& demand : demands) {
         if (isKnown(demand.service, demand.clientRegion))
@@ -151,41 +151,41 @@
         for (size_t region = 0; region < routes.demands.size(); ++region) {
             auto& demand = routes.demands[region];
             const double next = reported[routes.index.value][region];
-            demand = hasDemand_ ? follow(demand, next, elapsed) : next;
+            demand = hasDemandUpdate_ ? smoothTowards(demand, next, elapsed) : next;
         }
     }
-    hasDemand_ = true;
-    lastDemand_ = now;
+    hasDemandUpdate_ = true;
+    lastDemandUpdate_ = now;
 }
 
-void Steering::judgeZones(ServiceRoutes& routes) const
+void Steering::updateZoneStates(ServiceRoutes& routes) const
 {
     routes.hasOpenZone = false;
-    routes.hasRoom = false;
-    routes.leastQueueDelay = Duration::max();
+    routes.hasCapacity = false;
+    routes.minQueueDelay = Duration::max();
     for (uint32_t zone = 0; zone < routes.zones.size(); ++zone) {
         const double open = deployment_->openShare(routes.index, {zone});
         auto& state = routes.zones[zone];
-        state.openRoom = state.room * open;
+        state.openCapacity = state.capacity * open;
         routes.hasOpenZone = routes.hasOpenZone || open > 0;
-        routes.hasRoom = routes.hasRoom || state.openRoom > 0;
-        if (state.openRoom > 0)
-            routes.leastQueueDelay = std::min(routes.leastQueueDelay, state.queueDelay);
+        routes.hasCapacity = routes.hasCapacity || state.openCapacity > 0;
+        if (state.openCapacity > 0)
+            routes.minQueueDelay = std::min(routes.minQueueDelay, state.queueDelay);
     }
     for (size_t zone = 0; zone < routes.zones.size(); ++zone)
-        routes.hasFailed[zone] = routes.hasRoom && routes.zones[zone].room <= 0;
+        routes.failedZones[zone] = routes.hasCapacity && routes.zones[zone].capacity <= 0;
 }
 
-void Steering::compileDiversions(ServiceRoutes& routes) const
+void Steering::rebuildDiversions(ServiceRoutes& routes) const
 {
     for (uint32_t region = 0; region < routes.rows.size(); ++region) {
         auto& row = routes.rows[region];
         row.diversions.clear();
-        for (const auto& tier : order_->tiersOf({region})) {
+        for (const auto& tier : fillOrder_->tiersOf({region})) {
             DiversionTier usable;
             for (const auto zone : tier.zones) {
                 const bool isOpen = deployment_->openShare(routes.index, zone) > 0;
-                if (isOpen && !routes.hasFailed[zone.value])
+                if (isOpen && !routes.failedZones[zone.value])
                     usable.zones.push_back(zone);
             }
             if (!usable.zones.empty())
@@ -196,35 +196,35 @@
 
 void Steering::replan(bool isNewBundle, Timestamp now)
 {
-    LinkRoom links(*deployment_);
+    LinkHeadroom links(*deployment_);
     for (auto& routes : services_) {
-        judgeZones(routes);
-        compileDiversions(routes);
-        std::vector<double> rooms;
+        updateZoneStates(routes);
+        rebuildDiversions(routes);
+        std::vector<double> capacities;
         for (const auto& zone : routes.zones)
-            rooms.push_back(zone.openRoom);
+            capacities.push_back(zone.openCapacity);
         const PlanInput input {.deployment = *deployment_,
-            .order = *order_,
+            .order = *fillOrder_,
             .service = routes.index,
-            .rooms = rooms,
+            .capacities = capacities,
             .demands = routes.demands};
-        // Without any room there is nowhere better to go: rows keep their plan, unless the bundle changed.
-        if (isNewBundle || routes.hasRoom)
+        // Without capacity anywhere no plan is better than the current one, so rows keep it unless the bundle changed.
+        if (isNewBundle || routes.hasCapacity)
             adoptPlan(routes, planner_->plan(input, links), isNewBundle);
-        step(routes, now);
+        stepService(routes, now);
     }
 }
 
-void Steering::step(ServiceRoutes& routes, Timestamp now)
+void Steering::stepService(ServiceRoutes& routes, Timestamp now)
 {
     if (routes.hasServed)
         stepRows(routes, deployment_->service(routes.index).shiftCap, isFrozen_, now, options_.counters);
     else
-        placeRows(routes);
-    measureNetworkDelay(routes);
+        setRowsToPlan(routes);
+    updateNetworkDelay(routes);
 }
 
-void Steering::measureNetworkDelay(ServiceRoutes& routes) const
+void Steering::updateNetworkDelay(ServiceRoutes& routes) const
 {
     const auto own = deployment_->findRegion(ownRegion_);
     if (!own)
@@ -245,19 +245,19 @@
 
 void Steering::tick(Timestamp now)
 {
-    const double factor = DemandMeter::fadeFactor(now - lastFade_);
-    lastFade_ = now;
+    const double factor = DemandMeter::decayFactor(now - lastDecay_);
+    lastDecay_ = now;
     for (auto& routes : services_) {
         for (auto& row : routes.rows)
-            row.demand.fade(factor);
-        step(routes, now);
+            row.demand.decay(factor);
+        stepService(routes, now);
     }
 }
 
 Result<Choice, Refusal> Steering::choose(const ChoiceQuery& query, const ICreditView& credits, Timestamp now)
 {
     if (!deployment_)
-        return Refusal {.reason = model::Reason::NotReady, .retryAfter = ShortestTtl};
+        return Refusal {.reason = model::Reason::NotReady, .retryAfter = MinEntryTtl};
     if (!isKnown(query.service, query.clientRegion))
         return Refusal {.reason = model::Reason::UnknownService};
     return chooseZone(services_[query.service.value], query, credits, now, options_.counters);
@@ -273,7 +273,7 @@
     std::ranges::copy_if(byDelay, std::back_inserter(zones), [&](auto zone) { return row.shares[zone.value] > 0; });
     if (zones.empty())
         return {byDelay.begin(), byDelay.end()};
-    // A closed zone still serves the end of its drain, but new callers had better start elsewhere.
+    // A closed zone is still used until its drain completes, but new clients should start with an open one.
     std::ranges::stable_partition(zones, [&](auto zone) { return deployment_->openShare(service, zone) > 0; });
     return zones;
 }
@@ -281,11 +281,11 @@
 Duration Steering::entryTtl(ServiceIndex service) const
 {
     if (!deployment_ || service.value >= services_.size())
-        return ShortestTtl;
+        return MinEntryTtl;
     const auto& definition = deployment_->service(service);
     if (!isShifting(services_[service.value]))
         return definition.entryTtl;
-    const auto shortened = std::max<Duration>(ShortestTtl, definition.shiftCap.window / TtlParts);
+    const auto shortened = std::max<Duration>(MinEntryTtl, definition.shiftCap.window / ShiftTtlDivisor);
     return std::min(definition.entryTtl, shortened);
 }
 
@@ -325,7 +325,7 @@
 
 double Steering::shiftProgress(ServiceIndex service) const
 {
-    return service.value < services_.size() ? progressOf(services_[service.value]) : 1;
+    return service.value < services_.size() ? shiftProgressOf(services_[service.value]) : 1;
 }
 
 std::vector<RegionDemand> Steering::ownDemand() const
@@ -347,8 +347,9 @@
     if (!deployment_ || !isKnown(service, clientRegion))
         return;
     auto& row = services_[service.value].rows[clientRegion.value];
-    // Time on the way occupies no slot. Counted as demand it would ask for more room the farther the row spills.
-    row.demand.note(std::max(inFlight / SmallestServicePart, inFlight - row.networkDelay));
+    // Time on the network occupies no slot. Counted as demand, it would request more capacity the farther the row
+    // spills.
+    row.demand.record(std::max(inFlight / MinServiceTimeDivisor, inFlight - row.networkDelay));
 }
 
 bool Steering::isKnown(ServiceIndex service, RegionIndex region) const
--- a/src/steering/internal/steering.h
+++ b/src/steering/internal/steering.h
@@ -15,7 +15,7 @@
 
 namespace saltvane::steering {
 
-/// Holds the routes of each service under the bundle in force and runs planning, moving and choosing over them.
+/// Keeps the routes of each service under the bundle in force; plans and moves them and chooses zones by them.
 class Steering : public ISteering {
 public:
     explicit Steering(const SteeringOptions& options);
@@ -37,35 +37,35 @@
     void noteRequestEnded(ServiceIndex service, RegionIndex clientRegion, Duration inFlight, Timestamp now) override;
 
 private:
-    /// Routes of a service that the bundle in force no longer names, kept while their movement counts.
-    struct Retired {
+    /// Routes of a service that is not in the bundle in force, retained while their movement counts against the cap.
+    struct RetiredRoutes {
         model::DeploymentPtr deployment;
         ServiceRoutes routes;
     };
 
-    void retireAll();
-    [[nodiscard]] ServiceRoutes takeRoutes(ServiceIndex service);
-    void forgetRetired(Timestamp now);
-    void takeRooms(std::span<const ZoneRoom> rooms);
-    void takeDemands(std::span<const RegionDemand> demands, Timestamp now);
-    void judgeZones(ServiceRoutes& routes) const;
-    void compileDiversions(ServiceRoutes& routes) const;
+    void retireAllRoutes();
+    [[nodiscard]] ServiceRoutes resumeRoutes(ServiceIndex service);
+    void eraseExpiredRoutes(Timestamp now);
+    void applyRooms(std::span<const ZoneRoom> rooms);
+    void applyDemands(std::span<const RegionDemand> demands, Timestamp now);
+    void updateZoneStates(ServiceRoutes& routes) const;
+    void rebuildDiversions(ServiceRoutes& routes) const;
     void replan(bool isNewBundle, Timestamp now);
-    void step(ServiceRoutes& routes, Timestamp now);
-    void measureNetworkDelay(ServiceRoutes& routes) const;
+    void stepService(ServiceRoutes& routes, Timestamp now);
+    void updateNetworkDelay(ServiceRoutes& routes) const;
     void addRows(const ServiceRoutes& routes, std::vector<model::RouteRow>& result) const;
     [[nodiscard]] bool isKnown(ServiceIndex service, RegionIndex region) const;
 
     SteeringOptions options_;
     model::DeploymentPtr deployment_;
-    std::unique_ptr<FillOrder> order_;
+    std::unique_ptr<FillOrder> fillOrder_;
     std::unique_ptr<IRoutePlanner> planner_;
     std::vector<ServiceRoutes> services_; ///< By service index.
-    std::map<ServiceName, Retired> retired_;
+    std::map<ServiceName, RetiredRoutes> retired_;
     RegionName ownRegion_;
-    Timestamp lastDemand_;
-    Timestamp lastFade_;
-    bool hasDemand_ = false;
+    Timestamp lastDemandUpdate_;
+    Timestamp lastDecay_;
+    bool hasDemandUpdate_ = false;
     bool isFrozen_ = false;
 };
 
--- a/src/steering/internal/targetpool.cpp
+++ b/src/steering/internal/targetpool.cpp
@@ -12,10 +12,10 @@
 
 namespace {
 
-/// An answer within this many times the usual latency of the service is in time.
-constexpr int InTimeFactor = 3;
-/// Latency assumed where no target has answered yet.
-constexpr Duration UnknownLatency = 1ms;
+/// An answer is in time if it takes at most this many times the service's average latency.
+constexpr int InTimeLatencyFactor = 3;
+/// Latency assumed before any target has answered.
+constexpr Duration DefaultLatency = 1ms;
 
 bool isExcluded(std::span<const TargetId> excluded, const OwnedTarget& target)
 {
@@ -40,14 +40,14 @@
         return;
     }
     auto& known = found->second;
-    const bool isMoving = known.announced().service != target.service;
+    const bool changesService = known.announced().service != target.service;
     if (target.incarnation < known.announced().incarnation) {
-        count(model::Counter::StaleMessages);
+        incrementCounter(model::Counter::StaleMessages);
         return;
     }
-    if (isMoving)
-        dropMember(known);
-    if (known.update(target) && isMoving)
+    if (changesService)
+        removeMember(known);
+    if (known.update(target) && changesService)
         addMember(known);
 }
 
@@ -58,7 +58,7 @@
     if (found == targets_.end())
         return;
     found->second.retire();
-    eraseIfDone(target);
+    eraseIfDrained(target);
 }
 
 std::optional<ITargetPool::Slot> TargetPool::acquire(
@@ -71,24 +71,24 @@
     auto* best = findBest(members->second, excluded, now);
     if (!best)
         return std::nullopt;
-    auto slot = best->take(now);
+    auto slot = best->acquire(now);
     if (slot.isTrial)
-        count(model::Counter::TrialRequests);
+        incrementCounter(model::Counter::TrialRequests);
     return slot;
 }
 
 OwnedTarget* TargetPool::findBest(const Members& members, std::span<const TargetId> excluded, Timestamp now)
 {
-    const auto typical = typicalLatency(members).value_or(UnknownLatency);
+    const auto averageLatency = averageWarmLatency(members).value_or(DefaultLatency);
     OwnedTarget* best = nullptr;
     double bestScore = 0;
     uint64_t ties = 0;
     for (auto* target : members) {
         if (!target->hasFreeSlot(now) || isExcluded(excluded, *target))
             continue;
-        if (target->ejection().isTrialDue(now))
+        if (target->ejection().isReadyForTrial(now))
             return target;
-        const auto latency = target->latency() > Duration::zero() ? target->latency() : typical;
+        const auto latency = target->latency() > Duration::zero() ? target->latency() : averageLatency;
         const double score = (target->inFlight() + 1) * toSeconds(latency);
         if (!best || score < bestScore) {
             best = target;
@@ -102,7 +102,7 @@
     return best;
 }
 
-std::optional<Duration> TargetPool::typicalLatency(const Members& members) const
+std::optional<Duration> TargetPool::averageWarmLatency(const Members& members) const
 {
     Duration sum {};
     int64_t warm = 0;
@@ -124,31 +124,31 @@
     if (found == targets_.end())
         return;
     auto& target = found->second;
-    const auto inFlightThen = target.inFlight();
-    if (!target.giveBack(slot.incarnation))
+    const auto inFlightBeforeRelease = target.inFlight();
+    if (!target.release(slot.incarnation))
         return;
     if (slot.incarnation == target.announced().incarnation) {
-        const auto typical = typicalLatency(services_[target.announced().service]);
-        const bool isInTime = !typical || latency <= *typical * InTimeFactor;
-        target.noteResult(result, latency, isInTime, inFlightThen, now);
+        const auto averageLatency = averageWarmLatency(services_[target.announced().service]);
+        const bool isInTime = !averageLatency || latency <= *averageLatency * InTimeLatencyFactor;
+        target.recordResult(result, latency, isInTime, inFlightBeforeRelease, now);
         ejectIfAllowed(target, now);
     }
-    eraseIfDone(slot.target);
+    eraseIfDrained(slot.target);
 }
 
 void TargetPool::ejectIfAllowed(OwnedTarget& target, Timestamp now)
 {
-    if (!target.wantsEjection())
+    if (!target.needsEjection())
         return;
     const auto& members = services_[target.announced().service];
     const auto ejected
         = std::ranges::count_if(members, [](const auto* member) { return member->ejection().isEjected(); });
     const auto allowed
-        = static_cast<int64_t>(std::floor(options_.largestEjectedShare * static_cast<double>(members.size())));
+        = static_cast<int64_t>(std::floor(options_.maxEjectedFraction * static_cast<double>(members.size())));
     if (ejected >= allowed)
         return;
     target.eject(now);
-    count(model::Counter::Ejections);
+    incrementCounter(model::Counter::Ejections);
 }
 
 std::vector<PoolRoom> TargetPool::rooms() const
@@ -167,7 +167,7 @@
         return result;
     for (const auto* target : members->second) {
         result.inFlight += target->inFlight();
-        if (!target->mayGetWork())
+        if (!target->acceptsWork())
             continue;
         ++result.targets;
         result.slots += target->announced().slots;
@@ -202,7 +202,7 @@
     members.insert(std::ranges::upper_bound(members, &target, byId), &target);
 }
 
-void TargetPool::dropMember(OwnedTarget& target)
+void TargetPool::removeMember(OwnedTarget& target)
 {
     auto& members = services_[target.announced().service];
     std::erase(members, &target);
@@ -210,16 +210,16 @@
         services_.erase(target.announced().service);
 }
 
-void TargetPool::eraseIfDone(const TargetId& target)
+void TargetPool::eraseIfDrained(const TargetId& target)
 {
     const auto found = targets_.find(target);
     if (!found->second.isRetired() || found->second.inFlight() > 0)
         return;
-    dropMember(found->second);
+    removeMember(found->second);
     targets_.erase(found);
 }
 
-void TargetPool::count(model::Counter counter)
+void TargetPool::incrementCounter(model::Counter counter)
 {
     if (options_.counters)
         options_.counters->add(counter);
--- a/src/steering/internal/targetpool.h
+++ b/src/steering/internal/targetpool.h
@@ -13,7 +13,8 @@
 
 namespace saltvane::steering {
 
-/// The targets this host owns, by service. The least loaded by own evidence is taken first.
+/// The targets this host owns, by service. Selects the target with the least load, as measured by this host's own
+/// requests in flight and their latency.
 class TargetPool : public ITargetPool {
 public:
     explicit TargetPool(const TargetPoolOptions& options);
@@ -34,18 +35,18 @@
     using Members = std::vector<OwnedTarget*>;
 
     void addMember(OwnedTarget& target);
-    void dropMember(OwnedTarget& target);
-    void eraseIfDone(const TargetId& target);
+    void removeMember(OwnedTarget& target);
+    void eraseIfDrained(const TargetId& target);
     [[nodiscard]] OwnedTarget* findBest(const Members& members, std::span<const TargetId> excluded, Timestamp now);
-    [[nodiscard]] std::optional<Duration> typicalLatency(const Members& members) const;
+    [[nodiscard]] std::optional<Duration> averageWarmLatency(const Members& members) const;
     void ejectIfAllowed(OwnedTarget& target, Timestamp now);
-    void count(model::Counter counter);
+    void incrementCounter(model::Counter counter);
 
     TargetPoolOptions options_;
     std::map<TargetId, OwnedTarget> targets_;
     std::map<ServiceName, Members> services_;
     std::mt19937_64 random_;
-    Timestamp now_; ///< Of the last call, for the views that take no time.
+    Timestamp now_; ///< Time of the last call, for the functions without a time parameter.
 };
 
 } // namespace saltvane::steering
--- a/src/steering/internal/tokenretrybudget.cpp
+++ b/src/steering/internal/tokenretrybudget.cpp
@@ -12,26 +12,26 @@
 
 namespace {
 
-constexpr int64_t OneRetry = 1'000'000;
+constexpr int64_t UnitsPerRetry = 1'000'000;
 
-int64_t toUnits(double retries) { return std::llround(retries * static_cast<double>(OneRetry)); }
+int64_t toUnits(double retries) { return std::llround(retries * static_cast<double>(UnitsPerRetry)); }
 
 } // namespace
 
 TokenRetryBudget::TokenRetryBudget(const RetryBudgetOptions& options)
-    : perAnswer_(toUnits(options.retriesPerAnswer))
-    , largestBalance_(toUnits(options.largestBalance))
-    , balance_(std::min(toUnits(options.initialBalance), largestBalance_))
+    : unitsPerAnswer_(toUnits(options.retriesPerAnswer))
+    , maxBalance_(toUnits(options.maxBalance))
+    , balance_(std::min(toUnits(options.initialBalance), maxBalance_))
 {
 }
 
-void TokenRetryBudget::noteAnswered(Timestamp /*now*/) { balance_ = std::min(largestBalance_, balance_ + perAnswer_); }
+void TokenRetryBudget::noteAnswered(Timestamp /*now*/) { balance_ = std::min(maxBalance_, balance_ + unitsPerAnswer_); }
 
 bool TokenRetryBudget::trySpend(Timestamp /*now*/)
 {
-    if (balance_ < OneRetry)
+    if (balance_ < UnitsPerRetry)
         return false;
-    balance_ -= OneRetry;
+    balance_ -= UnitsPerRetry;
     return true;
 }
 
--- a/src/steering/internal/tokenretrybudget.h
+++ b/src/steering/internal/tokenretrybudget.h
@@ -11,7 +11,8 @@
 
 namespace saltvane::steering {
 
-/// Token bucket that each answered request fills a little. Counts in millionths of a retry, so that sums are exact.
+/// Token bucket that each answered request refills by a fraction of a retry. Counts in millionths of a retry, so that
+/// sums are exact.
 class TokenRetryBudget : public IRetryBudget {
 public:
     explicit TokenRetryBudget(const RetryBudgetOptions& options);
@@ -20,8 +21,8 @@
     [[nodiscard]] bool trySpend(Timestamp now) override;
 
 private:
-    int64_t perAnswer_;
-    int64_t largestBalance_;
+    int64_t unitsPerAnswer_;
+    int64_t maxBalance_;
     int64_t balance_;
 };
 
--- a/src/steering/internal/waitqueue.cpp
+++ b/src/steering/internal/waitqueue.cpp
@@ -12,14 +12,14 @@
 
 namespace {
 
-/// The queue counts as overloaded once its oldest waiter has waited this part of its whole allowance.
-constexpr int OverloadAllowanceParts = 2;
+/// The queue counts as overloaded once the oldest waiter has waited for the time until its deadline divided by this.
+constexpr int OverloadWaitDivisor = 2;
 
 } // namespace
 
 WaitQueue::WaitQueue(QueueOrder order, size_t capacity)
     : order_(order)
-    , selector_(selectorOf(order))
+    , selector_(selectorFor(order))
     , capacity_(capacity)
 {
 }
@@ -30,7 +30,7 @@
     byDeadline_.clear();
 }
 
-WaitQueue::Selector WaitQueue::selectorOf(QueueOrder order)
+WaitQueue::Selector WaitQueue::selectorFor(QueueOrder order)
 {
     static constexpr std::array Selectors {
         &WaitQueue::oldest, &WaitQueue::newestUnderOverload, &WaitQueue::earliestDeadline};
@@ -42,7 +42,7 @@
     if (waiters_.contains(waiter))
         return false;
     if (waiters_.size() >= capacity_)
-        dropHopeless(expectedServiceTime_, now);
+        dropLateWaiters(expectedServiceTime_, now);
     if (waiters_.size() >= capacity_) {
         if (order_ != QueueOrder::LifoUnderOverload || waiters_.empty())
             return false;
@@ -50,9 +50,9 @@
     }
     auto& entry = waiters_[waiter];
     entry.id = waiter;
-    entry.arrival = arrivals_++;
+    entry.arrival = nextArrival_++;
     entry.deadline = deadline;
-    entry.since = now;
+    entry.enqueuedAt = now;
     byArrival_.push_back(entry);
     byDeadline_.insert(entry);
     return true;
@@ -60,7 +60,7 @@
 
 std::optional<WaiterId> WaitQueue::pop(Duration expectedServiceTime, Timestamp now)
 {
-    dropHopeless(expectedServiceTime, now);
+    dropLateWaiters(expectedServiceTime, now);
     if (waiters_.empty())
         return std::nullopt;
     auto& next = (this->*selector_)(now);
@@ -80,11 +80,11 @@
 
 std::vector<Dropped> WaitQueue::takeDropped() { return std::exchange(dropped_, {}); }
 
-void WaitQueue::tick(Duration expectedServiceTime, Timestamp now) { dropHopeless(expectedServiceTime, now); }
+void WaitQueue::tick(Duration expectedServiceTime, Timestamp now) { dropLateWaiters(expectedServiceTime, now); }
 
 Duration WaitQueue::oldestWait(Timestamp now) const
 {
-    return byArrival_.empty() ? Duration::zero() : now - byArrival_.front().since;
+    return byArrival_.empty() ? Duration::zero() : now - byArrival_.front().enqueuedAt;
 }
 
 WaitQueue::Waiter& WaitQueue::oldest(Timestamp /*now*/) { return byArrival_.front(); }
@@ -92,14 +92,14 @@
 WaitQueue::Waiter& WaitQueue::newestUnderOverload(Timestamp now)
 {
     auto& front = byArrival_.front();
-    const auto allowance = front.deadline - front.since;
-    const bool isOverloaded = now - front.since > allowance / OverloadAllowanceParts;
+    const auto timeBudget = front.deadline - front.enqueuedAt;
+    const bool isOverloaded = now - front.enqueuedAt > timeBudget / OverloadWaitDivisor;
     return isOverloaded ? byArrival_.back() : front;
 }
 
 WaitQueue::Waiter& WaitQueue::earliestDeadline(Timestamp /*now*/) { return *byDeadline_.begin(); }
 
-void WaitQueue::dropHopeless(Duration expectedServiceTime, Timestamp now)
+void WaitQueue::dropLateWaiters(Duration expectedServiceTime, Timestamp now)
 {
     expectedServiceTime_ = expectedServiceTime;
     while (!byDeadline_.empty() && byDeadline_.begin()->deadline < now + expectedServiceTime)
--- a/src/steering/internal/waitqueue.h
+++ b/src/steering/internal/waitqueue.h
@@ -13,7 +13,8 @@
 
 namespace saltvane::steering {
 
-/// Waiters linked by arrival and by deadline at once; the order only decides which link is followed.
+/// Each waiter is linked both by arrival and by deadline; the queue order decides which list the next waiter comes
+/// from.
 class WaitQueue : public IWaitQueue {
 public:
     WaitQueue(QueueOrder order, size_t capacity);
@@ -33,7 +34,7 @@
         WaiterId id = 0;
         uint64_t arrival = 0; ///< Orders equal deadlines.
         Timestamp deadline;
-        Timestamp since;
+        Timestamp enqueuedAt;
         boost::intrusive::list_member_hook<> arrivalHook;
         boost::intrusive::set_member_hook<> deadlineHook;
     };
@@ -49,21 +50,21 @@
         boost::intrusive::member_hook<Waiter, boost::intrusive::set_member_hook<>, &Waiter::deadlineHook>>;
 
     using Selector = Waiter& (WaitQueue::*)(Timestamp now);
-    [[nodiscard]] static Selector selectorOf(QueueOrder order);
+    [[nodiscard]] static Selector selectorFor(QueueOrder order);
     Waiter& oldest(Timestamp now);
     Waiter& newestUnderOverload(Timestamp now);
     Waiter& earliestDeadline(Timestamp now);
 
-    void dropHopeless(Duration expectedServiceTime, Timestamp now);
+    void dropLateWaiters(Duration expectedServiceTime, Timestamp now);
     void drop(Waiter& waiter, model::Reason reason);
     void remove(Waiter& waiter);
 
     QueueOrder order_;
     Selector selector_;
     size_t capacity_;
-    uint64_t arrivals_ = 0;
+    uint64_t nextArrival_ = 0;
     Duration expectedServiceTime_ {};
-    std::unordered_map<WaiterId, Waiter> waiters_; ///< Looked up only; order comes from the links.
+    std::unordered_map<WaiterId, Waiter> waiters_; ///< For look-up by id; the lists below hold the order.
     ByArrival byArrival_;
     ByDeadline byDeadline_;
     std::vector<Dropped> dropped_;
--- a/src/steering/internal/waterfill.cpp
+++ b/src/steering/internal/waterfill.cpp
@@ -13,90 +13,91 @@
 
 namespace {
 
-/// Demand assumed of a region that offers none, so that its row still names the zones of its first requests.
-constexpr double SmallestDemand = 0.01;
-constexpr double Negligible = 1e-9;
+/// Demand assumed for a region that offers none, so that its row has zones for the first requests.
+constexpr double MinDemand = 0.01;
+constexpr double NegligibleAmount = 1e-9;
 
-class Filling {
+class WaterFilling {
 public:
-    Filling(const PlanInput& input, LinkRoom& links)
+    WaterFilling(const PlanInput& input, LinkHeadroom& links)
         : input_(input)
         , links_(links)
-        , taken_(input.deployment.regionCount(), input.deployment.zoneCount())
-        , used_(input.deployment.zoneCount())
+        , assigned_(input.deployment.regionCount(), input.deployment.zoneCount())
+        , assignedByZone_(input.deployment.zoneCount())
     {
         for (const auto demand : input.demands)
-            demandLeft_.push_back(std::max(demand, SmallestDemand));
+            unassignedDemand_.push_back(std::max(demand, MinDemand));
     }
 
     void fill(double utilisation)
     {
         for (const auto& tier : input_.order.tiers()) {
-            if (demandLeft_[tier.region.value] > Negligible)
+            if (unassignedDemand_[tier.region.value] > NegligibleAmount)
                 fillTier(tier, utilisation);
         }
     }
 
     ShareMatrix finish()
     {
-        for (uint32_t region = 0; region < demandLeft_.size(); ++region)
-            toShares({region});
-        return std::move(taken_);
+        for (uint32_t region = 0; region < unassignedDemand_.size(); ++region)
+            normalizeRow({region});
+        return std::move(assigned_);
     }
 
 private:
     void fillTier(const DelayTier& tier, double utilisation)
     {
-        const auto takeable = takeableOf(tier, utilisation);
-        const double open = std::accumulate(takeable.begin(), takeable.end(), 0.0);
-        if (open <= Negligible)
+        const auto assignable = assignableOf(tier, utilisation);
+        const double available = std::accumulate(assignable.begin(), assignable.end(), 0.0);
+        if (available <= NegligibleAmount)
             return;
-        auto& demand = demandLeft_[tier.region.value];
-        const double amount = std::min(demand, open);
-        for (size_t at = 0; at < tier.zones.size(); ++at)
-            take(tier.region, tier.zones[at], amount * takeable[at] / open);
+        auto& demand = unassignedDemand_[tier.region.value];
+        const double amount = std::min(demand, available);
+        for (size_t index = 0; index < tier.zones.size(); ++index)
+            assign(tier.region, tier.zones[index], amount * assignable[index] / available);
         demand -= amount;
     }
 
-    /// Room left of each zone of the tier, scaled down where the link to its region can take less.
-    std::vector<double> takeableOf(const DelayTier& tier, double utilisation) const
+    /// Capacity left in each zone of the tier, scaled down if the link to the zone's region can take less.
+    std::vector<double> assignableOf(const DelayTier& tier, double utilisation) const
     {
-        std::vector<double> takeable;
+        std::vector<double> assignable;
         for (const auto zone : tier.zones)
-            takeable.push_back(std::max(0.0, input_.rooms[zone.value] * utilisation - used_[zone.value]));
-        std::vector<double> limited = takeable;
-        for (size_t at = 0; at < limited.size(); ++at)
-            limited[at] *= linkPart(tier, tier.zones[at], takeable);
+            assignable.push_back(
+                std::max(0.0, input_.capacities[zone.value] * utilisation - assignedByZone_[zone.value]));
+        std::vector<double> limited = assignable;
+        for (size_t index = 0; index < limited.size(); ++index)
+            limited[index] *= linkFraction(tier, tier.zones[index], assignable);
         return limited;
     }
 
-    double linkPart(const DelayTier& tier, ZoneIndex zone, const std::vector<double>& takeable) const
+    double linkFraction(const DelayTier& tier, ZoneIndex zone, const std::vector<double>& assignable) const
     {
         const auto to = input_.deployment.regionOf(zone);
-        const double left = links_.left(tier.region, to);
-        if (left == std::numeric_limits<double>::infinity())
+        const double headroom = links_.available(tier.region, to);
+        if (headroom == std::numeric_limits<double>::infinity())
             return 1;
-        double wanted = 0;
-        for (size_t at = 0; at < takeable.size(); ++at) {
-            if (input_.deployment.regionOf(tier.zones[at]) == to)
-                wanted += takeable[at];
+        double requested = 0;
+        for (size_t index = 0; index < assignable.size(); ++index) {
+            if (input_.deployment.regionOf(tier.zones[index]) == to)
+                requested += assignable[index];
         }
-        return wanted <= left ? 1 : std::max(0.0, left) / wanted;
+        return requested <= headroom ? 1 : std::max(0.0, headroom) / requested;
     }
 
-    void take(RegionIndex from, ZoneIndex zone, double amount)
+    void assign(RegionIndex from, ZoneIndex zone, double amount)
     {
-        taken_.row(from)[zone.value] += amount;
-        used_[zone.value] += amount;
-        links_.take(from, input_.deployment.regionOf(zone), amount);
+        assigned_.row(from)[zone.value] += amount;
+        assignedByZone_[zone.value] += amount;
+        links_.reserve(from, input_.deployment.regionOf(zone), amount);
     }
 
-    void toShares(RegionIndex region)
+    void normalizeRow(RegionIndex region)
     {
-        auto row = taken_.row(region);
+        auto row = assigned_.row(region);
         double sum = std::accumulate(row.begin(), row.end(), 0.0);
-        if (sum <= Negligible) {
-            std::copy(input_.rooms.begin(), input_.rooms.end(), row.begin());
+        if (sum <= NegligibleAmount) {
+            std::copy(input_.capacities.begin(), input_.capacities.end(), row.begin());
             sum = std::accumulate(row.begin(), row.end(), 0.0);
         }
         for (auto& share : row)
@@ -104,14 +105,14 @@
     }
 
     const PlanInput& input_;
-    LinkRoom& links_;
-    ShareMatrix taken_; ///< Concurrency at first; shares in the end.
-    std::vector<double> used_;
-    std::vector<double> demandLeft_;
+    LinkHeadroom& links_;
+    ShareMatrix assigned_; ///< Concurrency while filling; finish() turns it into shares.
+    std::vector<double> assignedByZone_; ///< Concurrency assigned to each zone.
+    std::vector<double> unassignedDemand_; ///< By client region.
 };
 
-/// The nearest open zones share the row by their open shares.
-ShareMatrix nearestOpen(const PlanInput& input)
+/// Divides each row among the nearest open zones by their open shares.
+ShareMatrix nearestOpenZones(const PlanInput& input)
 {
     ShareMatrix shares(input.deployment.regionCount(), input.deployment.zoneCount());
     for (uint32_t region = 0; region < input.deployment.regionCount(); ++region) {
@@ -134,12 +135,12 @@
 
 } // namespace
 
-ShareMatrix fillByDelay(const PlanInput& input, LinkRoom& links, double utilisation)
+ShareMatrix fillByDelay(const PlanInput& input, LinkHeadroom& links, double utilisation)
 {
-    const double room = std::accumulate(input.rooms.begin(), input.rooms.end(), 0.0);
-    if (room <= 0)
-        return nearestOpen(input);
-    Filling filling(input, links);
+    const double capacity = std::accumulate(input.capacities.begin(), input.capacities.end(), 0.0);
+    if (capacity <= 0)
+        return nearestOpenZones(input);
+    WaterFilling filling(input, links);
     filling.fill(utilisation);
     filling.fill(1);
     return filling.finish();
--- a/src/steering/internal/waterfill.h
+++ b/src/steering/internal/waterfill.h
@@ -9,10 +9,12 @@
 
 namespace saltvane::steering {
 
-/// Hands out room nearest first: each tier takes what is left of its region's demand, up to `utilisation` of each
-/// zone's room and what links can take. A second pass goes up to the whole room. Demand beyond that scales the row it
-/// has got, so that an overload does not send callers far for a refusal; a region that got nothing is spread by room.
-/// Without any room the nearest open zones share the row; without an open zone the row leads nowhere.
-[[nodiscard]] ShareMatrix fillByDelay(const PlanInput& input, LinkRoom& links, double utilisation);
+/// Assigns the demand of each client region to zones, nearest first (water-filling). A first pass fills each zone up to
+/// `utilisation` of its capacity and within the headroom of the links; a second pass fills it completely.
+///
+/// Demand beyond all capacity scales up the row that its region has got, so that in an overload clients are not sent
+/// far away only to be refused. A region that got nothing is spread over all zones by capacity. If no zone has
+/// capacity, the nearest open zones share the row; if no zone is open, the whole row is unassigned.
+[[nodiscard]] ShareMatrix fillByDelay(const PlanInput& input, LinkHeadroom& links, double utilisation);
 
 } // namespace saltvane::steering
--- a/src/steering/internal/zonechooser.cpp
+++ b/src/steering/internal/zonechooser.cpp
@@ -13,27 +13,27 @@
 
 namespace {
 
-/// Step of the low-discrepancy sequence: the golden ratio's fraction of 2^64.
-constexpr uint64_t GoldenStep = 0x9E3779B97F4A7C15;
-/// Part of the cap that diversions may use while rows still have to move; the rest is the rows'.
-constexpr double DiversionPartInShift = 1 - PlannedPace;
-constexpr Duration ShortestRetryAfter = 200ms;
-constexpr Duration LongestRetryAfter = 5s;
+/// Step of the low-discrepancy sequence: 2^64 divided by the golden ratio.
+constexpr uint64_t GoldenRatioStep = 0x9E3779B97F4A7C15;
+/// Fraction of the cap that diversions may use while a shift runs; the rest is left for the movement of rows.
+constexpr double DiversionFractionDuringShift = 1 - PlannedShiftFraction;
+constexpr Duration MinRetryAfter = 200ms;
+constexpr Duration MaxRetryAfter = 5s;
 
 bool isExcluded(const ChoiceQuery& query, ZoneIndex zone)
 {
     return std::ranges::find(query.excludedZones, zone) != query.excludedZones.end();
 }
 
-/// Nearest open zone with credit that was not tried; zones of one delay take turns.
-std::optional<ZoneIndex> findOther(
+/// The nearest open zone with credit, other than `tried` and the excluded zones. Zones of equal delay alternate.
+std::optional<ZoneIndex> findDiversionZone(
     const RouteRowState& row, const ChoiceQuery& query, std::optional<ZoneIndex> tried, const ICreditView& credits)
 {
     for (const auto& tier : row.diversions) {
         const size_t count = tier.zones.size();
         const size_t first = (row.point >> 32) % count;
-        for (size_t at = 0; at < count; ++at) {
-            const auto zone = tier.zones[(first + at) % count];
+        for (size_t offset = 0; offset < count; ++offset) {
+            const auto zone = tier.zones[(first + offset) % count];
             if (zone != tried && !isExcluded(query, zone) && credits.hasCredit(query.service, zone))
                 return zone;
         }
@@ -41,22 +41,22 @@
     return std::nullopt;
 }
 
-Duration clampRetryAfter(Duration wait) { return std::clamp(wait, ShortestRetryAfter, LongestRetryAfter); }
+Duration clampRetryAfter(Duration wait) { return std::clamp(wait, MinRetryAfter, MaxRetryAfter); }
 
-Refusal refuseWithoutRoom(const ServiceRoutes& routes, std::optional<ZoneIndex> rowZone)
+Refusal refuseWithoutCapacity(const ServiceRoutes& routes, std::optional<ZoneIndex> rowZone)
 {
     if (!routes.hasOpenZone)
-        return {.reason = model::Reason::ZoneClosed, .retryAfter = LongestRetryAfter, .rowZone = rowZone};
-    return {.reason = model::Reason::NoRoom, .retryAfter = clampRetryAfter(routes.leastQueueDelay), .rowZone = rowZone};
+        return {.reason = model::Reason::ZoneClosed, .retryAfter = MaxRetryAfter, .rowZone = rowZone};
+    return {.reason = model::Reason::NoRoom, .retryAfter = clampRetryAfter(routes.minQueueDelay), .rowZone = rowZone};
 }
 
-CapKind capOfLeaving(const ServiceRoutes& routes, std::optional<ZoneIndex> zone)
+CapKind capKindFor(const ServiceRoutes& routes, std::optional<ZoneIndex> zone)
 {
-    return zone && routes.hasFailed[zone->value] ? CapKind::Failover : CapKind::Shift;
+    return zone && routes.failedZones[zone->value] ? CapKind::Failover : CapKind::Shift;
 }
 
-/// The zone the request leaves: its row's, or for a second choice the one tried first.
-std::optional<ZoneIndex> leftZone(const ChoiceQuery& query, std::optional<ZoneIndex> rowZone)
+/// The zone that a diverted request leaves: the row's zone or, for a retry, the zone tried first.
+std::optional<ZoneIndex> departedZone(const ChoiceQuery& query, std::optional<ZoneIndex> rowZone)
 {
     if (rowZone || query.excludedZones.empty())
         return rowZone;
@@ -66,23 +66,23 @@
 Result<Choice, Refusal> divert(ServiceRoutes& routes, const ChoiceQuery& query, std::optional<ZoneIndex> rowZone,
     const ICreditView& credits, Timestamp now, model::Counters* counters)
 {
-    const auto other = findOther(routes.rows[query.clientRegion.value], query, rowZone, credits);
+    const auto other = findDiversionZone(routes.rows[query.clientRegion.value], query, rowZone, credits);
     if (!other)
-        return refuseWithoutRoom(routes, rowZone);
-    const auto kind = capOfLeaving(routes, leftZone(query, rowZone));
-    const double ceiling = isShifting(routes) ? DiversionPartInShift : 1;
-    if (!routes.history.mayDivert(kind, ceiling, now)) {
-        const auto wait = clampRetryAfter(routes.history.untilNextExpiry(kind, now));
+        return refuseWithoutCapacity(routes, rowZone);
+    const auto kind = capKindFor(routes, departedZone(query, rowZone));
+    const double maxFraction = isShifting(routes) ? DiversionFractionDuringShift : 1;
+    if (!routes.history.mayDivert(kind, maxFraction, now)) {
+        const auto wait = clampRetryAfter(routes.history.timeToNextExpiry(kind, now));
         return Refusal {.reason = model::Reason::ShiftCapReached, .retryAfter = wait, .rowZone = rowZone};
     }
-    routes.history.noteDiversion(now);
+    routes.history.recordDiversion(now);
     if (counters)
         counters->add(model::Counter::Diversions);
     return Choice {.zone = *other, .isDiverted = true, .rowZone = rowZone};
 }
 
-/// The zone the row gave before, while the row still leads there.
-std::optional<ZoneIndex> knownRowZone(const RouteRowState& row, const ChoiceQuery& query)
+/// The row's zone from an earlier call for this request, if it still has a share in the row.
+std::optional<ZoneIndex> earlierRowZone(const RouteRowState& row, const ChoiceQuery& query)
 {
     const bool isKnown = query.rowZone && query.rowZone->value + 1 < row.shares.size();
     if (!isKnown || row.shares[query.rowZone->value] <= 0)
@@ -90,10 +90,10 @@
     return query.rowZone;
 }
 
-/// Second choices without the row's zone come from callers that know only what they tried.
+/// Draws a zone from the row; nullopt for a query with excluded zones, whose caller knows the tried zones only.
 std::optional<ZoneIndex> drawZone(RouteRowState& row, const ChoiceQuery& query)
 {
-    row.point += GoldenStep;
+    row.point += GoldenRatioStep;
     return query.excludedZones.empty() ? row.table.pick(row.point) : std::nullopt;
 }
 
@@ -104,9 +104,9 @@
 {
     routes.hasServed = true;
     if (!query.isRetry && !query.rowZone)
-        routes.history.noteRequest(now);
+        routes.history.recordRequest(now);
     auto& row = routes.rows[query.clientRegion.value];
-    auto zone = knownRowZone(row, query);
+    auto zone = earlierRowZone(row, query);
     if (!zone)
         zone = drawZone(row, query);
     if (zone && !isExcluded(query, *zone) && credits.hasCredit(query.service, *zone))
--- a/src/steering/internal/zonechooser.h
+++ b/src/steering/internal/zonechooser.h
@@ -11,7 +11,8 @@
 
 namespace saltvane::steering {
 
-/// Chooses the zone of one request by its row; diverts it within the movement allowance where its zone has no credit.
+/// Chooses the zone of one request by its row. If that zone has no credit, diverts the request as far as the cap
+/// allows.
 [[nodiscard]] Result<Choice, Refusal> chooseZone(ServiceRoutes& routes, const ChoiceQuery& query,
     const ICreditView& credits, Timestamp now, model::Counters* counters);
 
--- a/src/steering/iretrybudget.h
+++ b/src/steering/iretrybudget.h
@@ -11,18 +11,18 @@
 
 namespace saltvane::steering {
 
-/// Bounds retries to a fraction of lately answered requests, so that retries cannot multiply an overload.
+/// Limits retries to a fraction of the recently answered requests, so that retries cannot amplify an overload.
 class IRetryBudget {
 public:
     virtual ~IRetryBudget() = default;
     virtual void noteAnswered(Timestamp now) = 0;
-    /// Spends one retry if the budget holds one.
+    /// Spends one retry; returns false if the balance is less than one.
     [[nodiscard]] virtual bool trySpend(Timestamp now) = 0;
 };
 
 struct RetryBudgetOptions {
     double retriesPerAnswer = 0.1;
-    double largestBalance = 100; ///< Retries that can be saved up.
+    double maxBalance = 100; ///< Maximum number of retries saved up.
     double initialBalance = 10;
 };
 
--- a/src/steering/isteering.h
+++ b/src/steering/isteering.h
@@ -16,56 +16,58 @@
 
 namespace saltvane::steering {
 
-/// What the host may send now, by its credits and link limits.
+/// Which requests the host may send now, given its credits and the link limits.
 class ICreditView {
 public:
     virtual ~ICreditView() = default;
-    /// A request of the service can be sent to an owner of the zone now.
+    /// True if a request of the service can be sent to an owner in the zone now.
     [[nodiscard]] virtual bool hasCredit(ServiceIndex service, ZoneIndex zone) const = 0;
 };
 
 /// Chooses the zone of each request and moves the route rows within the shift cap.
-/// Pure state machine; two instances fed alike answer alike. docs/design/0003-steering.md
+/// A deterministic state machine: instances with the same seed and the same calls give the same results.
+/// docs/design/0003-steering.md
 class ISteering {
 public:
     virtual ~ISteering() = default;
 
-    /// Takes a bundle into force. Rows start where they are and move within the cap; before the first request
-    /// under the first bundle they are placed freely.
+    /// Puts a bundle in force. Rows keep their current shares and move to the new plan within the cap. Before the
+    /// first request of a service its rows take the planned shares at once.
     virtual void install(model::DeploymentPtr deployment, Timestamp now) = 0;
-    /// Rows of a peer, adopted once by a starting host, before its first request.
+    /// Adopts the rows of a peer. A starting host does this once, before its first request.
     virtual void adoptRows(std::span<const model::RouteRow> rows, Timestamp now) = 0;
-    /// Other hosts steer requests of the service: as after a first request here, its rows move only within the cap from
-    /// now on. Nothing happens while no open zone has room.
+    /// Marks the service as steered by other hosts: from now on its rows move only within the cap, as after a first
+    /// request at this host. Has no effect while no open zone has capacity.
     virtual void noteServedElsewhere(ServiceIndex /*service*/, Timestamp /*now*/) { }
-    /// Replaces what is known of room and demand.
+    /// Replaces the known capacity of all zones and the known demand of all client regions.
     virtual void update(std::span<const ZoneRoom> rooms, std::span<const RegionDemand> demands, Timestamp now) = 0;
-    /// While frozen (the host is cut off from control) planned shifts stand still; only failures move rows.
+    /// While frozen (the host is cut off from control) planned shifts are paused; rows move only out of failed zones.
     virtual void setFrozen(bool isFrozen, Timestamp now) = 0;
     virtual void tick(Timestamp now) = 0;
 
     [[nodiscard]] virtual Result<Choice, Refusal> choose(
         const ChoiceQuery& query, const ICreditView& credits, Timestamp now)
         = 0;
-    /// Zones to name in a look-up, best first; only zones whose share is over 0 or, where none is, by delay.
+    /// Zones to return in a look-up, best first: those with a share above 0 in the client region's row or, if there are
+    /// none, all zones by delay.
     [[nodiscard]] virtual std::vector<ZoneIndex> entryZones(ServiceIndex service, RegionIndex clientRegion) const = 0;
-    /// How long a look-up answer may be kept now: shorter while the service shifts.
+    /// How long a look-up answer may be cached; shorter while the service shifts.
     [[nodiscard]] virtual Duration entryTtl(ServiceIndex service) const = 0;
     [[nodiscard]] virtual std::vector<model::RouteRow> rows() const = 0;
-    /// Only the rows of services that have steered a request or were adopted: what a starting host may join. The others
-    /// may still be placed freely.
+    /// The rows that a starting host may adopt: those of services that have steered a request or whose rows were
+    /// adopted. Rows of other services can still take the planned shares at once.
     [[nodiscard]] virtual std::vector<model::RouteRow> servedRows() const { return rows(); }
-    /// How far the service's shift is done, 0 to 1; 1 when rows stand where the plan wants them.
+    /// Progress of the service's shift, 0 to 1; 1 when all rows have reached the plan.
     [[nodiscard]] virtual double shiftProgress(ServiceIndex service) const = 0;
-    /// Concurrency each client region offered at this host lately, for the heartbeat.
+    /// Recent concurrency offered at this host by each client region, for the heartbeat.
     [[nodiscard]] virtual std::vector<RegionDemand> ownDemand() const = 0;
-    /// Feeds ownDemand: a request of the region ended after this time in flight.
+    /// Records a completed request of the client region and its time in flight, for ownDemand().
     virtual void noteRequestEnded(ServiceIndex service, RegionIndex clientRegion, Duration inFlight, Timestamp now) = 0;
 };
 
 struct SteeringOptions {
     RegionIndex ownRegion;
-    uint64_t seed = 1; ///< Starts the low-discrepancy sequences.
+    uint64_t seed = 1; ///< Of the start points of the low-discrepancy sequences.
     model::Counters* counters = nullptr; ///< Must outlive the steering.
 };
 
--- a/src/steering/itargetpool.h
+++ b/src/steering/itargetpool.h
@@ -15,28 +15,29 @@
 
 namespace saltvane::steering {
 
-/// The targets this host owns: exact slot counts, slow start, ejection, choice. docs/design/0004-target-pool.md
+/// The targets this host owns: counts slots in use, limits cold targets, ejects failing ones and selects the target of
+/// each request. docs/design/0004-target-pool.md
 class ITargetPool {
 public:
     virtual ~ITargetPool() = default;
 
-    /// Adds a target or updates it. An older incarnation is ignored; a newer one starts cold with nothing in flight
-    /// of its own, while slots of the older one's requests stay counted until they are released.
+    /// Adds or updates a target. An older incarnation is ignored. A newer one starts cold and without requests of its
+    /// own; slots used by requests on the older incarnation stay counted until they are released.
     virtual void upsert(const PoolTarget& target, Timestamp now) = 0;
-    /// No new work for it; requests in flight on it are still released by release().
+    /// Stops new work for the target. Requests in flight on it are still released by release().
     virtual void remove(const TargetId& target, Timestamp now) = 0;
 
     struct Slot {
         TargetId target;
         Incarnation incarnation;
         model::Address address;
-        bool isTrial = false; ///< The one request that tests a return.
+        bool isTrial = false; ///< The single request that tests an ejected target.
     };
-    /// Takes a slot of the best usable target outside `excluded`; none where no usable slot is free.
+    /// Takes a slot of the best usable target that is not in `excluded`; nullopt if no usable slot is free.
     [[nodiscard]] virtual std::optional<Slot> acquire(
         const ServiceName& service, std::span<const TargetId> excluded, Timestamp now)
         = 0;
-    /// Gives the slot back, exactly once per acquire.
+    /// Releases the slot; must be called exactly once per acquired slot.
     virtual void release(const Slot& slot, DispatchResult result, Duration latency, Timestamp now) = 0;
 
     [[nodiscard]] virtual std::vector<PoolRoom> rooms() const = 0;
@@ -47,10 +48,10 @@
 };
 
 struct TargetPoolOptions {
-    uint32_t coldConcurrencyLimit = 1;
-    uint32_t failuresToEject = 5; ///< In a row.
-    Duration ejectionTime = 5s; ///< Doubles per ejection in a row, up to a minute.
-    double largestEjectedShare = 0.5; ///< Of a service's targets here.
+    uint32_t initialConcurrencyLimit = 1;
+    uint32_t failuresToEject = 5; ///< Consecutive failures.
+    Duration ejectionTime = 5s; ///< Doubled for each consecutive ejection, up to a minute.
+    double maxEjectedFraction = 0.5; ///< Of a service's targets at this host.
     uint64_t seed = 1;
     model::Counters* counters = nullptr;
 };
--- a/src/steering/iwaitqueue.h
+++ b/src/steering/iwaitqueue.h
@@ -16,10 +16,10 @@
 
 namespace saltvane::steering {
 
-/// Names a waiting request for its owner.
+/// Identifies a waiting request; chosen by the caller.
 using WaiterId = uint64_t;
 
-/// Order in which waiting requests get a free slot.
+/// Order in which waiting requests get free slots.
 enum class QueueOrder { Fifo, LifoUnderOverload, EarliestDeadline };
 
 struct Dropped {
@@ -27,16 +27,17 @@
     model::Reason reason = model::Reason::QueueTimeout;
 };
 
-/// The bounded queue of one service at an owner. Drops at once what can no longer meet its deadline.
+/// The bounded queue of one service at an owner host. Drops requests as soon as they can no longer meet their deadline.
 class IWaitQueue {
 public:
     virtual ~IWaitQueue() = default;
-    /// False when full even after dropping hopeless waiters; the caller refuses with QueueFull.
+    /// Returns false if the queue is full even after dropping the waiters that can no longer meet their deadline; the
+    /// caller then refuses the request with QueueFull.
     [[nodiscard]] virtual bool push(WaiterId waiter, Timestamp deadline, Timestamp now) = 0;
-    /// The next waiter that can still meet its deadline, given the expected service time.
+    /// Removes and returns the next waiter that can still meet its deadline, given the expected service time.
     [[nodiscard]] virtual std::optional<WaiterId> pop(Duration expectedServiceTime, Timestamp now) = 0;
     virtual bool erase(WaiterId waiter) = 0;
-    /// Waiters dropped since the last call, in order.
+    /// Returns the waiters dropped since the last call, in order.
     [[nodiscard]] virtual std::vector<Dropped> takeDropped() = 0;
     virtual void tick(Duration expectedServiceTime, Timestamp now) = 0;
     [[nodiscard]] virtual size_t size() const = 0;
--- a/src/steering/steeringtypes.h
+++ b/src/steering/steeringtypes.h
@@ -18,17 +18,18 @@
 
 namespace saltvane::steering {
 
-/// Room of one zone for one service, summed over its live owners. Absent means none.
+/// Usable capacity of one zone for one service, summed over the live owner hosts in the zone. A zone without an entry
+/// has none.
 struct ZoneRoom {
     ServiceIndex service;
     ZoneIndex zone;
-    uint32_t room = 0;
+    uint32_t room = 0; ///< Requests in flight that the owners accept, those already running included.
     uint32_t inFlight = 0;
     uint32_t queued = 0;
     Duration queueDelay {};
 };
 
-/// Offered concurrency of one client region for a service, summed over all live hosts.
+/// Concurrency that one client region offers to a service, summed over all live hosts.
 struct RegionDemand {
     ServiceIndex service;
     RegionIndex clientRegion;
@@ -38,26 +39,26 @@
 struct ChoiceQuery {
     ServiceIndex service;
     RegionIndex clientRegion;
-    std::span<const ZoneIndex> excludedZones; ///< Tried before by this request.
-    bool isRetry = false; ///< A second choice spends the movement allowance when it leaves the row's zone.
-    /// What the row gave this request when it was asked for before (Choice, Refusal). Without it a request that asks
-    /// again would be drawn and counted again, and so leave a zone without credit past the shift cap.
+    std::span<const ZoneIndex> excludedZones; ///< Already tried by this request.
+    bool isRetry = false; ///< A retry outside the row's zone counts as a diversion against the cap.
+    /// The row's zone from an earlier call for the same request (Choice, Refusal). Without it each further call would
+    /// draw a zone and count a request again, so that requests could leave a zone without credit beyond the shift cap.
     std::optional<ZoneIndex> rowZone;
 };
 
 struct Choice {
     ZoneIndex zone;
-    bool isDiverted = false; ///< Not where the row would have sent it.
-    std::optional<ZoneIndex> rowZone; ///< Where the row sends it.
+    bool isDiverted = false; ///< The zone is not the row's zone.
+    std::optional<ZoneIndex> rowZone; ///< The zone that the row gives.
 };
 
 struct Refusal {
     model::Reason reason = model::Reason::NoRoom;
     Duration retryAfter {};
-    std::optional<ZoneIndex> rowZone; ///< Where the row sends it; for the query that asks again.
+    std::optional<ZoneIndex> rowZone; ///< The zone that the row gives; passed on in the next query for this request.
 };
 
-/// A target that this host owns, as the pool needs it.
+/// The announced state of a target that this host owns, as the pool needs it.
 struct PoolTarget {
     TargetId target;
     Incarnation incarnation;
@@ -66,33 +67,34 @@
     uint32_t slots = 0;
     uint32_t connections = 0;
     bool isLeaving = false;
-    /// Slots the target itself reports busy by others than this owner; lowers room, never raises it.
+    /// Slots that the target reports as used by others than this owner; can only lower the usable capacity.
     uint32_t reportedBusyElsewhere = 0;
-    /// Requests of the previous owner still running on it.
+    /// Requests of the previous owner that still run on the target.
     uint32_t foreignInFlight = 0;
-    /// Where the slow start stands; 0 begins cold.
+    /// Concurrency limit reached by slow start so far; 0 starts cold.
     uint32_t concurrencyLimit = 0;
 };
 
-/// How one dispatch on a target ended, as evidence about the target.
+/// Outcome of one dispatch to a target.
 enum class DispatchResult { Answered, Shed, Failed, Cancelled };
 
+/// Usable capacity of the pool for one service.
 struct PoolRoom {
     ServiceName service;
     uint32_t targets = 0;
-    uint32_t slots = 0; ///< Of targets that may get new work.
-    uint32_t room = 0; ///< Slots usable now: limits, ejections and reports applied; in-flight ones included.
+    uint32_t slots = 0; ///< Of targets that accept new work.
+    uint32_t room = 0; ///< Slots usable now, after limits, ejections and reports, those in use included.
     uint32_t inFlight = 0;
 };
 
-/// One target, for status pages and hand-over.
+/// State of one target, for status pages and hand-over.
 struct PoolTargetStatus {
     TargetId target;
     Incarnation incarnation;
     uint32_t inFlight = 0;
     uint32_t concurrencyLimit = 0;
     bool isEjected = false;
-    Duration latency {}; ///< Own observation, smoothed.
+    Duration latency {}; ///< As observed by this host, smoothed.
 };
 
 } // namespace saltvane::steering
--- a/src/steering/tests/choicetests.cpp
+++ b/src/steering/tests/choicetests.cpp
@@ -12,10 +12,10 @@
 
 class ChoiceTest : public SteeringFixture {
 protected:
-    /// Requests over one window, so that diversions have something to be a fraction of.
-    void offer(size_t requests)
+    /// Sends requests that are answered within their row, since diversions are limited to a fraction of the requests.
+    void offerRequests(size_t requests)
     {
-        for (size_t at = 0; at < requests; ++at) {
+        for (size_t request = 0; request < requests; ++request) {
             now_ += 1ms;
             ASSERT_TRUE(choose().isOk());
         }
@@ -28,7 +28,7 @@
     demands_ = {240, 20, 20};
     steering_ = makeSteering({.seed = 3});
     steering_->install(deploy(smallBundle()), now_);
-    report();
+    sendUpdate();
     std::array<double, ZoneCount> counts {};
     const std::array names {"a1", "a2", "b1", "b2", "c1", "c2"};
     for (int request = 1; request <= 5000; ++request) {
@@ -40,7 +40,7 @@
     }
 }
 
-TEST_F(ChoiceTest, TwoInstancesFedAlikeAnswerAlike)
+TEST_F(ChoiceTest, InstancesWithEqualInputChooseEqualZones)
 {
     start();
     auto other = makeSteering({.ownRegion = RegionA, .seed = 7});
@@ -68,11 +68,11 @@
     EXPECT_EQ(choice.error().reason, model::Reason::UnknownService);
 }
 
-TEST_F(ChoiceTest, WithoutCreditTheNearestOtherZoneIsTakenAndCounted)
+TEST_F(ChoiceTest, WithoutCreditTheNearestOtherZoneIsChosenAndCountedAsDiversion)
 {
     start();
-    offer(1000);
-    credits_.take(A1);
+    offerRequests(1000);
+    credits_.removeCredit(A1);
     int diverted = 0;
     for (int request = 0; request < 20; ++request) {
         const auto choice = choose();
@@ -87,21 +87,21 @@
 TEST_F(ChoiceTest, ZonesOutsideTheRowTakeDiversionsWhenTheRowsZonesAreFull)
 {
     start();
-    offer(1000);
-    credits_.take(A1);
-    credits_.take(A2);
+    offerRequests(1000);
+    credits_.removeCredit(A1);
+    credits_.removeCredit(A2);
     const auto choice = choose();
     ASSERT_TRUE(choice.isOk());
     EXPECT_TRUE(choice.value().isDiverted);
     EXPECT_GE(choice.value().zone.value, B1.value);
 }
 
-TEST_F(ChoiceTest, DiversionsEndAtTheCapWithItsReasonAndARetryAfter)
+TEST_F(ChoiceTest, DiversionsStopAtTheCapWithItsReasonAndARetryAfter)
 {
     start();
-    offer(1000);
-    credits_.take(A1);
-    credits_.take(A2);
+    offerRequests(1000);
+    credits_.removeCredit(A1);
+    credits_.removeCredit(A2);
     int answered = 0;
     auto choice = choose();
     for (; choice.isOk(); choice = choose())
@@ -113,18 +113,18 @@
     EXPECT_LE(choice.error().retryAfter, 10s);
 }
 
-TEST_F(ChoiceTest, WithoutAnyCreditThereIsNoRoom)
+TEST_F(ChoiceTest, WithoutAnyCreditTheRefusalIsNoRoom)
 {
     start();
     for (uint32_t zone = 0; zone < ZoneCount; ++zone)
-        credits_.take({zone});
+        credits_.removeCredit({zone});
     const auto choice = choose();
     ASSERT_FALSE(choice.isOk());
     EXPECT_EQ(choice.error().reason, model::Reason::NoRoom);
     EXPECT_GT(choice.error().retryAfter, Duration::zero());
 }
 
-TEST_F(ChoiceTest, WithEveryZoneClosedTheServiceIsClosed)
+TEST_F(ChoiceTest, WithEveryZoneClosedTheRefusalIsZoneClosed)
 {
     auto bundle = smallBundle();
     for (const char* zone : {"a1", "a2", "b1", "b2", "c1", "c2"})
@@ -135,10 +135,10 @@
     EXPECT_EQ(choice.error().reason, model::Reason::ZoneClosed);
 }
 
-TEST_F(ChoiceTest, ASecondChoiceThatLeavesTheZoneSpendsTheAllowance)
+TEST_F(ChoiceTest, ARetryThatLeavesTheZoneCountsAsDiversion)
 {
     start();
-    offer(1000);
+    offerRequests(1000);
     const std::array excluded {A1};
     const ChoiceQuery query {.service = Pricing, .clientRegion = RegionA, .excludedZones = excluded, .isRetry = true};
     const auto choice = steering_->choose(query, credits_, now_);
@@ -147,24 +147,25 @@
     EXPECT_TRUE(choice.value().isDiverted);
 }
 
-TEST_F(ChoiceTest, AskingAgainNeitherLeavesTheRowsZoneNorCountsAsAnotherRequest)
+TEST_F(ChoiceTest, RepeatedQueriesNeitherLeaveTheRowsZoneNorCountAsNewRequests)
 {
     start();
-    offer(1000);
-    credits_.take(A1);
+    offerRequests(1000);
+    credits_.removeCredit(A1);
     int answered = 0;
     for (int request = 0; request < 1000; ++request) {
         now_ += 1ms;
         auto choice = choose();
-        for (int again = 0; again < 20 && !choice.isOk(); ++again) {
+        for (int repetition = 0; repetition < 20 && !choice.isOk(); ++repetition) {
             const ChoiceQuery query {.service = Pricing, .clientRegion = RegionA, .rowZone = choice.error().rowZone};
             choice = steering_->choose(query, credits_, now_);
         }
         answered += choice.isOk() ? 1 : 0;
     }
-    EXPECT_LE(answered, 702) << "500 by their row and at most a tenth of the window's 2000 requests";
+    EXPECT_LE(answered, 702)
+        << "500 in the row's zone and diversions of at most a tenth of the 2000 requests in the window";
     EXPECT_GE(answered, 600);
-    credits_.give(A1);
+    credits_.restoreCredit(A1);
     const ChoiceQuery query {.service = Pricing, .clientRegion = RegionA, .rowZone = A1};
     EXPECT_EQ(steering_->choose(query, credits_, now_).value().zone, A1);
 }
@@ -172,7 +173,7 @@
 TEST_F(ChoiceTest, ARetryGoesToTheRowsZoneFirst)
 {
     start();
-    offer(1000);
+    offerRequests(1000);
     for (const auto zone : {A1, A2}) {
         const ChoiceQuery query {.service = Pricing, .clientRegion = RegionA, .isRetry = true, .rowZone = zone};
         const auto choice = steering_->choose(query, credits_, now_);
@@ -187,8 +188,8 @@
     auto bundle = smallBundle();
     setOpen(bundle, "a2", 0);
     start(bundle);
-    offer(1000);
-    credits_.take(A1);
+    offerRequests(1000);
+    credits_.removeCredit(A1);
     for (int request = 0; request < 20; ++request) {
         const auto choice = choose();
         ASSERT_TRUE(choice.isOk());
@@ -196,11 +197,11 @@
     }
 }
 
-TEST_F(ChoiceTest, AFewRequestsAreTooFewToDivertOne)
+TEST_F(ChoiceTest, NoRequestIsDivertedBeforeEnoughWereOffered)
 {
     start();
-    credits_.take(A1);
-    credits_.take(A2);
+    credits_.removeCredit(A1);
+    credits_.removeCredit(A2);
     const auto choice = choose();
     ASSERT_FALSE(choice.isOk());
     EXPECT_EQ(choice.error().reason, model::Reason::ShiftCapReached);
--- a/src/steering/tests/movementrecorder.h
+++ b/src/steering/tests/movementrecorder.h
@@ -15,40 +15,41 @@
 
 namespace saltvane::steering {
 
-/// Records what moved and checks every window by adding it up again, independent of the code under test.
+/// Records row movement and diversions, and sums them over every window independently of the code under test.
 class MovementRecorder {
 public:
-    /// Rows as they stand now; the row that moved most counts.
-    void noteRows(const std::vector<model::RouteRow>& rows, Timestamp now)
+    /// Records the current rows. The movement is that of the row that moved most.
+    void recordRows(const std::vector<model::RouteRow>& rows, Timestamp now)
     {
         double largest = 0;
-        for (size_t at = 0; at < rows.size() && at < last_.size(); ++at)
-            largest = std::max(largest, movement(last_[at], rows[at]));
+        for (size_t index = 0; index < rows.size() && index < last_.size(); ++index)
+            largest = std::max(largest, movement(last_[index], rows[index]));
         last_ = rows;
         if (largest > 0)
             events_.push_back({.at = now, .moved = largest});
     }
-    void noteRequest(bool isDiverted, Timestamp now)
+    void recordRequest(bool isDiverted, Timestamp now)
     {
         events_.push_back({.at = now, .requests = 1, .diverted = isDiverted ? 1.0 : 0.0});
     }
 
-    /// Largest movement of any closed window: rows moved plus diverted requests as a fraction of the window's. Looks at
-    /// the window that begins at each event; one that begins between two events holds no more.
-    [[nodiscard]] double worst(Duration window) const
+    /// Maximum over all closed windows of the row movement plus the diverted requests as a fraction of the requests in
+    /// the window. Only windows that start at an event are examined; one that starts between two events contains no
+    /// more.
+    [[nodiscard]] double maxMovement(Duration window) const
     {
-        double worst = 0;
+        double max = 0;
         Event sum;
         size_t end = 0;
         for (const auto& first : events_) {
             for (; end < events_.size() && events_[end].at <= first.at + window; ++end)
                 sum.add(events_[end], 1);
-            // A window cut short by the end of the record holds too few requests to judge.
+            // A window that extends past the last event has too few requests for a meaningful fraction.
             const bool isWhole = first.at + window <= events_.back().at;
-            worst = std::max(worst, sum.moved + (sum.diverted > 0 && isWhole ? sum.diverted / sum.requests : 0));
+            max = std::max(max, sum.moved + (sum.diverted > 0 && isWhole ? sum.diverted / sum.requests : 0));
             sum.add(first, -1);
         }
-        return worst;
+        return max;
     }
 
 private:
@@ -71,13 +72,13 @@
         std::map<ZoneName, double> change;
         double fromSum = 0;
         double toSum = 0;
-        for (size_t at = 0; at < from.zones.size(); ++at) {
-            change[from.zones[at]] -= from.shares[at];
-            fromSum += from.shares[at];
+        for (size_t index = 0; index < from.zones.size(); ++index) {
+            change[from.zones[index]] -= from.shares[index];
+            fromSum += from.shares[index];
         }
-        for (size_t at = 0; at < to.zones.size(); ++at) {
-            change[to.zones[at]] += to.shares[at];
-            toSum += to.shares[at];
+        for (size_t index = 0; index < to.zones.size(); ++index) {
+            change[to.zones[index]] += to.shares[index];
+            toSum += to.shares[index];
         }
         double sum = std::abs(toSum - fromSum);
         for (const auto& [zone, amount] : change)
--- a/src/steering/tests/retrybudgettests.cpp
+++ b/src/steering/tests/retrybudgettests.cpp
@@ -20,7 +20,7 @@
     return spent;
 }
 
-TEST(RetryBudgetTest, BeginsWithItsInitialBalance)
+TEST(RetryBudgetTest, StartsWithItsInitialBalance)
 {
     const auto budget = makeRetryBudget({.initialBalance = 3});
     EXPECT_EQ(spendAll(*budget), 3);
@@ -36,17 +36,17 @@
     EXPECT_EQ(spendAll(*budget), 1);
 }
 
-TEST(RetryBudgetTest, SavesUpOnlyToItsLargestBalance)
+TEST(RetryBudgetTest, SavesUpToTheMaximumBalance)
 {
-    const auto budget = makeRetryBudget({.retriesPerAnswer = 0.5, .largestBalance = 5, .initialBalance = 0});
+    const auto budget = makeRetryBudget({.retriesPerAnswer = 0.5, .maxBalance = 5, .initialBalance = 0});
     for (int answer = 0; answer < 1000; ++answer)
         budget->noteAnswered(Now);
     EXPECT_EQ(spendAll(*budget), 5);
 }
 
-TEST(RetryBudgetTest, InitialBalanceKeepsBelowTheLargest)
+TEST(RetryBudgetTest, InitialBalanceIsLimitedToTheMaximum)
 {
-    const auto budget = makeRetryBudget({.largestBalance = 2, .initialBalance = 10});
+    const auto budget = makeRetryBudget({.maxBalance = 2, .initialBalance = 10});
     EXPECT_EQ(spendAll(*budget), 2);
 }
 
--- a/src/steering/tests/steeringfixture.h
+++ b/src/steering/tests/steeringfixture.h
@@ -15,18 +15,18 @@
 
 namespace saltvane::steering {
 
-/// Credits as a test sets them: everywhere unless taken away.
+/// Grants credit in every zone except those that a test has excluded.
 class FakeCreditView : public ICreditView {
 public:
     [[nodiscard]] bool hasCredit(ServiceIndex /*service*/, ZoneIndex zone) const override
     {
-        return !without_.contains(zone.value);
+        return !zonesWithoutCredit_.contains(zone.value);
     }
-    void take(ZoneIndex zone) { without_.insert(zone.value); }
-    void give(ZoneIndex zone) { without_.erase(zone.value); }
+    void removeCredit(ZoneIndex zone) { zonesWithoutCredit_.insert(zone.value); }
+    void restoreCredit(ZoneIndex zone) { zonesWithoutCredit_.erase(zone.value); }
 
 private:
-    std::set<uint32_t> without_;
+    std::set<uint32_t> zonesWithoutCredit_;
 };
 
 /// Three regions a, b and c with two zones each (a1, a2 ...) and one service.
@@ -74,10 +74,10 @@
 constexpr ZoneIndex B1 {2};
 constexpr uint32_t ZoneCount = 6;
 
-/// Steering under the small bundle, with what it is told each tick.
+/// Steering with the small bundle, and the capacities and demands that sendUpdate() passes to it.
 class SteeringFixture : public ::testing::Test {
 protected:
-    static constexpr Duration TickLength = 20ms;
+    static constexpr Duration TickInterval = 20ms;
 
     void start(model::Bundle bundle = smallBundle())
     {
@@ -85,10 +85,10 @@
         steering_->install(deploy(std::move(bundle)), now_);
         rooms_.assign(ZoneCount, 100);
         demands_ = {60, 60, 60};
-        report();
+        sendUpdate();
     }
 
-    void report()
+    void sendUpdate()
     {
         std::vector<ZoneRoom> rooms;
         for (uint32_t zone = 0; zone < rooms_.size(); ++zone) {
@@ -103,11 +103,11 @@
 
     void tick()
     {
-        now_ += TickLength;
+        now_ += TickInterval;
         steering_->tick(now_);
     }
 
-    void run(Duration length)
+    void runFor(Duration length)
     {
         for (const auto end = now_ + length; now_ < end;)
             tick();
@@ -118,13 +118,13 @@
         return steering_->choose({.service = Pricing, .clientRegion = region}, credits_, now_);
     }
 
-    /// Share of a zone in a client region's row; row 0 is region a's.
+    /// Share of a zone in the row of a client region.
     double share(RegionIndex region, const char* zone) const
     {
         const auto row = steering_->rows()[region.value];
-        for (size_t at = 0; at < row.zones.size(); ++at) {
-            if (row.zones[at] == ZoneName(zone))
-                return row.shares[at];
+        for (size_t index = 0; index < row.zones.size(); ++index) {
+            if (row.zones[index] == ZoneName(zone))
+                return row.shares[index];
         }
         return 0;
     }
--- a/src/steering/tests/targetpooltests.cpp
+++ b/src/steering/tests/targetpooltests.cpp
@@ -14,18 +14,18 @@
 namespace saltvane::steering {
 namespace {
 
-const ServiceName Desk("desk");
+const ServiceName Service("desk");
 
 class TargetPoolTest : public ::testing::Test {
 protected:
-    static PoolTarget target(const char* id, uint32_t slots = 9, uint64_t incarnation = 1)
+    static PoolTarget coldTarget(const char* id, uint32_t slots = 9, uint64_t incarnation = 1)
     {
-        return {.target = TargetId(id), .incarnation = {incarnation}, .service = Desk, .slots = slots};
+        return {.target = TargetId(id), .incarnation = {incarnation}, .service = Service, .slots = slots};
     }
 
-    static PoolTarget warm(const char* id, uint32_t slots = 9, uint64_t incarnation = 1)
+    static PoolTarget warmTarget(const char* id, uint32_t slots = 9, uint64_t incarnation = 1)
     {
-        auto result = target(id, slots, incarnation);
+        auto result = coldTarget(id, slots, incarnation);
         result.concurrencyLimit = slots;
         return result;
     }
@@ -38,7 +38,7 @@
 
     std::optional<ITargetPool::Slot> acquire(std::vector<TargetId> excluded = {})
     {
-        return pool_->acquire(Desk, excluded, now_);
+        return pool_->acquire(Service, excluded, now_);
     }
 
     void finish(const ITargetPool::Slot& slot, DispatchResult result, Duration latency = 10ms)
@@ -70,12 +70,12 @@
     std::unique_ptr<ITargetPool> pool_ = makeTargetPool({});
 };
 
-TEST_F(TargetPoolTest, SlotsAreExact)
+TEST_F(TargetPoolTest, SlotsInUseAreCountedExactly)
 {
-    pool_->upsert(warm("t1", 3), now_);
-    pool_->upsert(warm("t2", 3), now_);
+    pool_->upsert(warmTarget("t1", 3), now_);
+    pool_->upsert(warmTarget("t2", 3), now_);
     EXPECT_EQ(acquireAll(), 6u);
-    EXPECT_EQ(pool_->room(Desk).inFlight, 6u);
+    EXPECT_EQ(pool_->room(Service).inFlight, 6u);
 }
 
 TEST_F(TargetPoolTest, AnUnknownServiceHasNoSlot)
@@ -84,10 +84,10 @@
     EXPECT_EQ(pool_->room(ServiceName("other")).room, 0u);
 }
 
-TEST_F(TargetPoolTest, ColdTargetBeginsWithItsLimitAndGrowsByAnswersInTime)
+TEST_F(TargetPoolTest, ColdTargetStartsWithTheInitialLimitAndGrowsByAnswersInTime)
 {
-    pool_->upsert(target("t1"), now_);
-    EXPECT_EQ(pool_->room(Desk).room, 1u);
+    pool_->upsert(coldTarget("t1"), now_);
+    EXPECT_EQ(pool_->room(Service).room, 1u);
     for (int answer = 0; answer < 60; ++answer) {
         const auto slot = acquire();
         const auto second = acquire();
@@ -97,13 +97,13 @@
             finish(*second, DispatchResult::Answered);
     }
     EXPECT_GT(pool_->find(TargetId("t1"))->concurrencyLimit, 2u);
-    EXPECT_LT(pool_->find(TargetId("t1"))->concurrencyLimit, 9u) << "a limit that is not used does not grow";
+    EXPECT_LT(pool_->find(TargetId("t1"))->concurrencyLimit, 9u) << "an unused limit does not grow";
 }
 
-TEST_F(TargetPoolTest, AnswersOutOfTimeGrowTheLimitSlower)
+TEST_F(TargetPoolTest, LateAnswersGrowTheLimitMoreSlowly)
 {
-    pool_->upsert(warm("warm"), now_);
-    pool_->upsert(target("cold"), now_);
+    pool_->upsert(warmTarget("warm"), now_);
+    pool_->upsert(coldTarget("cold"), now_);
     for (int round = 0; round < 20; ++round) {
         const auto fromWarm = acquire({TargetId("cold")});
         finish(*fromWarm, DispatchResult::Answered, 10ms);
@@ -115,17 +115,17 @@
 
 TEST_F(TargetPoolTest, SheddingShrinksTheLimit)
 {
-    pool_->upsert(warm("t1"), now_);
+    pool_->upsert(warmTarget("t1"), now_);
     const auto slot = acquire();
     finish(*slot, DispatchResult::Shed);
     EXPECT_LT(pool_->find(TargetId("t1"))->concurrencyLimit, 9u);
     EXPECT_GE(pool_->find(TargetId("t1"))->concurrencyLimit, 1u);
 }
 
-TEST_F(TargetPoolTest, LeastLoadedByLatencyIsTaken)
+TEST_F(TargetPoolTest, TargetWithTheLeastLoadAndLatencyIsSelected)
 {
-    pool_->upsert(warm("fast"), now_);
-    pool_->upsert(warm("slow"), now_);
+    pool_->upsert(warmTarget("fast"), now_);
+    pool_->upsert(warmTarget("slow"), now_);
     for (int round = 0; round < 10; ++round) {
         finish(*acquire({TargetId("slow")}), DispatchResult::Answered, 5ms);
         finish(*acquire({TargetId("fast")}), DispatchResult::Answered, 20ms);
@@ -142,7 +142,7 @@
     const auto sequence = [this](uint64_t seed) {
         makePool({.seed = seed});
         for (const char* id : {"t1", "t2", "t3", "t4"})
-            pool_->upsert(warm(id), now_);
+            pool_->upsert(warmTarget(id), now_);
         std::string result;
         for (int request = 0; request < 12; ++request)
             result += acquire()->target.value();
@@ -152,17 +152,17 @@
     EXPECT_NE(sequence(1), sequence(2));
 }
 
-TEST_F(TargetPoolTest, AReportOfAlwaysFullLeavesOneSlot)
+TEST_F(TargetPoolTest, AReportOfAFullTargetLeavesOneSlotUsable)
 {
-    auto lying = warm("t1");
-    lying.reportedBusyElsewhere = 9;
-    pool_->upsert(lying, now_);
+    auto misreporting = warmTarget("t1");
+    misreporting.reportedBusyElsewhere = 9;
+    pool_->upsert(misreporting, now_);
     EXPECT_EQ(acquireAll(), 1u);
 }
 
-TEST_F(TargetPoolTest, AReportOfAlwaysFullIsBelievedAfterAShed)
+TEST_F(TargetPoolTest, AReportOfAFullTargetIsTrustedAfterAShed)
 {
-    auto full = warm("t1");
+    auto full = warmTarget("t1");
     full.reportedBusyElsewhere = 9;
     pool_->upsert(full, now_);
     finish(*acquire(), DispatchResult::Shed);
@@ -171,19 +171,19 @@
     EXPECT_EQ(acquireAll(), 1u);
 }
 
-TEST_F(TargetPoolTest, AReportOfAlwaysIdleRaisesNothing)
+TEST_F(TargetPoolTest, AReportOfAnIdleTargetAddsNoCapacity)
 {
-    pool_->upsert(warm("t1", 3), now_);
+    pool_->upsert(warmTarget("t1", 3), now_);
     EXPECT_EQ(acquireAll(), 3u);
-    auto idle = warm("t1", 3);
+    auto idle = warmTarget("t1", 3);
     idle.reportedBusyElsewhere = 0;
     pool_->upsert(idle, now_);
     EXPECT_EQ(acquireAll(), 0u);
 }
 
-TEST_F(TargetPoolTest, RequestsOfThePreviousOwnerTakeTheirSlots)
+TEST_F(TargetPoolTest, RequestsOfThePreviousOwnerUseSlots)
 {
-    auto handedOver = warm("t1", 3);
+    auto handedOver = warmTarget("t1", 3);
     handedOver.foreignInFlight = 3;
     pool_->upsert(handedOver, now_);
     EXPECT_EQ(acquireAll(), 0u);
@@ -192,12 +192,12 @@
     EXPECT_EQ(acquireAll(), 2u);
 }
 
-TEST_F(TargetPoolTest, FewerSlotsAnnouncedHoldAtOnce)
+TEST_F(TargetPoolTest, AReducedSlotCountAppliesAtOnce)
 {
-    pool_->upsert(warm("t1", 9), now_);
+    pool_->upsert(warmTarget("t1", 9), now_);
     const auto first = acquire();
     const auto second = acquire();
-    pool_->upsert(warm("t1", 2), now_);
+    pool_->upsert(warmTarget("t1", 2), now_);
     EXPECT_FALSE(acquire());
     finish(*first, DispatchResult::Answered);
     finish(*second, DispatchResult::Answered);
@@ -206,27 +206,27 @@
 
 TEST_F(TargetPoolTest, ALeavingTargetGetsNoNewWork)
 {
-    pool_->upsert(warm("t1"), now_);
+    pool_->upsert(warmTarget("t1"), now_);
     const auto slot = acquire();
-    auto leaving = warm("t1");
+    auto leaving = warmTarget("t1");
     leaving.isLeaving = true;
     pool_->upsert(leaving, now_);
     EXPECT_FALSE(acquire());
-    EXPECT_EQ(pool_->room(Desk).room, 0u);
-    EXPECT_EQ(pool_->room(Desk).inFlight, 1u);
+    EXPECT_EQ(pool_->room(Service).room, 0u);
+    EXPECT_EQ(pool_->room(Service).inFlight, 1u);
     finish(*slot, DispatchResult::Answered);
-    EXPECT_EQ(pool_->room(Desk).inFlight, 0u);
+    EXPECT_EQ(pool_->room(Service).inFlight, 0u);
 }
 
-TEST_F(TargetPoolTest, ARemovedTargetIsKeptUntilItsRequestsEnd)
+TEST_F(TargetPoolTest, ARemovedTargetIsKeptUntilItsRequestsComplete)
 {
-    pool_->upsert(warm("t1"), now_);
+    pool_->upsert(warmTarget("t1"), now_);
     const auto slot = acquire();
     pool_->remove(TargetId("t1"), now_);
     EXPECT_FALSE(acquire());
     EXPECT_TRUE(pool_->find(TargetId("t1")));
-    pool_->upsert(warm("t1", 2), now_);
-    EXPECT_EQ(acquireAll(), 1u) << "the request from before the removal still holds its slot";
+    pool_->upsert(warmTarget("t1", 2), now_);
+    EXPECT_EQ(acquireAll(), 1u) << "the request sent before the removal still uses its slot";
     pool_->remove(TargetId("t1"), now_);
     finish(*slot, DispatchResult::Answered);
     EXPECT_TRUE(pool_->find(TargetId("t1")));
@@ -234,10 +234,10 @@
 
 TEST_F(TargetPoolTest, ANewerIncarnationStartsColdAndOldSlotsStayCounted)
 {
-    pool_->upsert(warm("t1", 3, 1), now_);
+    pool_->upsert(warmTarget("t1", 3, 1), now_);
     const auto old = acquire();
-    pool_->upsert(target("t1", 3, 2), now_);
-    EXPECT_FALSE(acquire()) << "cold limit 1 is taken by the older incarnation's request";
+    pool_->upsert(coldTarget("t1", 3, 2), now_);
+    EXPECT_FALSE(acquire()) << "the initial limit of 1 is used up by the request on the older incarnation";
     finish(*old, DispatchResult::Failed);
     const auto fresh = acquire();
     ASSERT_TRUE(fresh);
@@ -246,31 +246,31 @@
 
 TEST_F(TargetPoolTest, AStaleReleaseFreesNoSlotOfTheNewerIncarnation)
 {
-    pool_->upsert(warm("t1", 1, 1), now_);
+    pool_->upsert(warmTarget("t1", 1, 1), now_);
     const auto old = acquire();
     finish(*old, DispatchResult::Answered);
-    pool_->upsert(warm("t1", 1, 2), now_);
+    pool_->upsert(warmTarget("t1", 1, 2), now_);
     ASSERT_TRUE(acquire());
     finish(*old, DispatchResult::Answered);
     EXPECT_FALSE(acquire());
-    EXPECT_EQ(pool_->room(Desk).inFlight, 1u);
+    EXPECT_EQ(pool_->room(Service).inFlight, 1u);
 }
 
 TEST_F(TargetPoolTest, AnOlderIncarnationIsIgnored)
 {
     makePool();
-    pool_->upsert(warm("t1", 3, 2), now_);
-    pool_->upsert(warm("t1", 9, 1), now_);
+    pool_->upsert(warmTarget("t1", 3, 2), now_);
+    pool_->upsert(warmTarget("t1", 9, 1), now_);
     EXPECT_EQ(acquireAll(), 3u);
     EXPECT_EQ(counters_.value(model::Counter::StaleMessages), 1u);
 }
 
-TEST_F(TargetPoolTest, FailuresInARowEjectAndOneTrialTestsTheReturn)
+TEST_F(TargetPoolTest, ConsecutiveFailuresEjectAndASingleTrialRestores)
 {
     makePool();
-    pool_->upsert(warm("a", 9), now_);
-    pool_->upsert(target("b", 1), now_);
-    const auto held = acquire({TargetId("a")});
+    pool_->upsert(warmTarget("a", 9), now_);
+    pool_->upsert(coldTarget("b", 1), now_);
+    const auto slotOfB = acquire({TargetId("a")});
     failUntilEjected("a");
     EXPECT_TRUE(pool_->find(TargetId("a"))->isEjected);
     EXPECT_EQ(counters_.value(model::Counter::Ejections), 1u);
@@ -287,14 +287,14 @@
     now_ += 5s;
     finish(*acquire(), DispatchResult::Answered);
     EXPECT_FALSE(pool_->find(TargetId("a"))->isEjected);
-    EXPECT_EQ(pool_->find(TargetId("a"))->concurrencyLimit, 1u) << "returns cold";
-    finish(*held, DispatchResult::Answered);
+    EXPECT_EQ(pool_->find(TargetId("a"))->concurrencyLimit, 1u) << "restored with the initial limit";
+    finish(*slotOfB, DispatchResult::Answered);
 }
 
 TEST_F(TargetPoolTest, ACancelledTrialMayBeRepeated)
 {
-    pool_->upsert(warm("a", 9), now_);
-    pool_->upsert(target("b", 1), now_);
+    pool_->upsert(warmTarget("a", 9), now_);
+    pool_->upsert(coldTarget("b", 1), now_);
     ASSERT_TRUE(acquire({TargetId("a")}));
     failUntilEjected("a");
     now_ += 6s;
@@ -304,11 +304,11 @@
     EXPECT_TRUE(trial->isTrial);
 }
 
-TEST_F(TargetPoolTest, ATrialKeepsWithinTheSlots)
+TEST_F(TargetPoolTest, ATrialStaysWithinTheSlots)
 {
     makePool({.failuresToEject = 1});
-    pool_->upsert(warm("a", 2), now_);
-    pool_->upsert(target("b", 1), now_);
+    pool_->upsert(warmTarget("a", 2), now_);
+    pool_->upsert(coldTarget("b", 1), now_);
     ASSERT_TRUE(acquire({TargetId("a")}));
     const auto first = acquire();
     ASSERT_TRUE(acquire());
@@ -320,11 +320,11 @@
     EXPECT_FALSE(acquire());
 }
 
-TEST_F(TargetPoolTest, NoMoreThanTheAllowedShareIsEjected)
+TEST_F(TargetPoolTest, NoMoreThanTheAllowedFractionIsEjected)
 {
-    pool_->upsert(warm("a"), now_);
-    pool_->upsert(warm("b"), now_);
-    pool_->upsert(warm("c"), now_);
+    pool_->upsert(warmTarget("a"), now_);
+    pool_->upsert(warmTarget("b"), now_);
+    pool_->upsert(warmTarget("c"), now_);
     for (int request = 0; request < 60; ++request) {
         const auto slot = acquire();
         ASSERT_TRUE(slot);
@@ -334,22 +334,22 @@
     for (const auto& status : pool_->targets())
         ejected += status.isEjected ? 1 : 0;
     EXPECT_EQ(ejected, 1);
-    EXPECT_GE(pool_->room(Desk).room, 2u);
+    EXPECT_GE(pool_->room(Service).room, 2u);
 }
 
-TEST_F(TargetPoolTest, ExcludedTargetsAreNotTaken)
+TEST_F(TargetPoolTest, ExcludedTargetsAreNotSelected)
 {
-    pool_->upsert(warm("a"), now_);
+    pool_->upsert(warmTarget("a"), now_);
     EXPECT_FALSE(acquire({TargetId("a")}));
 }
 
-/// Random announcements, hand-overs, results and stale releases; the model counts what really runs.
+/// Randomized announcements, removals and results; the test counts the running requests itself.
 TEST_F(TargetPoolTest, InFlightNeverExceedsTheSlotsUnderAnyOrderOfEvents)
 {
     for (uint64_t seed = 1; seed <= 30; ++seed) {
         std::mt19937_64 random(seed);
         makePool({.ejectionTime = 50ms, .seed = seed});
-        std::vector<ITargetPool::Slot> held;
+        std::vector<ITargetPool::Slot> acquiredSlots;
         std::map<TargetId, uint32_t> slots;
         std::map<TargetId, uint64_t> incarnations;
         const std::array ids {"a", "b", "c"};
@@ -357,7 +357,7 @@
             now_ += 1ms;
             const char* id = ids[random() % ids.size()];
             if (random() % 20 == 0) {
-                auto announced = target(id, 1 + random() % 9, incarnations[TargetId(id)] += random() % 2);
+                auto announced = coldTarget(id, 1 + random() % 9, incarnations[TargetId(id)] += random() % 2);
                 announced.reportedBusyElsewhere = random() % 12;
                 announced.concurrencyLimit = random() % 12;
                 announced.isLeaving = random() % 8 == 0;
@@ -365,20 +365,20 @@
                 pool_->upsert(announced, now_);
             } else if (random() % 100 == 0) {
                 pool_->remove(TargetId(id), now_);
-            } else if (random() % 2 == 0 || held.empty()) {
+            } else if (random() % 2 == 0 || acquiredSlots.empty()) {
                 const auto slot = acquire();
                 if (!slot)
                     continue;
-                held.push_back(*slot);
-                const auto running
-                    = std::ranges::count_if(held, [&](const auto& one) { return one.target == slot->target; });
+                acquiredSlots.push_back(*slot);
+                const auto running = std::ranges::count_if(
+                    acquiredSlots, [&](const auto& other) { return other.target == slot->target; });
                 ASSERT_LE(running, slots[slot->target]) << "seed " << seed << " step " << step;
             } else {
-                const auto at = random() % held.size();
-                finish(held[at], static_cast<DispatchResult>(random() % 4));
-                held.erase(held.begin() + static_cast<std::ptrdiff_t>(at));
+                const auto index = random() % acquiredSlots.size();
+                finish(acquiredSlots[index], static_cast<DispatchResult>(random() % 4));
+                acquiredSlots.erase(acquiredSlots.begin() + static_cast<std::ptrdiff_t>(index));
             }
-            ASSERT_EQ(pool_->room(Desk).inFlight, held.size());
+            ASSERT_EQ(pool_->room(Service).inFlight, acquiredSlots.size());
         }
     }
 }
--- a/src/steering/tests/waitqueuetests.cpp
+++ b/src/steering/tests/waitqueuetests.cpp
@@ -54,7 +54,7 @@
     EXPECT_EQ(pop(), 3u);
 }
 
-TEST_F(WaitQueueTest, DropsWhatCannotMeetItsDeadline)
+TEST_F(WaitQueueTest, DropsWaitersThatCannotMeetTheirDeadline)
 {
     make(QueueOrder::Fifo);
     ASSERT_TRUE(push(1, 100ms));
@@ -68,7 +68,7 @@
     EXPECT_TRUE(queue_->takeDropped().empty());
 }
 
-TEST_F(WaitQueueTest, TickDropsWithoutAPop)
+TEST_F(WaitQueueTest, TickDropsLateWaiters)
 {
     make(QueueOrder::EarliestDeadline);
     ASSERT_TRUE(push(1, 100ms));
@@ -77,7 +77,7 @@
     EXPECT_EQ(queue_->size(), 0u);
 }
 
-TEST_F(WaitQueueTest, FullRefusesUnlessHopelessWaitersLeaveRoom)
+TEST_F(WaitQueueTest, AFullQueueRefusesUnlessLateWaitersCanBeDropped)
 {
     make(QueueOrder::Fifo, 2);
     ASSERT_TRUE(push(1, 50ms));
@@ -88,7 +88,7 @@
     EXPECT_EQ(queue_->size(), 2u);
 }
 
-TEST_F(WaitQueueTest, FullLifoGivesUpTheOldest)
+TEST_F(WaitQueueTest, AFullLifoQueueDropsTheOldest)
 {
     make(QueueOrder::LifoUnderOverload, 1);
     ASSERT_TRUE(push(1, 1s));
@@ -100,7 +100,7 @@
     EXPECT_EQ(pop(), 2u);
 }
 
-TEST_F(WaitQueueTest, CapacityZeroTakesNobody)
+TEST_F(WaitQueueTest, ZeroCapacityRefusesEveryWaiter)
 {
     for (const auto order : {QueueOrder::Fifo, QueueOrder::LifoUnderOverload, QueueOrder::EarliestDeadline}) {
         make(order, 0);
@@ -118,7 +118,7 @@
     EXPECT_TRUE(queue_->takeDropped().empty());
 }
 
-TEST_F(WaitQueueTest, AWaiterIsTakenOnce)
+TEST_F(WaitQueueTest, AWaiterIsQueuedOnlyOnce)
 {
     make(QueueOrder::Fifo);
     ASSERT_TRUE(push(1, 1s));
@@ -136,7 +136,7 @@
     EXPECT_EQ(queue_->oldestWait(now_), 30ms);
 }
 
-TEST_F(WaitQueueTest, ASmallerCapacityHoldsForNewWaiters)
+TEST_F(WaitQueueTest, ASmallerCapacityAppliesToNewWaiters)
 {
     make(QueueOrder::Fifo, 3);
     ASSERT_TRUE(push(1, 1s));
