--- a/src/membership/displacedtargets.h
+++ b/src/membership/displacedtargets.h
@@ -12,27 +12,28 @@
 
 namespace saltvane::membership {
 
-/// Starts of targets whose address a newer start has taken over. A heartbeat that a cut held up can come after its
-/// target has crashed and another one has registered at the address; it must not put the old one back there.
+/// Target incarnations whose address has been taken over by a newer target. A heartbeat that was delayed by a network
+/// cut can arrive after its target has crashed and another one has registered at the same address; it must not bring
+/// the old target back.
 class DisplacedTargets {
 public:
-    void note(const model::TargetIncarnation& start, Timestamp now);
-    /// Whether this start, or a later one of the same id, was displaced lately.
-    [[nodiscard]] bool contains(const model::TargetIncarnation& start, Timestamp now) const;
+    void note(const model::TargetIncarnation& instance, Timestamp now);
+    /// True if this incarnation, or a later one of the same target, was displaced recently.
+    [[nodiscard]] bool contains(const model::TargetIncarnation& instance, Timestamp now) const;
 
 private:
-    /// Longer than networks hold up what they deliver after all. Not for ever: a host that started between the two may
-    /// have taken the old one for the newer.
-    static constexpr Duration Memory = 20s;
+    /// Longer than a network delays a message that it still delivers. Entries expire, since a host that started between
+    /// the two messages may have displaced the newer target by mistake.
+    static constexpr Duration RetentionTime = 20s;
 
     struct Entry {
         Incarnation incarnation;
-        Timestamp since;
+        Timestamp displacedAt;
     };
-    void forget(Timestamp now);
+    void eraseExpired(Timestamp now);
 
     std::map<TargetId, Entry> entries_;
-    Timestamp forgottenAt_ {};
+    Timestamp lastExpiryAt_ {};
 };
 
 } // namespace saltvane::membership
--- a/src/membership/icredits.h
+++ b/src/membership/icredits.h
@@ -16,22 +16,22 @@
 
 namespace saltvane::membership {
 
-/// The owner's side: splits the room of its targets into windows, one per asking host. The windows that have not
-/// ended never sum to more than the room and the queue allowance together.
+/// Credits at the owner host: divides the capacity of its targets into windows, one for each requesting host. The sum
+/// of all unexpired windows never exceeds the capacity plus the queue allowance.
 class ICreditIssuer {
 public:
     virtual ~ICreditIssuer() = default;
-    /// Total window for the service: usable slots plus what may wait in the queue.
+    /// Sets the total window of the service: the usable slots plus the requests that may wait in the queue.
     virtual void setCapacity(const ServiceName& service, uint32_t capacity, Timestamp now) = 0;
     virtual void handle(const HostId& from, const model::CreditRequest& request, Timestamp now) = 0;
-    /// The host is gone: its windows end now, or at their expiry when it may still send.
+    /// The host was lost. Its windows stay reserved until they expire, because it may still send requests.
     virtual void noteHostLost(const HostId& host, Timestamp now) = 0;
     virtual void tick(Timestamp now) = 0;
     [[nodiscard]] virtual std::vector<model::Outgoing> takeOutgoing() = 0;
     [[nodiscard]] virtual uint32_t outstanding(const ServiceName& service, Timestamp now) const = 0;
 };
 
-/// The entry host's side: windows it holds at owners, by service.
+/// Credits at the entry host: its windows at the owner hosts, by service.
 class ICreditWallet {
 public:
     virtual ~ICreditWallet() = default;
@@ -41,32 +41,33 @@
         ZoneName zone;
         Duration delay {};
     };
-    /// Owners that exist now, with zone and delay; windows at owners not named are dropped.
+    /// Replaces the list of owners. Windows at owners that are not listed are dropped.
     virtual void setOwners(std::span<const Owner> owners, Timestamp now) = 0;
     virtual void handle(const HostId& from, const model::CreditGrant& grant, Timestamp now) = 0;
     virtual void noteOwnerLost(const HostId& owner, Timestamp now) = 0;
     [[nodiscard]] virtual bool hasCredit(const ServiceName& service, const ZoneName& zone, Timestamp now) const = 0;
-    /// Takes one request's credit at the owner of the zone with most of its window free, outside `excluded`.
+    /// Uses one credit at the owner in the zone that has the most free credit and is not in `excluded`.
     [[nodiscard]] virtual std::optional<HostId> take(
         const ServiceName& service, const ZoneName& zone, std::span<const HostId> excluded, Timestamp now)
         = 0;
-    /// The request at the owner ended, exactly once per take.
+    /// Returns the credit when the request at the owner has completed; exactly once per use.
     virtual void giveBack(const HostId& owner, const ServiceName& service, Timestamp now) = 0;
-    /// A request wanted credit of the zone and found none: asks for more.
+    /// Records that a request found no credit in the zone; requests more.
     virtual void noteWanted(const ServiceName& service, const ZoneName& zone, Timestamp now) = 0;
     virtual void tick(Timestamp now) = 0;
     [[nodiscard]] virtual std::vector<model::Outgoing> takeOutgoing() = 0;
 };
 
 struct CreditOptions {
-    Duration windowValidFor = 1500ms;
-    Duration requestPeriod = 200ms;
-    Duration guard = 150ms; ///< Counted beyond a window's end, for clocks that run unlike.
-    uint32_t standingWindow
-        = 1; ///< Asked for at each near owner without demand, so that a first request need not wait.
-    /// One-way delay up to which an owner is near. Standing windows of all hosts would use up small room, and would be
-    /// messages between all pairs of hosts.
-    Duration standingDelayLimit = 10ms;
+    Duration windowLifetime = 1500ms;
+    Duration requestInterval = 200ms;
+    Duration clockMargin
+        = 150ms; ///< Added to the end of a window at the issuer, for clocks that run at different rates.
+    /// Requested without demand at each owner within `idleWindowMaxDelay`, so that a first request need not wait.
+    uint32_t idleWindow = 1;
+    /// Maximum one-way delay for standing windows. Standing windows between all hosts would use up a small capacity and
+    /// need messages between all pairs of hosts.
+    Duration idleWindowMaxDelay = 10ms;
     model::Counters* counters = nullptr;
 };
 
--- a/src/membership/ihosttable.h
+++ b/src/membership/ihosttable.h
@@ -15,34 +15,35 @@
 
 namespace saltvane::membership {
 
-/// Hosts by heartbeat: the own zone's directly, the other zones' by their relays' reports.
+/// Known hosts and their health: by heartbeats within this zone, by the reports of their relays in other zones.
 /// docs/design/0005-membership.md
 class IHostTable {
 public:
     virtual ~IHostTable() = default;
 
-    /// What this host says of itself in its next heartbeat; identity and sequence are filled in.
+    /// Sets the record of the next heartbeats of this host; identity and sequence are filled in.
     virtual void setOwnRecord(model::HostRecord record) = 0;
-    /// Both false when the message was older than what is known.
+    /// Both return false if the message brought nothing newer.
     virtual bool handle(const HostId& from, const model::Heartbeat& heartbeat, Timestamp now) = 0;
     virtual bool handle(const HostId& from, const model::ZoneReport& report, Timestamp now) = 0;
-    /// A link to the host is up: one not known yet is sent a heartbeat, so that both sides learn of each other.
+    /// A link to the host is up. A host not known yet is sent a heartbeat, so that both sides learn of each other.
     virtual void noteLinkUp(const HostId& /*host*/, Timestamp /*now*/) { }
-    /// The link to a host broke: suspicion without waiting, removal only by time.
+    /// The link to a host is down: the host is suspected at once, but removed only after its timeout.
     virtual void noteLinkDown(const HostId& host, Timestamp now) = 0;
     virtual void tick(Timestamp now) = 0;
-    /// Heartbeats and reports due since the last call.
+    /// Returns the heartbeats and reports to send since the last call.
     [[nodiscard]] virtual std::vector<model::Outgoing> takeOutgoing() = 0;
 
     [[nodiscard]] virtual const HostView* find(const HostId& host) const = 0;
-    /// All known hosts but this one, by id; dead ones leave after a while.
+    /// All known hosts except this one, by id; dead ones are removed after a timeout.
     [[nodiscard]] virtual std::vector<const HostView*> hosts() const = 0;
-    /// Alive and serving hosts of a zone by id, this one included where it is. Only these offer room: the record of a
-    /// suspected host is kept, but what it says of room no longer counts.
+    /// Hosts of a zone that are alive and serving, by id, including this one. Only these offer capacity: the record of
+    /// a suspected host is kept, but its capacity no longer counts.
     [[nodiscard]] virtual std::vector<model::HostRecord> servingHosts(const ZoneName& zone) const = 0;
-    [[nodiscard]] virtual HostId relayOf(const ZoneName& zone) const = 0; ///< Lowest alive id; empty where none.
+    [[nodiscard]] virtual HostId relayOf(
+        const ZoneName& zone) const = 0; ///< The lowest id of its hosts that are alive; empty if there is none.
     [[nodiscard]] virtual bool isRelay() const = 0;
-    /// Hosts this one must hold a link to: zone peers, relays where it is one, control hosts, seeds not yet known.
+    /// A host to keep a link to: a zone peer, a relay if this host is one, a control host, or a seed not known yet.
     struct Peer {
         HostId host; ///< Empty for a seed whose id is not known yet.
         model::Address linkAddress;
@@ -53,11 +54,11 @@
 struct HostTableOptions {
     HostIdentity self;
     std::vector<model::Address> seeds; ///< Link addresses.
-    Duration heartbeatPeriod = 200ms;
-    Duration reportPeriod = 200ms;
-    Duration suspectAfter = 700ms;
-    Duration deadAfter = 3s;
-    Duration forgetAfter = 60s;
+    Duration heartbeatInterval = 200ms;
+    Duration reportInterval = 200ms;
+    Duration suspectTimeout = 700ms;
+    Duration deadTimeout = 3s;
+    Duration removeTimeout = 60s;
     model::Counters* counters = nullptr;
 };
 
--- a/src/membership/internal/creditissuer.cpp
+++ b/src/membership/internal/creditissuer.cpp
@@ -25,96 +25,98 @@
 void CreditIssuer::handle(const HostId& from, const model::CreditRequest& request, Timestamp now)
 {
     Service& service = services_[request.service];
-    Holder& holder = service.holders[from];
-    const bool isSilent = held(holder, now) == 0 && now >= holder.current.endsAt;
-    if (request.sequence < holder.sequence && !isSilent) {
+    Requester& requester = service.requesters[from];
+    const bool isInactive = reservedCredit(requester, now) == 0 && now >= requester.current.endsAt;
+    if (request.sequence < requester.sequence && !isInactive) {
         count(model::Counter::StaleMessages);
         return;
     }
-    // A repeated request gets the same answer: the wallet counts it from the first time it asked.
-    const bool isRepeated = request.sequence == holder.sequence && !isSilent;
+    // A repeated request gets the same answer: the validity at the credit store runs from its first transmission.
+    const bool isRepeated = request.sequence == requester.sequence && !isInactive;
     if (!isRepeated)
         accept(service, from, request, now);
-    sendGrant(from, request, holder);
+    sendGrant(from, request, requester);
 }
 
 void CreditIssuer::accept(Service& service, const HostId& from, const model::CreditRequest& request, Timestamp now)
 {
-    Holder& holder = service.holders.at(from);
-    holder.sequence = request.sequence;
-    holder.wanted = request.wanted;
-    holder.inUse = request.inUse;
-    holder.previous = holder.current;
-    holder.current = {0, now + countedFor()};
-    const uint32_t others = outstanding(service, now) - held(holder, now);
+    Requester& requester = service.requesters.at(from);
+    requester.sequence = request.sequence;
+    requester.wanted = request.wanted;
+    requester.inUse = request.inUse;
+    requester.previous = requester.current;
+    requester.current = {0, now + reservationTime()};
+    const uint32_t others = outstanding(service, now) - reservedCredit(requester, now);
     const uint32_t available = service.capacity > others ? service.capacity - others : 0;
-    holder.current.size = std::min(fairWindow(service, from, now), available);
+    requester.current.size = std::min(fairWindow(service, from, now), available);
     count(model::Counter::CreditsGranted);
 }
 
 uint32_t CreditIssuer::fairWindow(const Service& service, const HostId& host, Timestamp now) const
 {
     std::vector<uint32_t> demands;
-    std::vector<uint32_t> standing;
+    std::vector<uint32_t> idleDemands;
     size_t index = 0;
-    for (const auto& [id, holder] : service.holders) {
-        const bool isAsking = now < holder.current.endsAt && holder.sequence > 0;
-        const bool isIdle = holder.inUse == 0 && holder.wanted <= options_.standingWindow;
+    for (const auto& [id, requester] : service.requesters) {
+        const bool isRequesting = now < requester.current.endsAt && requester.sequence > 0;
+        const bool isIdle = requester.inUse == 0 && requester.wanted <= options_.idleWindow;
         if (id == host)
             index = demands.size();
-        demands.push_back(isAsking && !isIdle ? holder.wanted : 0);
-        standing.push_back(isAsking && isIdle ? holder.wanted : 0);
+        demands.push_back(isRequesting && !isIdle ? requester.wanted : 0);
+        idleDemands.push_back(isRequesting && isIdle ? requester.wanted : 0);
     }
-    // Too few units for everybody go round, so that nobody is left out for good.
-    const size_t first = static_cast<size_t>(now.time_since_epoch() / options_.windowValidFor) % demands.size();
+    // If there are too few units for all hosts, the first in line rotates, so that no host starves.
+    const size_t first = static_cast<size_t>(now.time_since_epoch() / options_.windowLifetime) % demands.size();
     const std::vector<uint32_t> shares = fairShares(demands, service.capacity, first);
-    uint32_t left = service.capacity;
+    uint32_t remaining = service.capacity;
     for (const uint32_t share : shares)
-        left -= share;
-    return shares[index] + fairShares(standing, left, first)[index];
+        remaining -= share;
+    return shares[index] + fairShares(idleDemands, remaining, first)[index];
 }
 
-void CreditIssuer::sendGrant(const HostId& to, const model::CreditRequest& request, const Holder& holder)
+void CreditIssuer::sendGrant(const HostId& to, const model::CreditRequest& request, const Requester& requester)
 {
     outgoing_.push_back({to,
         model::CreditGrant {.service = request.service,
-            .window = holder.current.size,
-            .validFor = options_.windowValidFor,
+            .window = requester.current.size,
+            .validFor = options_.windowLifetime,
             .sequence = request.sequence}});
 }
 
 void CreditIssuer::noteHostLost(const HostId& host, Timestamp now)
 {
     for (auto& [name, service] : services_) {
-        const auto found = service.holders.find(host);
-        if (found == service.holders.end())
+        const auto found = service.requesters.find(host);
+        if (found == service.requesters.end())
             continue;
-        // It may still send by what it holds, until that ends; a restarted one counts its requests anew.
-        Holder& holder = found->second;
-        const Timestamp endsAt = std::max({holder.current.endsAt, holder.previous.endsAt, holder.carried.endsAt});
-        const Window carried {held(holder, now), endsAt};
-        holder = {};
-        holder.carried = carried;
+        // The host may still use its windows until they expire. A restarted host numbers its requests from the
+        // beginning.
+        Requester& requester = found->second;
+        const Timestamp endsAt
+            = std::max({requester.current.endsAt, requester.previous.endsAt, requester.carried.endsAt});
+        const Window carried {reservedCredit(requester, now), endsAt};
+        requester = {};
+        requester.carried = carried;
     }
 }
 
 void CreditIssuer::tick(Timestamp now)
 {
     for (auto& [name, service] : services_) {
-        std::erase_if(service.holders, [now](const auto& item) {
-            const Holder& holder = item.second;
-            return held(holder, now) == 0 && now >= holder.current.endsAt;
+        std::erase_if(service.requesters, [now](const auto& item) {
+            const Requester& requester = item.second;
+            return reservedCredit(requester, now) == 0 && now >= requester.current.endsAt;
         });
     }
 }
 
 std::vector<model::Outgoing> CreditIssuer::takeOutgoing() { return std::exchange(outgoing_, {}); }
 
-uint32_t CreditIssuer::held(const Holder& holder, Timestamp now)
+uint32_t CreditIssuer::reservedCredit(const Requester& requester, Timestamp now)
 {
-    // What is in use there stays in use, whatever the window is now.
-    uint32_t size = now < holder.current.endsAt ? holder.inUse : 0;
-    for (const Window& window : {holder.current, holder.previous, holder.carried}) {
+    // Credits in use stay in use, whatever the size of the window is now.
+    uint32_t size = now < requester.current.endsAt ? requester.inUse : 0;
+    for (const Window& window : {requester.current, requester.previous, requester.carried}) {
         if (now < window.endsAt)
             size = std::max(size, window.size);
     }
@@ -124,8 +126,8 @@
 uint32_t CreditIssuer::outstanding(const Service& service, Timestamp now)
 {
     uint32_t sum = 0;
-    for (const auto& [host, holder] : service.holders)
-        sum += held(holder, now);
+    for (const auto& [host, requester] : service.requesters)
+        sum += reservedCredit(requester, now);
     return sum;
 }
 
--- a/src/membership/internal/creditissuer.h
+++ b/src/membership/internal/creditissuer.h
@@ -11,8 +11,8 @@
 
 namespace saltvane::membership {
 
-/// Splits each service's capacity into windows. A wallet asks again only after the answer to its last request, so a
-/// request proves that the grant before it replaced all older ones; docs/design/0005-membership.md.
+/// Divides the capacity of each service into windows. A credit store sends a request only after the answer to the one
+/// before, so a new request proves that the last grant has replaced all older ones; docs/design/0005-membership.md.
 class CreditIssuer final : public ICreditIssuer {
 public:
     explicit CreditIssuer(const CreditOptions& options);
@@ -29,26 +29,26 @@
         uint32_t size = 0;
         Timestamp endsAt {};
     };
-    /// One asking host.
-    struct Holder {
-        uint64_t sequence = 0; ///< Of its newest request; 0 after it was lost.
+    /// Credits and demand of one requesting host.
+    struct Requester {
+        uint64_t sequence = 0; ///< Sequence of its newest request; 0 after the host was lost.
         uint32_t wanted = 0;
         uint32_t inUse = 0;
-        Window current; ///< Granted to the newest request.
-        Window previous; ///< In use there until the next request.
-        Window carried; ///< From before the host was lost.
+        Window current; ///< Granted for the newest request.
+        Window previous; ///< May be in use at the host until its next request.
+        Window carried; ///< Granted before the host was lost.
     };
     struct Service {
         uint32_t capacity = 0;
-        std::map<HostId, Holder> holders;
+        std::map<HostId, Requester> requesters;
     };
 
-    [[nodiscard]] Duration countedFor() const { return options_.windowValidFor + options_.guard; }
-    [[nodiscard]] static uint32_t held(const Holder& holder, Timestamp now);
+    [[nodiscard]] Duration reservationTime() const { return options_.windowLifetime + options_.clockMargin; }
+    [[nodiscard]] static uint32_t reservedCredit(const Requester& requester, Timestamp now);
     [[nodiscard]] static uint32_t outstanding(const Service& service, Timestamp now);
     [[nodiscard]] uint32_t fairWindow(const Service& service, const HostId& host, Timestamp now) const;
     void accept(Service& service, const HostId& from, const model::CreditRequest& request, Timestamp now);
-    void sendGrant(const HostId& to, const model::CreditRequest& request, const Holder& holder);
+    void sendGrant(const HostId& to, const model::CreditRequest& request, const Requester& requester);
     void count(model::Counter counter) const;
 
     CreditOptions options_;
--- a/src/membership/internal/displacedtargets.cpp
+++ b/src/membership/internal/displacedtargets.cpp
@@ -7,24 +7,24 @@
 
 namespace saltvane::membership {
 
-void DisplacedTargets::note(const model::TargetIncarnation& start, Timestamp now)
+void DisplacedTargets::note(const model::TargetIncarnation& instance, Timestamp now)
 {
-    if (now - forgottenAt_ > Memory)
-        forget(now);
-    entries_.insert_or_assign(start.target, Entry {.incarnation = start.incarnation, .since = now});
+    if (now - lastExpiryAt_ > RetentionTime)
+        eraseExpired(now);
+    entries_.insert_or_assign(instance.target, Entry {.incarnation = instance.incarnation, .displacedAt = now});
 }
 
-void DisplacedTargets::forget(Timestamp now)
+void DisplacedTargets::eraseExpired(Timestamp now)
 {
-    forgottenAt_ = now;
-    std::erase_if(entries_, [&](const auto& item) { return now - item.second.since > Memory; });
+    lastExpiryAt_ = now;
+    std::erase_if(entries_, [&](const auto& item) { return now - item.second.displacedAt > RetentionTime; });
 }
 
-bool DisplacedTargets::contains(const model::TargetIncarnation& start, Timestamp now) const
+bool DisplacedTargets::contains(const model::TargetIncarnation& instance, Timestamp now) const
 {
-    const auto found = entries_.find(start.target);
-    return found != entries_.end() && start.incarnation <= found->second.incarnation
-        && now - found->second.since <= Memory;
+    const auto found = entries_.find(instance.target);
+    return found != entries_.end() && instance.incarnation <= found->second.incarnation
+        && now - found->second.displacedAt <= RetentionTime;
 }
 
 } // namespace saltvane::membership
--- a/src/membership/internal/fairshares.cpp
+++ b/src/membership/internal/fairshares.cpp
@@ -12,8 +12,8 @@
 std::vector<uint32_t> fairShares(std::span<const uint32_t> wanted, uint32_t capacity, size_t firstForRemainder)
 {
     std::vector<uint32_t> shares(wanted.size(), 0);
-    uint32_t left = capacity;
-    while (left > 0) {
+    uint32_t remaining = capacity;
+    while (remaining > 0) {
         std::vector<size_t> unmet;
         for (size_t i = 0; i < wanted.size(); ++i) {
             const size_t index = (firstForRemainder + i) % wanted.size();
@@ -22,11 +22,11 @@
         }
         if (unmet.empty())
             return shares;
-        const uint32_t each = std::max<uint32_t>(1, left / static_cast<uint32_t>(unmet.size()));
+        const uint32_t each = std::max<uint32_t>(1, remaining / static_cast<uint32_t>(unmet.size()));
         for (const size_t index : unmet) {
-            const uint32_t given = std::min({each, wanted[index] - shares[index], left});
-            shares[index] += given;
-            left -= given;
+            const uint32_t granted = std::min({each, wanted[index] - shares[index], remaining});
+            shares[index] += granted;
+            remaining -= granted;
         }
     }
     return shares;
--- a/src/membership/internal/fairshares.h
+++ b/src/membership/internal/fairshares.h
@@ -12,8 +12,8 @@
 
 namespace saltvane::membership {
 
-/// Max-min fair split of `capacity` by demand: nobody gets more than it wants, and what one leaves goes to the others.
-/// The remainder of whole units goes one each from index `firstForRemainder` on, cyclically.
+/// Max-min fair division of `capacity`: no share exceeds its demand, and what one does not need goes to the others. The
+/// remainder is assigned in single units, starting at index `firstForRemainder` and wrapping around.
 [[nodiscard]] std::vector<uint32_t> fairShares(
     std::span<const uint32_t> wanted, uint32_t capacity, size_t firstForRemainder);
 
--- a/src/membership/internal/hostroster.cpp
+++ b/src/membership/internal/hostroster.cpp
@@ -20,17 +20,17 @@
 {
     if (const auto* heartbeat = std::get_if<model::Heartbeat>(&delivery.message)) {
         if (heartbeat->record.host == delivery.from)
-            note(heartbeat->record, now);
+            updateEntry(heartbeat->record, now);
         return;
     }
     const auto* report = std::get_if<model::ZoneReport>(&delivery.message);
     if (report == nullptr)
         return;
     for (size_t i = 0; i < report->hosts.size() && i < report->ages.size(); ++i)
-        note(report->hosts[i], now - std::min(report->ages[i], options_.memory));
+        updateEntry(report->hosts[i], now - std::min(report->ages[i], options_.memory));
 }
 
-void HostRoster::note(const model::HostRecord& record, Timestamp heardAt)
+void HostRoster::updateEntry(const model::HostRecord& record, Timestamp heardAt)
 {
     if (record.host == options_.self.host)
         return;
@@ -42,7 +42,7 @@
         known.record = record;
     if (record.incarnation == known.record.incarnation)
         known.heardAt = std::max(known.heardAt, heardAt);
-    hasNews_ = hasNews_ || (isNew && record.isControl);
+    hasNewControlHost_ = hasNewControlHost_ || (isNew && record.isControl);
 }
 
 void HostRoster::noteLinkUp(const HostId& host, Incarnation incarnation)
@@ -75,7 +75,7 @@
         sendHeartbeat(host);
 }
 
-void HostRoster::sendReports(bool isToAll, Timestamp now)
+void HostRoster::sendReports(bool isToAllRegions, Timestamp now)
 {
     model::ZoneReport report {.zone = options_.self.zone, .relay = options_.self.host};
     for (const auto& [host, entry] : entries_) {
@@ -85,12 +85,12 @@
         report.ages.push_back(now - entry.heardAt);
     }
     for (const auto& [host, entry] : entries_) {
-        if (isToAll || entry.record.region == options_.self.region)
+        if (isToAllRegions || entry.record.region == options_.self.region)
             outgoing_.push_back({.to = host, .message = report});
     }
 }
 
-void HostRoster::forget(Timestamp now)
+void HostRoster::eraseExpired(Timestamp now)
 {
     std::erase_if(entries_, [&](const auto& item) { return now - item.second.heardAt > options_.memory; });
 }
@@ -98,21 +98,21 @@
 void HostRoster::tick(Timestamp now)
 {
     if (now >= nextHeartbeatAt_) {
-        nextHeartbeatAt_ = now + options_.heartbeatPeriod;
-        forget(now);
-        const bool isFarDue = options_.self.isControl || now >= nextFarHeartbeatAt_;
-        if (isFarDue)
-            nextFarHeartbeatAt_ = now + options_.farHeartbeatPeriod;
-        sendHeartbeats(isFarDue ? controlHosts() : nearControlHosts());
+        nextHeartbeatAt_ = now + options_.heartbeatInterval;
+        eraseExpired(now);
+        const bool includesOtherRegions = options_.self.isControl || now >= nextOtherRegionHeartbeatAt_;
+        if (includesOtherRegions)
+            nextOtherRegionHeartbeatAt_ = now + options_.otherRegionHeartbeatInterval;
+        sendHeartbeats(includesOtherRegions ? controlHosts() : nearControlHosts());
     }
-    const bool isToAll = hasNews_ || now >= nextFarReportAt_;
-    if (!options_.self.isControl || (now < nextReportAt_ && !isToAll))
+    const bool isToAllRegions = hasNewControlHost_ || now >= nextOtherRegionReportAt_;
+    if (!options_.self.isControl || (now < nextReportAt_ && !isToAllRegions))
         return;
-    hasNews_ = false;
-    nextReportAt_ = now + options_.reportPeriod;
-    if (isToAll)
-        nextFarReportAt_ = now + options_.farReportPeriod;
-    sendReports(isToAll, now);
+    hasNewControlHost_ = false;
+    nextReportAt_ = now + options_.reportInterval;
+    if (isToAllRegions)
+        nextOtherRegionReportAt_ = now + options_.otherRegionReportInterval;
+    sendReports(isToAllRegions, now);
 }
 
 std::vector<model::Outgoing> HostRoster::takeOutgoing() { return std::exchange(outgoing_, {}); }
@@ -128,7 +128,7 @@
     return {hosts.begin(), hosts.end()};
 }
 
-bool HostRoster::isFar(const HostId& host) const
+bool HostRoster::isInOtherRegion(const HostId& host) const
 {
     const RosterEntry* entry = find(host);
     return entry != nullptr && entry->record.region != options_.self.region;
@@ -138,7 +138,7 @@
 {
     const std::vector<HostId> all = controlHosts();
     std::vector<HostId> near = all;
-    std::erase_if(near, [&](const HostId& host) { return isFar(host); });
+    std::erase_if(near, [&](const HostId& host) { return isInOtherRegion(host); });
     return near.empty() ? all : near;
 }
 
--- a/src/membership/internal/hostroster.h
+++ b/src/membership/internal/hostroster.h
@@ -28,22 +28,22 @@
     [[nodiscard]] const RosterEntry* find(const HostId& host) const override;
 
 private:
-    void note(const model::HostRecord& record, Timestamp heardAt);
+    void updateEntry(const model::HostRecord& record, Timestamp heardAt);
     void sendHeartbeat(const HostId& to);
     void sendHeartbeats(const std::vector<HostId>& hosts);
-    /// The control hosts that this one knows, to all others or to those of its region.
-    void sendReports(bool isToAll, Timestamp now);
-    [[nodiscard]] bool isFar(const HostId& host) const;
-    void forget(Timestamp now);
+    /// Sends the known control hosts to all other hosts or to those of its own region.
+    void sendReports(bool isToAllRegions, Timestamp now);
+    [[nodiscard]] bool isInOtherRegion(const HostId& host) const;
+    void eraseExpired(Timestamp now);
 
     HostRosterOptions options_;
     std::map<HostId, RosterEntry> entries_;
     std::vector<model::Outgoing> outgoing_;
     Timestamp nextHeartbeatAt_ {};
-    Timestamp nextFarHeartbeatAt_ {};
+    Timestamp nextOtherRegionHeartbeatAt_ {};
     Timestamp nextReportAt_ {};
-    Timestamp nextFarReportAt_ {};
-    bool hasNews_ = true;
+    Timestamp nextOtherRegionReportAt_ {};
+    bool hasNewControlHost_ = true;
 };
 
 } // namespace saltvane::membership
--- a/src/membership/internal/hosttable.cpp
+++ b/src/membership/internal/hosttable.cpp
@@ -13,9 +13,9 @@
 
 namespace {
 
-/// A host that joins is sent everything known at most this often.
-constexpr Duration ReplyPeriod = 1s;
-/// Another zone's hosts may wait for a new relay, which takes the time of one suspicion.
+/// A joining host is sent all known records at most this often.
+constexpr Duration FullReplyInterval = 1s;
+/// Hosts of other zones get more time, because replacing their relay takes one suspicion timeout.
 constexpr int RemoteSuspicionFactor = 2;
 
 bool isNewer(const model::HostRecord& left, const model::HostRecord& right)
@@ -23,7 +23,7 @@
     return std::tie(left.incarnation, left.sequence) > std::tie(right.incarnation, right.sequence);
 }
 
-void clearRoom(model::HostRecord& record)
+void clearServiceState(model::HostRecord& record)
 {
     record.services.clear();
     record.demands.clear();
@@ -67,10 +67,10 @@
     }
     const bool isJoining = record.state == model::HostState::Joining || record.zone != options_.self.zone;
     Entry& entry = entries_.at(from);
-    const bool isReplyDue = now - entry.repliedAt >= ReplyPeriod;
-    if (isNew || (isJoining && isReplyDue)) {
-        entry.repliedAt = now;
-        replyWithEverything(from, now);
+    const bool isTimeToReply = now - entry.lastFullReplyAt >= FullReplyInterval;
+    if (isNew || (isJoining && isTimeToReply)) {
+        entry.lastFullReplyAt = now;
+        sendAllRecords(from, now);
     }
     return true;
 }
@@ -78,7 +78,7 @@
 bool HostTable::handle(const HostId& from, const model::ZoneReport& report, Timestamp now)
 {
     const bool isOwnZone = report.zone == options_.self.zone;
-    isInformed_ = isInformed_ || isOwnZone;
+    hasOwnZoneReport_ = hasOwnZoneReport_ || isOwnZone;
     bool isAnyApplied = false;
     const size_t known = std::min(report.hosts.size(), report.ages.size());
     for (size_t i = 0; i < known; ++i) {
@@ -102,15 +102,15 @@
     const auto known = entries_.find(record.host);
     const bool isNew = known == entries_.end() || record.incarnation > known->second.view.record.incarnation;
     const bool isOwnZone = record.zone == options_.self.zone;
-    // Zone peers are judged by their own heartbeats; a report only makes them known.
+    // The health of zone peers follows from their own heartbeats; a report only adds them.
     if (isOwnZone && !isNew)
         return false;
-    if (isNew && age >= options_.forgetAfter)
+    if (isNew && age >= options_.removeTimeout)
         return false;
     return apply(record, now - std::max(age, Duration::zero()), false, now);
 }
 
-bool HostTable::apply(const model::HostRecord& record, Timestamp freshAt, bool isDirect, Timestamp now)
+bool HostTable::apply(const model::HostRecord& record, Timestamp lastHeartbeatAt, bool isDirect, Timestamp now)
 {
     auto found = entries_.find(record.host);
     const bool isKnown = found != entries_.end();
@@ -125,8 +125,8 @@
         entry.view.health = HostHealth::Suspected;
     }
     entry.view.record = record;
-    entry.freshAt = freshAt;
-    entry.wasHeard = entry.wasHeard || isDirect;
+    entry.lastHeartbeatAt = lastHeartbeatAt;
+    entry.wasHeardDirectly = entry.wasHeardDirectly || isDirect;
     entry.isLinkDown = false;
     updateHealth(entry, now);
     return true;
@@ -136,14 +136,14 @@
 {
     if (host == options_.self.host)
         return;
-    linked_.insert(host);
-    if (!isInformed_ || !entries_.contains(host))
+    linkedHosts_.insert(host);
+    if (!hasOwnZoneReport_ || !entries_.contains(host))
         send(host, model::Heartbeat {nextOwnRecord()});
 }
 
 void HostTable::noteLinkDown(const HostId& host, Timestamp now)
 {
-    linked_.erase(host);
+    linkedHosts_.erase(host);
     const auto found = entries_.find(host);
     if (found == entries_.end())
         return;
@@ -155,7 +155,7 @@
 {
     for (auto& [host, entry] : entries_)
         updateHealth(entry, now);
-    forgetOld(now);
+    eraseExpired(now);
     sendHeartbeats(now);
     sendReports(now);
     forwardReports(now);
@@ -163,30 +163,31 @@
 
 HostHealth HostTable::healthAt(const Entry& entry, Timestamp now) const
 {
-    const Duration age = now - entry.freshAt;
-    if (age > options_.deadAfter)
+    const Duration age = now - entry.lastHeartbeatAt;
+    if (age > options_.deadTimeout)
         return HostHealth::Dead;
     if (entry.isLinkDown)
         return HostHealth::Suspected;
     if (isZonePeer(entry))
-        return !entry.wasHeard || age > options_.suspectAfter ? HostHealth::Suspected : HostHealth::Alive;
-    return age > RemoteSuspicionFactor * options_.suspectAfter ? HostHealth::Suspected : HostHealth::Alive;
+        return !entry.wasHeardDirectly || age > options_.suspectTimeout ? HostHealth::Suspected : HostHealth::Alive;
+    return age > RemoteSuspicionFactor * options_.suspectTimeout ? HostHealth::Suspected : HostHealth::Alive;
 }
 
 void HostTable::updateHealth(Entry& entry, Timestamp now)
 {
     const HostHealth before = entry.view.health;
-    entry.view.age = now - entry.freshAt;
+    entry.view.age = now - entry.lastHeartbeatAt;
     entry.view.health = healthAt(entry, now);
     if (entry.view.health == HostHealth::Suspected && before == HostHealth::Alive)
         count(model::Counter::HostsSuspected);
     if (entry.view.health == HostHealth::Dead)
-        clearRoom(entry.view.record);
+        clearServiceState(entry.view.record);
 }
 
-void HostTable::forgetOld(Timestamp now)
+void HostTable::eraseExpired(Timestamp now)
 {
-    std::erase_if(entries_, [&](const auto& item) { return now - item.second.freshAt > options_.forgetAfter; });
+    std::erase_if(
+        entries_, [&](const auto& item) { return now - item.second.lastHeartbeatAt > options_.removeTimeout; });
     std::erase_if(reporters_, [&](const auto& item) { return !entries_.contains(item.second); });
 }
 
--- a/src/membership/internal/hosttable.h
+++ b/src/membership/internal/hosttable.h
@@ -12,7 +12,7 @@
 
 namespace saltvane::membership {
 
-/// Hosts by id with the time of their last heartbeat; see docs/design/0005-membership.md.
+/// Keeps each host with the time of its last heartbeat; see docs/design/0005-membership.md.
 class HostTable final : public IHostTable {
 public:
     explicit HostTable(const HostTableOptions& options);
@@ -35,24 +35,25 @@
 private:
     struct Entry {
         HostView view;
-        Timestamp freshAt {}; ///< When its last heartbeat was sent or received, by this host's clock.
-        Timestamp repliedAt {}; ///< Last time it was sent everything known.
+        Timestamp lastHeartbeatAt {}; ///< Time of its last heartbeat by this host's clock; a reported one counts from
+                                      ///< its sending.
+        Timestamp lastFullReplyAt {}; ///< When it was last sent all known records.
         bool isLinkDown = false; ///< Until the next heartbeat.
-        bool wasHeard = false; ///< A heartbeat came from it directly.
+        bool wasHeardDirectly = false; ///< A heartbeat was received from the host itself.
     };
     using Entries = std::map<HostId, Entry>;
 
-    bool apply(const model::HostRecord& record, Timestamp freshAt, bool isDirect, Timestamp now);
+    bool apply(const model::HostRecord& record, Timestamp lastHeartbeatAt, bool isDirect, Timestamp now);
     bool applyReported(const model::HostRecord& record, Duration age, Timestamp now);
     void updateHealth(Entry& entry, Timestamp now);
     [[nodiscard]] HostHealth healthAt(const Entry& entry, Timestamp now) const;
     [[nodiscard]] bool isZonePeer(const Entry& entry) const;
-    void forgetOld(Timestamp now);
+    void eraseExpired(Timestamp now);
 
     void sendHeartbeats(Timestamp now);
     void sendReports(Timestamp now);
     void forwardReports(Timestamp now);
-    void replyWithEverything(const HostId& to, Timestamp now);
+    void sendAllRecords(const HostId& to, Timestamp now);
     void send(const HostId& to, model::Message message);
     [[nodiscard]] model::HostRecord nextOwnRecord();
     [[nodiscard]] model::ZoneReport reportOf(const ZoneName& zone, Timestamp now);
@@ -66,10 +67,10 @@
     HostTableOptions options_;
     model::HostRecord own_;
     Entries entries_;
-    std::map<ZoneName, HostId> reporters_; ///< Last sender of each other zone's own report.
+    std::map<ZoneName, HostId> reporters_; ///< The host that last sent the report of its own zone, for each other zone.
     std::set<ZoneName> zonesToForward_;
-    std::set<HostId> linked_;
-    bool isInformed_ = false; ///< A report of the own zone came.
+    std::set<HostId> linkedHosts_;
+    bool hasOwnZoneReport_ = false; ///< A report of this host's zone was received.
     Timestamp nextHeartbeatAt_ {};
     Timestamp nextReportAt_ {};
     Timestamp nextDiscoveryAt_ {};
--- a/src/membership/internal/hosttablepeers.cpp
+++ b/src/membership/internal/hosttablepeers.cpp
@@ -8,22 +8,22 @@
 #include <algorithm>
 #include <utility>
 
-/// What the host table sends and to whom.
+/// Messages and peers of the host table.
 namespace saltvane::membership {
 
 namespace {
-/// A zone's relay repeats its own zone's report to its zone this often, so that peers find each other.
-constexpr Duration DiscoveryPeriod = 1s;
+/// Interval at which a relay sends the report of its zone to the hosts of that zone, so that they find each other.
+constexpr Duration DiscoveryInterval = 1s;
 } // namespace
 
 void HostTable::sendHeartbeats(Timestamp now)
 {
     if (now < nextHeartbeatAt_)
         return;
-    nextHeartbeatAt_ = now + options_.heartbeatPeriod;
+    nextHeartbeatAt_ = now + options_.heartbeatInterval;
     std::set<HostId> receivers = zonePeers();
-    for (const HostId& host : linked_) {
-        if (!isInformed_ || !entries_.contains(host))
+    for (const HostId& host : linkedHosts_) {
+        if (!hasOwnZoneReport_ || !entries_.contains(host))
             receivers.insert(host);
     }
     const model::HostRecord record = nextOwnRecord();
@@ -35,7 +35,7 @@
 {
     if (now < nextReportAt_)
         return;
-    nextReportAt_ = now + options_.reportPeriod;
+    nextReportAt_ = now + options_.reportInterval;
     if (!isRelay())
         return;
     const model::ZoneReport report = reportOf(options_.self.zone, now);
@@ -43,7 +43,7 @@
         send(host, report);
     if (now < nextDiscoveryAt_)
         return;
-    nextDiscoveryAt_ = now + DiscoveryPeriod;
+    nextDiscoveryAt_ = now + DiscoveryInterval;
     for (const HostId& host : zonePeers())
         send(host, report);
 }
@@ -61,7 +61,7 @@
     }
 }
 
-void HostTable::replyWithEverything(const HostId& to, Timestamp now)
+void HostTable::sendAllRecords(const HostId& to, Timestamp now)
 {
     send(to, model::Heartbeat {nextOwnRecord()});
     for (const ZoneName& zone : knownZones())
@@ -80,11 +80,11 @@
 {
     model::ZoneReport report {.zone = zone, .relay = options_.self.host};
     for (const auto& [host, entry] : entries_) {
-        // A dead host's room is gone from its record, so the record is not passed on.
+        // The capacity of a dead host has been cleared from its record, so the record must not be passed on.
         if (entry.view.record.zone != zone || entry.view.health == HostHealth::Dead)
             continue;
         report.hosts.push_back(entry.view.record);
-        report.ages.push_back(now - entry.freshAt);
+        report.ages.push_back(now - entry.lastHeartbeatAt);
     }
     if (zone == options_.self.zone) {
         report.hosts.push_back(nextOwnRecord());
@@ -124,7 +124,7 @@
             contacts.insert(reporter->second);
         return contacts;
     }
-    // Nobody there seems alive: any of them may be the first that can be reached again.
+    // No host of the zone is alive: any of them may be the first to become reachable again.
     for (const auto& [host, entry] : entries_) {
         if (entry.view.record.zone == zone)
             contacts.insert(host);
--- a/src/membership/internal/ownerchoice.cpp
+++ b/src/membership/internal/ownerchoice.cpp
@@ -12,17 +12,17 @@
 
 namespace {
 
-/// A target sent to a host shows in that host's heartbeats after this time at the latest.
-constexpr Duration SentMemory = 1s;
-constexpr Duration UnresponsiveMemory = 5s;
-constexpr uint32_t LeastImbalance = 2; // With 1, a hand-over would only swap the two loads.
+/// A target assigned to a host appears in the heartbeats of that host after at most this time.
+constexpr Duration AssignmentRetention = 1s;
+constexpr Duration UnresponsiveBackoff = 5s;
+constexpr uint32_t MinImbalance = 2; // With 1, a hand-over would only swap the two loads.
 
 } // namespace
 
 OwnerChoice::OwnerChoice(const TargetDirectoryOptions& options)
     : self_(options.self)
     , hosts_(options.hosts)
-    , allowedImbalance_(std::max(options.allowedImbalance, LeastImbalance))
+    , allowedImbalance_(std::max(options.allowedImbalance, MinImbalance))
 {
 }
 
@@ -65,8 +65,8 @@
         if (room.service == service)
             load += room.targets;
     }
-    for (const auto& [target, sent] : sent_) {
-        if (sent.host == record.host && sent.service == service && now < sent.until)
+    for (const auto& [target, assignment] : recentAssignments_) {
+        if (assignment.host == record.host && assignment.service == service && now < assignment.expiresAt)
             ++load;
     }
     return load;
@@ -77,8 +77,8 @@
     std::vector<OwnerCandidate> candidates;
     for (const model::HostRecord& record : suitableHosts(announcement.zone)) {
         const auto unresponsive = unresponsiveUntil_.find(record.host);
-        const bool isAnswering = unresponsive == unresponsiveUntil_.end() || now >= unresponsive->second;
-        if (record.host == self_.host || !isAnswering)
+        const bool isResponsive = unresponsive == unresponsiveUntil_.end() || now >= unresponsive->second;
+        if (record.host == self_.host || !isResponsive)
             continue;
         const uint32_t load = loadOf(record, announcement.service, now);
         candidates.push_back({record.host, record.incarnation, record.entryAddress, load});
@@ -86,7 +86,7 @@
     return candidates;
 }
 
-std::optional<OwnerCandidate> OwnerChoice::leastLaden(const Announcement& announcement, Timestamp now) const
+std::optional<OwnerCandidate> OwnerChoice::leastLoaded(const Announcement& announcement, Timestamp now) const
 {
     const std::vector<OwnerCandidate> candidates = others(announcement, now);
     const auto least = std::ranges::min_element(candidates, {}, &OwnerCandidate::load);
@@ -115,28 +115,30 @@
 std::optional<OwnerCandidate> OwnerChoice::chooseOther(
     const Announcement& announcement, uint32_t ownLoad, Timestamp now) const
 {
-    const std::optional<OwnerCandidate> least = leastLaden(announcement, now);
+    const std::optional<OwnerCandidate> least = leastLoaded(announcement, now);
     if (!least || !isSuitable(announcement))
         return least;
-    // Views of load differ by a heartbeat: the margin keeps two hosts from sending a target to and fro.
+    // The hosts' views of load differ by up to one heartbeat: the margin keeps two hosts from passing a target back and
+    // forth.
     if (ownLoad < least->load + allowedImbalance_)
         return std::nullopt;
     return least;
 }
 
-void OwnerChoice::noteSent(const TargetId& target, const ServiceName& service, const HostId& host, Timestamp now)
+void OwnerChoice::recordAssignment(
+    const TargetId& target, const ServiceName& service, const HostId& host, Timestamp now)
 {
-    sent_[target] = {host, service, now + SentMemory};
+    recentAssignments_[target] = {host, service, now + AssignmentRetention};
 }
 
-void OwnerChoice::noteUnresponsive(const HostId& host, Timestamp now)
+void OwnerChoice::markUnresponsive(const HostId& host, Timestamp now)
 {
-    unresponsiveUntil_[host] = now + UnresponsiveMemory;
+    unresponsiveUntil_[host] = now + UnresponsiveBackoff;
 }
 
 void OwnerChoice::tick(Timestamp now)
 {
-    std::erase_if(sent_, [now](const auto& item) { return now >= item.second.until; });
+    std::erase_if(recentAssignments_, [now](const auto& item) { return now >= item.second.expiresAt; });
     std::erase_if(unresponsiveUntil_, [now](const auto& item) { return now >= item.second; });
 }
 
--- a/src/membership/internal/ownerchoice.h
+++ b/src/membership/internal/ownerchoice.h
@@ -16,36 +16,37 @@
     HostId host;
     Incarnation incarnation;
     model::Address entryAddress;
-    uint32_t load = 0; ///< Targets of the service it owns or is about to own.
+    uint32_t load = 0; ///< Number of targets of the service that it owns or is about to own.
 };
 
-/// Chooses owners by load among the serving hosts of a target's zone, or of its region where the zone has none.
+/// Chooses owners by load among the serving hosts of a target's zone or, if the zone has none, of its region.
 class OwnerChoice {
 public:
     explicit OwnerChoice(const TargetDirectoryOptions& options);
 
     /// Hosts other than this one that may own the target, by id.
     [[nodiscard]] std::vector<OwnerCandidate> others(const Announcement& announcement, Timestamp now) const;
-    /// The least laden of them, ties by id.
-    [[nodiscard]] std::optional<OwnerCandidate> leastLaden(const Announcement& announcement, Timestamp now) const;
-    /// The zone peer that says it owns the target, and so may still reach a former process of it. Null where none does.
+    /// The least loaded of them; ties by id.
+    [[nodiscard]] std::optional<OwnerCandidate> leastLoaded(const Announcement& announcement, Timestamp now) const;
+    /// The host whose record lists the target as owned, and which so may still reach a former process of it; null if
+    /// there is none.
     [[nodiscard]] const HostView* claimant(const Announcement& announcement) const;
-    /// Whether this host is among those that should own the target.
+    /// True if this host is among those that may own the target.
     [[nodiscard]] bool isSuitable(const Announcement& announcement) const;
-    /// Owner for a target that has none; no value where this host should take it.
+    /// The host that should own a target without an owner; nullopt if this host should take it.
     [[nodiscard]] std::optional<OwnerCandidate> chooseOther(
         const Announcement& announcement, uint32_t ownLoad, Timestamp now) const;
-    /// Counts the target as the host's until its heartbeats can show it.
-    void noteSent(const TargetId& target, const ServiceName& service, const HostId& host, Timestamp now);
-    /// The host did not answer a hand-over: it is offered none for a while.
-    void noteUnresponsive(const HostId& host, Timestamp now);
+    /// Adds the target to the load of the host until its heartbeats can show it.
+    void recordAssignment(const TargetId& target, const ServiceName& service, const HostId& host, Timestamp now);
+    /// The host did not answer a hand-over: it is no candidate for a while.
+    void markUnresponsive(const HostId& host, Timestamp now);
     void tick(Timestamp now);
 
 private:
-    struct Sent {
+    struct Assignment {
         HostId host;
         ServiceName service;
-        Timestamp until {};
+        Timestamp expiresAt {};
     };
 
     [[nodiscard]] std::vector<model::HostRecord> suitableHosts(const ZoneName& zone) const;
@@ -55,7 +56,7 @@
     HostIdentity self_;
     const IHostTable* hosts_;
     uint32_t allowedImbalance_;
-    std::map<TargetId, Sent> sent_;
+    std::map<TargetId, Assignment> recentAssignments_;
     std::map<HostId, Timestamp> unresponsiveUntil_;
 };
 
--- a/src/membership/internal/retiredtargets.cpp
+++ b/src/membership/internal/retiredtargets.cpp
@@ -12,24 +12,24 @@
 {
 }
 
-bool RetiredTargets::note(const model::TargetIncarnation& start)
+bool RetiredTargets::note(const model::TargetIncarnation& instance)
 {
-    if (contains(start))
+    if (contains(instance))
         return false;
-    latest_.insert_or_assign(start.target, start.incarnation);
-    order_.push_back(start);
+    latest_.insert_or_assign(instance.target, instance.incarnation);
+    order_.push_back(instance);
     if (order_.size() > capacity_)
-        forgetOldest();
+        eraseOldest();
     return true;
 }
 
-bool RetiredTargets::contains(const model::TargetIncarnation& start) const
+bool RetiredTargets::contains(const model::TargetIncarnation& instance) const
 {
-    const auto found = latest_.find(start.target);
-    return found != latest_.end() && found->second >= start.incarnation;
+    const auto found = latest_.find(instance.target);
+    return found != latest_.end() && found->second >= instance.incarnation;
 }
 
-void RetiredTargets::forgetOldest()
+void RetiredTargets::eraseOldest()
 {
     const model::TargetIncarnation oldest = order_.front();
     order_.pop_front();
--- a/src/membership/internal/suspectoutbox.cpp
+++ b/src/membership/internal/suspectoutbox.cpp
@@ -11,13 +11,13 @@
 
 void SuspectOutbox::add(const model::RequestDigest& digest, const SuspectTable& table)
 {
-    const bool isUrgent = table.isBlamed(digest);
+    const bool isBlamed = table.isBlamed(digest);
     const bool isNew = queued_.insert(digest).second;
-    if (!isNew && !isUrgent)
+    if (!isNew && !isBlamed)
         return;
     if (!isNew)
         std::erase(queue_, digest);
-    if (isUrgent)
+    if (isBlamed)
         queue_.push_front(digest);
     else
         queue_.push_back(digest);
@@ -25,18 +25,18 @@
 
 std::vector<model::SuspectRequest> SuspectOutbox::take(const SuspectTable& table, Timestamp now)
 {
-    balance_ = std::min(options_.burst, balance_ + toSeconds(now - filledAt_) * options_.perSecond);
-    filledAt_ = now;
-    std::vector<model::SuspectRequest> words;
-    for (; !queue_.empty() && balance_ >= 1; queue_.pop_front()) {
+    availableTokens_ = std::min(options_.burst, availableTokens_ + toSeconds(now - refilledAt_) * options_.perSecond);
+    refilledAt_ = now;
+    std::vector<model::SuspectRequest> updates;
+    for (; !queue_.empty() && availableTokens_ >= 1; queue_.pop_front()) {
         queued_.erase(queue_.front());
-        std::optional<model::SuspectRequest> word = table.wordOf(queue_.front(), now);
-        if (!word)
-            continue; // Forgotten meanwhile.
-        balance_ -= 1;
-        words.push_back(*std::move(word));
+        std::optional<model::SuspectRequest> update = table.wordOf(queue_.front(), now);
+        if (!update)
+            continue; // Removed from the table in the meantime.
+        availableTokens_ -= 1;
+        updates.push_back(*std::move(update));
     }
-    return words;
+    return updates;
 }
 
 } // namespace saltvane::membership
--- a/src/membership/internal/suspecttable.cpp
+++ b/src/membership/internal/suspecttable.cpp
@@ -14,24 +14,23 @@
 
 namespace {
 
-/// Chance at most that a harmless request is blamed after that many runs in a row. Callers are owed that fewer than one
-/// in 500 is refused wrongly; most requests are never sent three times.
-constexpr double MostWrongVerdicts = 0.001;
-/// How seldom runs end with their targets can be measured on a few hundred of them only: rarer than this is not
-/// believed.
-constexpr double LeastUsualShare = 0.02;
-/// The largest at which MostEnds are enough: 0.42 to the power of 8 is one in a thousand.
-constexpr double MostUsualShare = 0.42;
-/// Times of two gateways are compared by way of messages, which are under way for up to 35 ms between regions; two runs
-/// in a row are apart by a caller's round trip at least.
+/// Maximum probability that a harmless request is blamed after its consecutive runs. Callers are promised that fewer
+/// than one request in 500 is refused wrongly; most requests are never sent three times.
+constexpr double MaxWrongBlameProbability = 0.001;
+/// The fraction of runs with a target failure is measured on a few hundred runs only, so lower values are not reliable.
+constexpr double MinUsualShare = 0.02;
+/// Highest value at which MaxFailures failures suffice for a verdict: 0.42 to the power of 8 is one in a thousand.
+constexpr double MaxUsualShare = 0.42;
+/// Times of two gateways are compared by messages, which take up to 35 ms between regions. Two consecutive runs are at
+/// least one round trip of the caller apart.
 constexpr Duration ClockTolerance = 20ms;
-/// After the verdict, and after the first trial: a wrong verdict is undone by a caller's own try within a minute, and a
-/// right one costs two targets more in eleven minutes, and none after that.
-constexpr std::array<Duration, 2> TrialAfter {60s, 10min};
-/// A blamed request that nobody asked for meanwhile may make room for another one.
-constexpr Duration LiveFor = 10min;
-/// That it is still asked for is told again.
-constexpr Duration AskTellPeriod = 5min;
+/// Delay of the first trial after the verdict, and of the second after the first. A wrong verdict is withdrawn by a
+/// caller's own attempt after a minute; a right one costs two more targets within eleven minutes and none after that.
+constexpr std::array<Duration, 2> TrialDelays {60s, 10min};
+/// A blamed request that no caller has sent for this long may be evicted for another one.
+constexpr Duration ActivePeriod = 10min;
+/// Interval at which other hosts are told that a blamed request is still in use.
+constexpr Duration UseReportInterval = 5min;
 
 } // namespace
 
@@ -56,12 +55,12 @@
 
 SuspectTable::Entries& SuspectTable::listOf(const Entry& entry)
 {
-    return entry.isBlamed || entry.ends.size() > 1 ? repeated_ : lone_;
+    return entry.isBlamed || entry.failures.size() > 1 ? repeatedFailures_ : singleFailures_;
 }
 
 void SuspectTable::touch(Entry& entry, Timestamp at)
 {
-    entry.askedAt = std::max(entry.askedAt, at);
+    entry.lastRequestedAt = std::max(entry.lastRequestedAt, at);
     entry.hook.unlink();
     listOf(entry).push_back(entry);
 }
@@ -69,21 +68,21 @@
 void SuspectTable::remove(Entry& entry)
 {
     verdictChanges_ += entry.isBlamed ? 1 : 0;
-    forgetCulprit(entry);
+    eraseAttributions(entry);
     entries_.erase(model::RequestDigest(entry.digest));
 }
 
-/// What is asked for is never pushed out by what is new.
-bool SuspectTable::makeRoom(Timestamp now)
+bool SuspectTable::evictOne(Timestamp now)
 {
-    if (!lone_.empty()) {
-        remove(lone_.front());
+    if (!singleFailures_.empty()) {
+        remove(singleFailures_.front());
         return true;
     }
-    const bool isOldestLive = repeated_.empty() || now - repeated_.front().askedAt < LiveFor;
-    if (isOldestLive)
+    const bool isOldestInUse
+        = repeatedFailures_.empty() || now - repeatedFailures_.front().lastRequestedAt < ActivePeriod;
+    if (isOldestInUse)
         return false;
-    remove(repeated_.front());
+    remove(repeatedFailures_.front());
     return true;
 }
 
@@ -91,98 +90,101 @@
 {
     if (Entry* known = find(digest))
         return known;
-    if (entries_.size() >= limits_.entries && !makeRoom(now))
+    if (entries_.size() >= limits_.entries && !evictOne(now))
         return nullptr;
     Entry& entry = entries_[digest];
     entry.digest = digest;
-    entry.askedAt = now;
+    entry.lastRequestedAt = now;
     return &entry;
 }
 
-bool SuspectTable::addEnd(Entry& entry, const End& end)
+bool SuspectTable::addFailure(Entry& entry, const TargetFailure& failure)
 {
-    if (std::ranges::find(entry.ends, end.target, &End::target) != entry.ends.end())
+    if (std::ranges::find(entry.failures, failure.target, &TargetFailure::target) != entry.failures.end())
         return false;
-    const auto isEarlier = [](const End& left, const End& right) { return left.endedAt < right.endedAt; };
-    entry.ends.insert(std::ranges::upper_bound(entry.ends, end, isEarlier), end);
-    if (entry.ends.size() > MostEnds) {
-        culprits_.erase(entry.ends.front().target);
-        entry.ends.erase(entry.ends.begin());
+    const auto isEarlier
+        = [](const TargetFailure& left, const TargetFailure& right) { return left.endedAt < right.endedAt; };
+    entry.failures.insert(std::ranges::upper_bound(entry.failures, failure, isEarlier), failure);
+    if (entry.failures.size() > MaxFailures) {
+        blamedRequestByTarget_.erase(entry.failures.front().target);
+        entry.failures.erase(entry.failures.begin());
     }
     return true;
 }
 
-/// A zone's loss ends many runs of one request at once, which says no more against it than one end. So a run counts
-/// only if it was sent once the one counted before it had ended.
+/// The loss of a zone fails many runs of one request at once, which is no stronger evidence than a single failure. So a
+/// run counts only if it was sent after the previously counted one had failed.
 size_t SuspectTable::endsInARow(const Entry& entry) const
 {
     size_t count = 0;
     Timestamp last = Timestamp::min();
-    for (const End& end : entry.ends) {
-        if (isExplained(entry, end))
+    for (const TargetFailure& failure : entry.failures) {
+        if (isAttributedToOther(entry, failure))
             continue;
-        const bool isAfter = count == 0 || end.sentAt + ClockTolerance >= last;
+        const bool isAfter = count == 0 || failure.sentAt + ClockTolerance >= last;
         if (!isAfter)
             continue;
         ++count;
-        last = end.endedAt;
+        last = failure.endedAt;
     }
     return count;
 }
 
-void SuspectTable::judge(Entry& entry, Timestamp now)
+void SuspectTable::evaluate(Entry& entry, Timestamp now)
 {
     if (entry.isBlamed)
-        return claimEnds(entry);
-    double usual = LeastUsualShare;
-    for (const End& end : entry.ends)
-        usual = std::max(usual, std::min(end.usualShare, MostUsualShare));
-    const size_t inARow = endsInARow(entry);
-    if (inARow < LeastEnds || std::pow(usual, static_cast<double>(inARow)) > MostWrongVerdicts)
+        return attributeFailures(entry);
+    double expectedShare = MinUsualShare;
+    for (const TargetFailure& failure : entry.failures)
+        expectedShare = std::max(expectedShare, std::min(failure.usualShare, MaxUsualShare));
+    const size_t failureCount = endsInARow(entry);
+    if (failureCount < MinFailures
+        || std::pow(expectedShare, static_cast<double>(failureCount)) > MaxWrongBlameProbability)
         return;
     blame(entry, now);
 }
 
-void SuspectTable::blame(Entry& entry, Timestamp restsSince)
+void SuspectTable::blame(Entry& entry, Timestamp backoffSince)
 {
     entry.isBlamed = true;
-    entry.restsSince = restsSince;
+    entry.backoffSince = backoffSince;
     ++verdictChanges_;
-    touch(entry, entry.askedAt);
-    claimEnds(entry);
+    touch(entry, entry.lastRequestedAt);
+    attributeFailures(entry);
 }
 
-void SuspectTable::claimEnds(const Entry& entry)
+void SuspectTable::attributeFailures(const Entry& entry)
 {
-    for (const End& end : entry.ends) {
-        const auto [place, isNew] = culprits_.try_emplace(end.target, entry.digest);
-        const Entry* other = isNew ? nullptr : find(place->second);
-        if (other == nullptr || !other->isBlamed || other->ends.size() < entry.ends.size())
-            place->second = entry.digest;
+    for (const TargetFailure& failure : entry.failures) {
+        const auto [position, isNew] = blamedRequestByTarget_.try_emplace(failure.target, entry.digest);
+        const Entry* other = isNew ? nullptr : find(position->second);
+        if (other == nullptr || !other->isBlamed || other->failures.size() < entry.failures.size())
+            position->second = entry.digest;
     }
-    clearExplained();
+    clearWronglyBlamed();
 }
 
-bool SuspectTable::isExplained(const Entry& entry, const End& end) const
+bool SuspectTable::isAttributedToOther(const Entry& entry, const TargetFailure& failure) const
 {
-    const auto culprit = culprits_.find(end.target);
-    return culprit != culprits_.end() && culprit->second != entry.digest && isBlamed(culprit->second);
+    const auto blamedRequest = blamedRequestByTarget_.find(failure.target);
+    return blamedRequest != blamedRequestByTarget_.end() && blamedRequest->second != entry.digest
+        && isBlamed(blamedRequest->second);
 }
 
-/// Requests that ran beside fatal ones, on the same targets at the same moments, may have been blamed before them: all
-/// come again after each end. The fatal ones go on to end targets, until all ends of the others are explained by
-/// theirs.
-void SuspectTable::clearExplained()
+/// Callers retry all requests after each target failure, so a harmless request that ran on the same targets at the same
+/// times as a fatal one may be blamed first. The fatal one goes on to fail targets until it accounts for all failures
+/// of the harmless one, which is then cleared.
+void SuspectTable::clearWronglyBlamed()
 {
-    std::vector<Entry*> cleared;
-    for (Entry& entry : repeated_) {
-        const auto isOthers = [&](const End& end) { return isExplained(entry, end); };
-        if (entry.isBlamed && !entry.ends.empty() && std::ranges::all_of(entry.ends, isOthers))
-            cleared.push_back(&entry);
+    std::vector<Entry*> wronglyBlamed;
+    for (Entry& entry : repeatedFailures_) {
+        const auto isAttributed = [&](const TargetFailure& failure) { return isAttributedToOther(entry, failure); };
+        if (entry.isBlamed && !entry.failures.empty() && std::ranges::all_of(entry.failures, isAttributed))
+            wronglyBlamed.push_back(&entry);
     }
-    for (Entry* other : cleared) {
+    for (Entry* other : wronglyBlamed) {
         startEpoch(*other, other->epoch + 1);
-        explained_.push_back(other->digest);
+        cleared_.push_back(other->digest);
     }
 }
 
@@ -192,72 +194,72 @@
     entry.epoch = epoch;
     entry.isBlamed = false;
     entry.trials = 0;
-    entry.restsSince = {};
-    forgetCulprit(entry);
-    entry.ends.clear();
+    entry.backoffSince = {};
+    eraseAttributions(entry);
+    entry.failures.clear();
 }
 
-void SuspectTable::forgetCulprit(const Entry& entry)
+void SuspectTable::eraseAttributions(const Entry& entry)
 {
-    for (const End& end : entry.ends) {
-        const auto culprit = culprits_.find(end.target);
-        if (culprit != culprits_.end() && culprit->second == entry.digest)
-            culprits_.erase(culprit);
+    for (const TargetFailure& failure : entry.failures) {
+        const auto blamedRequest = blamedRequestByTarget_.find(failure.target);
+        if (blamedRequest != blamedRequestByTarget_.end() && blamedRequest->second == entry.digest)
+            blamedRequestByTarget_.erase(blamedRequest);
     }
 }
 
-bool SuspectTable::noteEnd(const model::RequestDigest& digest, const End& end, Timestamp now)
+bool SuspectTable::noteEnd(const model::RequestDigest& digest, const TargetFailure& failure, Timestamp now)
 {
     Entry* entry = add(digest, now);
-    if (entry == nullptr || !addEnd(*entry, end))
+    if (entry == nullptr || !addFailure(*entry, failure))
         return false;
     touch(*entry, now);
-    judge(*entry, now);
+    evaluate(*entry, now);
     return true;
 }
 
 bool SuspectTable::noteAnswered(const model::RequestDigest& digest, Timestamp now)
 {
     Entry* entry = find(digest);
-    if (entry == nullptr || (entry->ends.empty() && !entry->isBlamed))
+    if (entry == nullptr || (entry->failures.empty() && !entry->isBlamed))
         return false;
     startEpoch(*entry, entry->epoch + 1);
     touch(*entry, now);
     return true;
 }
 
-bool SuspectTable::merge(const model::SuspectRequest& told, Timestamp now)
+bool SuspectTable::merge(const model::SuspectRequest& update, Timestamp now)
 {
-    Entry* entry = find(told.digest);
-    const bool isVoid = told.ends.empty() && !told.isBlamed;
-    if (entry == nullptr && isVoid)
-        return false; // Nothing is known of it that could be void.
-    entry = add(told.digest, now - told.askedAgo);
-    if (entry == nullptr || told.epoch < entry->epoch)
+    Entry* entry = find(update.digest);
+    const bool isCleared = update.ends.empty() && !update.isBlamed;
+    if (entry == nullptr && isCleared)
+        return false; // There is no entry to clear.
+    entry = add(update.digest, now - update.askedAgo);
+    if (entry == nullptr || update.epoch < entry->epoch)
         return false;
-    bool isNews = told.epoch > entry->epoch;
-    if (isNews)
-        startEpoch(*entry, told.epoch);
-    for (const model::TargetEnd& end : told.ends) {
-        isNews |= addEnd(*entry,
-            {.target = end.target,
-                .sentAt = now - end.sentAgo,
-                .endedAt = now - end.endedAgo,
-                .usualShare = end.usualShare});
+    bool isNew = update.epoch > entry->epoch;
+    if (isNew)
+        startEpoch(*entry, update.epoch);
+    for (const model::TargetEnd& failure : update.ends) {
+        isNew |= addFailure(*entry,
+            {.target = failure.target,
+                .sentAt = now - failure.sentAgo,
+                .endedAt = now - failure.endedAgo,
+                .usualShare = failure.usualShare});
     }
-    isNews |= now - told.askedAgo > entry->askedAt + AskTellPeriod / 2;
-    touch(*entry, now - told.askedAgo);
-    if (told.isBlamed && !entry->isBlamed) {
-        blame(*entry, now - told.restingFor);
-        isNews = true;
+    isNew |= now - update.askedAgo > entry->lastRequestedAt + UseReportInterval / 2;
+    touch(*entry, now - update.askedAgo);
+    if (update.isBlamed && !entry->isBlamed) {
+        blame(*entry, now - update.restingFor);
+        isNew = true;
     }
-    if (told.trials > entry->trials) {
-        entry->trials = told.trials;
-        entry->restsSince = now - told.restingFor;
-        isNews = true;
+    if (update.trials > entry->trials) {
+        entry->trials = update.trials;
+        entry->backoffSince = now - update.restingFor;
+        isNew = true;
     }
-    judge(*entry, now);
-    return isNews;
+    evaluate(*entry, now);
+    return isNew;
 }
 
 size_t SuspectTable::endsInARow(const model::RequestDigest& digest) const
@@ -269,9 +271,9 @@
 std::optional<Timestamp> SuspectTable::firstEndAt(const model::RequestDigest& digest) const
 {
     const Entry* entry = find(digest);
-    if (entry == nullptr || entry->ends.empty())
+    if (entry == nullptr || entry->failures.empty())
         return std::nullopt;
-    return entry->ends.front().endedAt;
+    return entry->failures.front().endedAt;
 }
 
 bool SuspectTable::isBlamed(const model::RequestDigest& digest) const
@@ -285,9 +287,9 @@
     const Entry* entry = find(digest);
     if (entry == nullptr || !entry->isBlamed)
         return Duration::zero();
-    if (entry->trials >= TrialAfter.size())
-        return Memory;
-    return std::max(Duration::zero(), entry->restsSince + TrialAfter.at(entry->trials) - now);
+    if (entry->trials >= TrialDelays.size())
+        return RetentionTime;
+    return std::max(Duration::zero(), entry->backoffSince + TrialDelays.at(entry->trials) - now);
 }
 
 void SuspectTable::noteTrial(const model::RequestDigest& digest, Timestamp now)
@@ -296,7 +298,7 @@
     if (entry == nullptr)
         return;
     ++entry->trials;
-    entry->restsSince = now;
+    entry->backoffSince = now;
     touch(*entry, now);
 }
 
@@ -306,26 +308,26 @@
     if (entry == nullptr)
         return false;
     touch(*entry, now);
-    const bool isDue = now - std::max(entry->askToldAt, entry->restsSince) >= AskTellPeriod;
-    if (isDue)
-        entry->askToldAt = now;
-    return isDue;
+    const bool isTimeToReport = now - std::max(entry->useReportedAt, entry->backoffSince) >= UseReportInterval;
+    if (isTimeToReport)
+        entry->useReportedAt = now;
+    return isTimeToReport;
 }
 
 model::SuspectRequest SuspectTable::wordOf(const Entry& entry, Timestamp now)
 {
-    model::SuspectRequest word {.digest = entry.digest,
+    model::SuspectRequest update {.digest = entry.digest,
         .epoch = entry.epoch,
         .isBlamed = entry.isBlamed,
         .trials = entry.trials,
-        .restingFor = entry.isBlamed ? now - entry.restsSince : Duration::zero(),
-        .askedAgo = now - entry.askedAt};
-    for (const End& end : entry.ends)
-        word.ends.push_back({.target = end.target,
-            .sentAgo = now - end.sentAt,
-            .endedAgo = now - end.endedAt,
-            .usualShare = end.usualShare});
-    return word;
+        .restingFor = entry.isBlamed ? now - entry.backoffSince : Duration::zero(),
+        .askedAgo = now - entry.lastRequestedAt};
+    for (const TargetFailure& failure : entry.failures)
+        update.ends.push_back({.target = failure.target,
+            .sentAgo = now - failure.sentAt,
+            .endedAgo = now - failure.endedAt,
+            .usualShare = failure.usualShare});
+    return update;
 }
 
 std::optional<model::SuspectRequest> SuspectTable::wordOf(const model::RequestDigest& digest, Timestamp now) const
@@ -338,23 +340,24 @@
 
 std::vector<model::SuspectRequest> SuspectTable::blamed(Timestamp now) const
 {
-    std::vector<model::SuspectRequest> words;
-    for (const Entry& entry : repeated_) {
+    std::vector<model::SuspectRequest> updates;
+    for (const Entry& entry : repeatedFailures_) {
         if (entry.isBlamed)
-            words.push_back(wordOf(entry, now));
+            updates.push_back(wordOf(entry, now));
     }
-    return words;
+    return updates;
 }
 
 size_t SuspectTable::blamedCount() const
 {
-    return static_cast<size_t>(std::ranges::count_if(repeated_, [](const Entry& entry) { return entry.isBlamed; }));
+    return static_cast<size_t>(
+        std::ranges::count_if(repeatedFailures_, [](const Entry& entry) { return entry.isBlamed; }));
 }
 
 void SuspectTable::expire(Timestamp now)
 {
-    for (Entries* list : {&lone_, &repeated_}) {
-        while (!list->empty() && now - list->front().askedAt >= Memory)
+    for (Entries* list : {&singleFailures_, &repeatedFailures_}) {
+        while (!list->empty() && now - list->front().lastRequestedAt >= RetentionTime)
             remove(list->front());
     }
 }
--- a/src/membership/internal/targetdirectory.cpp
+++ b/src/membership/internal/targetdirectory.cpp
@@ -12,17 +12,17 @@
 
 namespace {
 
-/// An offered lease holds once it is echoed, so the target announces again at once.
+/// An offered lease is in force once it is echoed, so the target is to announce again at once.
 constexpr Duration ConfirmDelay = 5ms;
-/// Between a redirection and the next announcement; bounds the rate when views of hosts differ.
+/// Delay of the next announcement after a redirect; limits their rate while the hosts' views differ.
 constexpr Duration RedirectDelay = 20ms;
-constexpr Duration ForgetAfter = 60s;
+constexpr Duration EntryTimeout = 60s;
 
 } // namespace
 
 TargetDirectory::TargetDirectory(const TargetDirectoryOptions& options)
     : options_(options)
-    , choice_(options)
+    , ownerChoice_(options)
 {
 }
 
@@ -33,19 +33,19 @@
     if (!update(entry, announcement, now)) {
         count(model::Counter::AnnouncementsRefused);
         count(model::Counter::StaleMessages);
-        return keep(options_.announcePeriod);
+        return keepLease(options_.announceInterval);
     }
     if (entry.isOwned && now >= entry.ownedUntil)
-        lose(entry);
+        loseOwnership(entry);
     if (namesThisHost(announcement))
         return answerOwnLease(entry, now);
-    // The target holds another lease or none: nothing granted here can count any more.
-    lose(entry);
+    // The target has another lease or none: no lease granted here can be in force any more.
+    loseOwnership(entry);
     entry.grants.clear();
     entry.successor.reset();
-    if (!isLeaseOver(announcement))
-        return answerHeldElsewhere(entry);
-    return answerFree(entry, now);
+    if (!isLeaseExpired(announcement))
+        return answerLeasedElsewhere(entry);
+    return answerUnleased(entry, now);
 }
 
 bool TargetDirectory::update(TargetEntry& entry, const Announcement& announcement, Timestamp now)
@@ -56,11 +56,11 @@
     if (announcement.incarnation == known.incarnation && announcement.sequence <= known.sequence)
         return false;
     if (announcement.incarnation > known.incarnation) {
-        lose(entry);
+        loseOwnership(entry);
         entry = {};
     }
     entry.announcement = announcement;
-    entry.heardAt = now;
+    entry.lastAnnouncedAt = now;
     if (entry.reportedUse > announcement.busySlots)
         entry.reportedUse = announcement.busySlots;
     return true;
@@ -72,7 +72,7 @@
         && announcement.leaseOwnerIncarnation == options_.self.incarnation;
 }
 
-bool TargetDirectory::isLeaseOver(const Announcement& announcement) const
+bool TargetDirectory::isLeaseExpired(const Announcement& announcement) const
 {
     return announcement.leaseOwner.isEmpty() || announcement.leaseAge > options_.lease + options_.leaseGuard;
 }
@@ -97,24 +97,24 @@
         return answerHandover(entry, now);
     }
     if (grant && now < grant->at + options_.lease) {
-        own(entry, grant->at + options_.lease, now);
-        return renew(entry, now);
+        takeOwnership(entry, grant->at + options_.lease, now);
+        return renewLease(entry, now);
     }
     if (isLeaving_ || entry.announcement.state == TargetState::Leaving)
-        return keep(options_.announcePeriod);
-    return offer(entry, now);
+        return keepLease(options_.announceInterval);
+    return offerLease(entry, now);
 }
 
-AnnouncementAnswer TargetDirectory::renew(TargetEntry& entry, Timestamp now)
+AnnouncementAnswer TargetDirectory::renewLease(TargetEntry& entry, Timestamp now)
 {
     reportOwned(entry);
-    AnnouncementAnswer answer = offer(entry, now);
+    AnnouncementAnswer answer = offerLease(entry, now);
     answer.isOwner = true;
-    answer.announceAfter = options_.announcePeriod;
+    answer.announceAfter = options_.announceInterval;
     return answer;
 }
 
-AnnouncementAnswer TargetDirectory::answerHeldElsewhere(const TargetEntry& entry) const
+AnnouncementAnswer TargetDirectory::answerLeasedElsewhere(const TargetEntry& entry) const
 {
     const Announcement& announcement = entry.announcement;
     const HostView* owner = options_.hosts->find(announcement.leaseOwner);
@@ -123,55 +123,56 @@
     if (isLiveOwner)
         return redirect(owner->record.host, owner->record.entryAddress);
     const Duration left = options_.lease + options_.leaseGuard - announcement.leaseAge;
-    return keep(std::clamp(left, ConfirmDelay, options_.announcePeriod));
+    return keepLease(std::clamp(left, ConfirmDelay, options_.announceInterval));
 }
 
-AnnouncementAnswer TargetDirectory::answerFree(TargetEntry& entry, Timestamp now)
+AnnouncementAnswer TargetDirectory::answerUnleased(TargetEntry& entry, Timestamp now)
 {
     const Announcement& announcement = entry.announcement;
     if (announcement.state == TargetState::Leaving)
-        return keep(options_.announcePeriod);
-    // A new process at the address of an old one: the old one's owner must learn of it before another may own it.
-    const HostView* claimant = announcement.leaseOwner.isEmpty() ? choice_.claimant(announcement) : nullptr;
+        return keepLease(options_.announceInterval);
+    // May be a new process at the address of an old one: the owner of the old one must learn of it before another host
+    // may own it.
+    const HostView* claimant = announcement.leaseOwner.isEmpty() ? ownerChoice_.claimant(announcement) : nullptr;
     if (claimant && claimant->health == HostHealth::Alive)
         return redirect(claimant->record.host, claimant->record.entryAddress);
     if (claimant)
-        return keep(options_.announcePeriod);
+        return keepLease(options_.announceInterval);
     const std::optional<OwnerCandidate> other = isLeaving_
-        ? choice_.leastLaden(announcement, now)
-        : choice_.chooseOther(announcement, ownLoad(announcement.service), now);
+        ? ownerChoice_.leastLoaded(announcement, now)
+        : ownerChoice_.chooseOther(announcement, ownLoad(announcement.service), now);
     if (other) {
-        choice_.noteSent(announcement.target, announcement.service, other->host, now);
+        ownerChoice_.recordAssignment(announcement.target, announcement.service, other->host, now);
         return redirect(other->host, other->entryAddress);
     }
     if (isLeaving_)
-        return keep(options_.announcePeriod);
+        return keepLease(options_.announceInterval);
     entry.isTakenOver = !announcement.leaseOwner.isEmpty();
     entry.predecessor.reset();
-    return offer(entry, now);
+    return offerLease(entry, now);
 }
 
-AnnouncementAnswer TargetDirectory::offer(TargetEntry& entry, Timestamp now)
+AnnouncementAnswer TargetDirectory::offerLease(TargetEntry& entry, Timestamp now)
 {
     entry.grants.push_back({entry.announcement.sequence, now});
-    AnnouncementAnswer answer = keep(ConfirmDelay);
+    AnnouncementAnswer answer = keepLease(ConfirmDelay);
     answer.owner = options_.self.host;
     answer.ownerIncarnation = options_.self.incarnation;
     answer.lease = options_.lease;
     return answer;
 }
 
-AnnouncementAnswer TargetDirectory::keep(Duration announceAfter) const { return {.announceAfter = announceAfter}; }
+AnnouncementAnswer TargetDirectory::keepLease(Duration announceAfter) const { return {.announceAfter = announceAfter}; }
 
 AnnouncementAnswer TargetDirectory::redirect(const HostId& host, const model::Address& address) const
 {
-    AnnouncementAnswer answer = keep(RedirectDelay);
+    AnnouncementAnswer answer = keepLease(RedirectDelay);
     answer.announceTo = host;
     answer.announceToAddress = address;
     return answer;
 }
 
-void TargetDirectory::own(TargetEntry& entry, Timestamp until, Timestamp now)
+void TargetDirectory::takeOwnership(TargetEntry& entry, Timestamp until, Timestamp now)
 {
     entry.ownedUntil = until;
     if (entry.isOwned)
@@ -180,11 +181,11 @@
     count(model::Counter::OwnershipsTaken);
     if (std::exchange(entry.isTakenOver, false) && !entry.predecessor) {
         entry.reportedUse = std::min(entry.announcement.busySlots, entry.announcement.slots);
-        entry.reportedUseUntil = now + options_.reportedUseLimit;
+        entry.reportedUseUntil = now + options_.reportedUseTimeout;
     }
 }
 
-void TargetDirectory::lose(TargetEntry& entry)
+void TargetDirectory::loseOwnership(TargetEntry& entry)
 {
     if (!entry.isOwned)
         return;
@@ -222,10 +223,10 @@
 
 void TargetDirectory::tick(Timestamp now)
 {
-    choice_.tick(now);
+    ownerChoice_.tick(now);
     for (auto& [target, entry] : entries_) {
         if (entry.isOwned && now >= entry.ownedUntil)
-            lose(entry);
+            loseOwnership(entry);
         const Timestamp oldest = now - options_.lease;
         std::erase_if(entry.grants, [oldest](const LeaseGrant& grant) { return grant.at <= oldest; });
         tickHandover(entry, now);
@@ -234,7 +235,7 @@
     }
     std::erase_if(entries_, [now](const auto& item) {
         const TargetEntry& entry = item.second;
-        return !entry.isOwned && entry.inFlight == 0 && now - entry.heardAt > ForgetAfter;
+        return !entry.isOwned && entry.inFlight == 0 && now - entry.lastAnnouncedAt > EntryTimeout;
     });
 }
 
--- a/src/membership/internal/targetdirectory.h
+++ b/src/membership/internal/targetdirectory.h
@@ -12,7 +12,7 @@
 
 namespace saltvane::membership {
 
-/// Leases of targets as this host holds, offers and hands them over; docs/design/0001-ownership-leases.md.
+/// Holds, offers and hands over leases of targets; docs/design/0001-ownership-leases.md.
 class TargetDirectory final : public ITargetDirectory {
 public:
     explicit TargetDirectory(const TargetDirectoryOptions& options);
@@ -31,19 +31,19 @@
 private:
     [[nodiscard]] bool update(TargetEntry& entry, const Announcement& announcement, Timestamp now);
     [[nodiscard]] AnnouncementAnswer answerOwnLease(TargetEntry& entry, Timestamp now);
-    [[nodiscard]] AnnouncementAnswer renew(TargetEntry& entry, Timestamp now);
+    [[nodiscard]] AnnouncementAnswer renewLease(TargetEntry& entry, Timestamp now);
     [[nodiscard]] AnnouncementAnswer answerHandover(TargetEntry& entry, Timestamp now);
-    [[nodiscard]] AnnouncementAnswer answerHeldElsewhere(const TargetEntry& entry) const;
-    [[nodiscard]] AnnouncementAnswer answerFree(TargetEntry& entry, Timestamp now);
-    [[nodiscard]] AnnouncementAnswer offer(TargetEntry& entry, Timestamp now);
-    [[nodiscard]] AnnouncementAnswer keep(Duration announceAfter) const;
+    [[nodiscard]] AnnouncementAnswer answerLeasedElsewhere(const TargetEntry& entry) const;
+    [[nodiscard]] AnnouncementAnswer answerUnleased(TargetEntry& entry, Timestamp now);
+    [[nodiscard]] AnnouncementAnswer offerLease(TargetEntry& entry, Timestamp now);
+    [[nodiscard]] AnnouncementAnswer keepLease(Duration announceAfter) const;
     [[nodiscard]] AnnouncementAnswer redirect(const HostId& host, const model::Address& address) const;
 
     [[nodiscard]] bool namesThisHost(const Announcement& announcement) const;
-    [[nodiscard]] bool isLeaseOver(const Announcement& announcement) const;
+    [[nodiscard]] bool isLeaseExpired(const Announcement& announcement) const;
     [[nodiscard]] static const LeaseGrant* confirmedGrant(TargetEntry& entry);
-    void own(TargetEntry& entry, Timestamp until, Timestamp now);
-    void lose(TargetEntry& entry);
+    void takeOwnership(TargetEntry& entry, Timestamp until, Timestamp now);
+    void loseOwnership(TargetEntry& entry);
     void reportOwned(const TargetEntry& entry);
     [[nodiscard]] uint32_t ownLoad(const ServiceName& service) const;
 
@@ -51,15 +51,15 @@
     void startHandover(TargetEntry& entry, const OwnerCandidate& candidate, Timestamp now);
     [[nodiscard]] bool isSuccessorUsable(const TargetEntry& entry, Timestamp now) const;
     void tickHandover(TargetEntry& entry, Timestamp now) const;
-    void takeProgress(TargetEntry& entry, const HostId& from, uint32_t stillInFlight);
+    void applyProgress(TargetEntry& entry, const HostId& from, uint32_t stillInFlight);
     void tickPredecessor(TargetEntry& entry, Timestamp now);
     void tickReportedUse(TargetEntry& entry, Timestamp now);
-    void sendDue(TargetEntry& entry);
+    void sendPending(TargetEntry& entry);
     void send(const HostId& to, model::Message message);
     void count(model::Counter counter) const;
 
     TargetDirectoryOptions options_;
-    OwnerChoice choice_;
+    OwnerChoice ownerChoice_;
     std::map<TargetId, TargetEntry> entries_;
     bool isLeaving_ = false;
     Timestamp nextBalanceAt_ {};
--- a/src/membership/internal/targethandovers.cpp
+++ b/src/membership/internal/targethandovers.cpp
@@ -8,28 +8,28 @@
 #include <algorithm>
 #include <utility>
 
-/// Hand-overs of targets between live hosts.
+/// Hand-overs of targets between running hosts.
 namespace saltvane::membership {
 
 namespace {
 
-/// Between the start of a hand-over and the announcement that completes it.
+/// Delay between the start of a hand-over and the announcement that completes it.
 constexpr Duration HandoverDelay = 10ms;
-/// The target goes to the successor at once: it is named in the lease already.
+/// The target announces to the successor at once, since the lease names it already.
 constexpr Duration NamedDelay = 1ms;
-/// Between two hand-overs for balance, so that heartbeats can show the first.
-constexpr Duration BalancePeriod = 100ms;
+/// Between two hand-overs for balance, so that heartbeats can reflect the first.
+constexpr Duration BalanceInterval = 100ms;
 
 } // namespace
 
 std::optional<OwnerCandidate> TargetDirectory::betterOwner(const TargetEntry& entry, Timestamp now) const
 {
     const Announcement& announcement = entry.announcement;
-    // A predecessor's count must reach zero first, so that only two hosts ever share a target's slots.
+    // The predecessor's requests must complete first, so that never more than two hosts share the slots of a target.
     if (entry.foreignInFlight() > 0 || announcement.state == TargetState::Leaving)
         return std::nullopt;
-    const std::optional<OwnerCandidate> least = choice_.leastLaden(announcement, now);
-    if (!least || isLeaving_ || !choice_.isSuitable(announcement))
+    const std::optional<OwnerCandidate> least = ownerChoice_.leastLoaded(announcement, now);
+    if (!least || isLeaving_ || !ownerChoice_.isSuitable(announcement))
         return least;
     const uint32_t allowed = std::max(options_.allowedImbalance, 2u);
     if (now < nextBalanceAt_ || ownLoad(announcement.service) < least->load + allowed)
@@ -39,16 +39,16 @@
 
 void TargetDirectory::startHandover(TargetEntry& entry, const OwnerCandidate& candidate, Timestamp now)
 {
-    lose(entry);
+    loseOwnership(entry);
     const Announcement& announcement = entry.announcement;
     entry.successor = Successor {.host = candidate.host,
         .incarnation = candidate.incarnation,
         .entryAddress = candidate.entryAddress,
         .startedAt = now,
-        .nextSendAt = now + options_.progressPeriod};
+        .nextSendAt = now + options_.progressInterval};
     entry.predecessor.reset();
-    nextBalanceAt_ = now + BalancePeriod;
-    choice_.noteSent(announcement.target, announcement.service, candidate.host, now);
+    nextBalanceAt_ = now + BalanceInterval;
+    ownerChoice_.recordAssignment(announcement.target, announcement.service, candidate.host, now);
     count(model::Counter::OwnershipHandovers);
 }
 
@@ -64,14 +64,14 @@
 AnnouncementAnswer TargetDirectory::answerHandover(TargetEntry& entry, Timestamp now)
 {
     if (!isSuccessorUsable(entry, now)) {
-        choice_.noteUnresponsive(entry.successor->host, now);
+        ownerChoice_.markUnresponsive(entry.successor->host, now);
         entry.successor.reset();
         return answerOwnLease(entry, now);
     }
     Successor& successor = *entry.successor;
     if (!successor.isAcknowledged)
-        return keep(HandoverDelay);
-    // From here on nothing granted earlier may make this host owner again, whatever still arrives late.
+        return keepLease(HandoverDelay);
+    // From here on no earlier grant may make this host the owner again, whatever messages arrive late.
     entry.grants.clear();
     successor.isNamed = true;
     AnnouncementAnswer answer = redirect(successor.host, successor.entryAddress);
@@ -90,7 +90,7 @@
         return;
     }
     if (handover.targetIncarnation > entry.announcement.incarnation || entry.announcement.target.isEmpty()) {
-        lose(entry);
+        loseOwnership(entry);
         entry = {};
         entry.announcement = {.target = handover.target,
             .incarnation = handover.targetIncarnation,
@@ -99,7 +99,7 @@
             .address = handover.address,
             .slots = handover.slots,
             .connections = handover.connections};
-        entry.heardAt = now;
+        entry.lastAnnouncedAt = now;
     }
     if (entry.successor && entry.successor->host == from)
         entry.successor.reset();
@@ -108,7 +108,7 @@
         .incarnation = sender ? sender->record.incarnation : Incarnation {},
         .stillInFlight = handover.stillInFlight,
         .concurrencyLimit = handover.concurrencyLimit,
-        .nextAskAt = now + options_.progressPeriod};
+        .nextQueryAt = now + options_.progressInterval};
     entry.reportedUse = 0;
     if (entry.isOwned)
         reportOwned(entry);
@@ -119,14 +119,14 @@
 {
     const auto found = entries_.find(progress.target);
     if (found == entries_.end() || found->second.announcement.incarnation != progress.targetIncarnation) {
-        // A restarted host cannot tell what its former process left running: it does not answer.
+        // A restarted host does not know which requests of its former process still run, so it does not answer.
         count(model::Counter::StaleMessages);
         return;
     }
     TargetEntry& entry = found->second;
-    // Only an owner asks, so to an owner it is an answer and to any other host a question.
+    // Only owners send queries. So the message is an answer if this host owns the target, and else a query.
     if (entry.isOwned) {
-        takeProgress(entry, from, progress.stillInFlight);
+        applyProgress(entry, from, progress.stillInFlight);
         return;
     }
     if (entry.successor && entry.successor->host == from && !entry.successor->isNamed) {
@@ -135,11 +135,11 @@
     }
     if (progress.stillInFlight == 0 || now < entry.nextReplyAt)
         return;
-    entry.nextReplyAt = now + options_.progressPeriod / 2;
-    entry.askedBy = from;
+    entry.nextReplyAt = now + options_.progressInterval / 2;
+    entry.queriedBy = from;
 }
 
-void TargetDirectory::takeProgress(TargetEntry& entry, const HostId& from, uint32_t stillInFlight)
+void TargetDirectory::applyProgress(TargetEntry& entry, const HostId& from, uint32_t stillInFlight)
 {
     if (!entry.predecessor || entry.predecessor->host != from || stillInFlight >= entry.predecessor->stillInFlight)
         return;
@@ -158,7 +158,7 @@
         if (entry.successor)
             return !entry.successor->isNamed;
         const bool isReady = entry.announcement.state == TargetState::Ready;
-        return entry.isOwned && isReady && !choice_.others(entry.announcement, entry.heardAt).empty();
+        return entry.isOwned && isReady && !ownerChoice_.others(entry.announcement, entry.lastAnnouncedAt).empty();
     });
 }
 
@@ -166,8 +166,8 @@
 {
     if (!entry.successor || entry.successor->isAcknowledged || now < entry.successor->nextSendAt)
         return;
-    entry.successor->nextSendAt = now + options_.progressPeriod;
-    entry.successor->isSendDue = true;
+    entry.successor->nextSendAt = now + options_.progressInterval;
+    entry.successor->isSendPending = true;
 }
 
 void TargetDirectory::tickPredecessor(TargetEntry& entry, Timestamp now)
@@ -176,19 +176,20 @@
         return;
     Predecessor& predecessor = *entry.predecessor;
     const HostView* view = options_.hosts->find(predecessor.host);
-    const bool isGone
+    const bool isPredecessorLost
         = !view || view->health == HostHealth::Dead || view->record.incarnation != predecessor.incarnation;
-    if (isGone) {
-        // Nobody is left to ask: what the target reports may lower the count until the limit ends it.
+    if (isPredecessorLost) {
+        // The predecessor can no longer be queried. Reports of the target may lower the count, and it expires after the
+        // limit.
         entry.reportedUse = predecessor.stillInFlight;
-        entry.reportedUseUntil = now + options_.reportedUseLimit;
+        entry.reportedUseUntil = now + options_.reportedUseTimeout;
         entry.predecessor.reset();
         return;
     }
-    if (now < predecessor.nextAskAt)
+    if (now < predecessor.nextQueryAt)
         return;
-    predecessor.nextAskAt = now + options_.progressPeriod;
-    predecessor.isAskDue = true;
+    predecessor.nextQueryAt = now + options_.progressInterval;
+    predecessor.isQueryPending = true;
 }
 
 void TargetDirectory::tickReportedUse(TargetEntry& entry, Timestamp now)
@@ -203,14 +204,14 @@
 std::vector<model::Outgoing> TargetDirectory::takeOutgoing()
 {
     for (auto& [target, entry] : entries_)
-        sendDue(entry);
+        sendPending(entry);
     return std::exchange(outgoing_, {});
 }
 
-void TargetDirectory::sendDue(TargetEntry& entry)
+void TargetDirectory::sendPending(TargetEntry& entry)
 {
     const Announcement& announcement = entry.announcement;
-    if (entry.successor && std::exchange(entry.successor->isSendDue, false)) {
+    if (entry.successor && std::exchange(entry.successor->isSendPending, false)) {
         send(entry.successor->host,
             model::OwnershipHandover {.target = announcement.target,
                 .targetIncarnation = announcement.incarnation,
@@ -222,15 +223,15 @@
                 .concurrencyLimit = entry.concurrencyLimit,
                 .stillInFlight = entry.inFlight});
     }
-    if (entry.predecessor && std::exchange(entry.predecessor->isAskDue, false)) {
-        const uint32_t believed = entry.predecessor->stillInFlight;
-        send(
-            entry.predecessor->host, model::HandoverProgress {announcement.target, announcement.incarnation, believed});
+    if (entry.predecessor && std::exchange(entry.predecessor->isQueryPending, false)) {
+        const uint32_t knownInFlight = entry.predecessor->stillInFlight;
+        send(entry.predecessor->host,
+            model::HandoverProgress {announcement.target, announcement.incarnation, knownInFlight});
     }
-    if (entry.askedBy.isEmpty())
+    if (entry.queriedBy.isEmpty())
         return;
-    send(entry.askedBy, model::HandoverProgress {announcement.target, announcement.incarnation, entry.inFlight});
-    entry.askedBy = {};
+    send(entry.queriedBy, model::HandoverProgress {announcement.target, announcement.incarnation, entry.inFlight});
+    entry.queriedBy = {};
 }
 
 void TargetDirectory::send(const HostId& to, model::Message message) { outgoing_.push_back({to, std::move(message)}); }
--- a/src/membership/itargetdirectory.h
+++ b/src/membership/itargetdirectory.h
@@ -19,18 +19,19 @@
 public:
     virtual ~ITargetDirectory() = default;
 
-    /// Takes an announcement and says where the target belongs. Becomes owner only when no other lease can hold.
+    /// Handles an announcement and answers who owns the target. Takes ownership only if no other lease can be in force.
     [[nodiscard]] virtual AnnouncementAnswer announce(const Announcement& announcement, Timestamp now) = 0;
     virtual void handle(const HostId& from, const model::OwnershipHandover& handover, Timestamp now) = 0;
     virtual void handle(const HostId& from, const model::HandoverProgress& progress, Timestamp now) = 0;
-    /// How much a target has in flight here and where its slow start stands, for hand-overs; the pool's figures, also
-    /// for a lost target until its last request ended. Call it after the changes were applied and before takeOutgoing.
+    /// Updates the requests in flight and the slow-start limit of a target, as counted by the pool, for hand-overs; for
+    /// a lost target too, until its last request has completed. To be called after the changes were applied and before
+    /// takeOutgoing().
     virtual void noteUse(const TargetId& target, uint32_t inFlight, uint32_t concurrencyLimit) = 0;
-    /// Planned stop: hands every target over and takes none any more.
+    /// Planned stop: hands over all targets and takes no more.
     virtual void startLeaving(Timestamp now) = 0;
-    /// Targets that no other host could take do not count.
+    /// True once all targets are handed over, except those that no other host can take.
     [[nodiscard]] virtual bool hasHandedAllOver() const = 0;
-    /// Ends leases; must run before a dispatch that follows a pause of the process.
+    /// Expires leases; after a process stall it must run before the next dispatch.
     virtual void tick(Timestamp now) = 0;
     [[nodiscard]] virtual std::vector<TargetChange> takeChanges() = 0;
     [[nodiscard]] virtual std::vector<model::Outgoing> takeOutgoing() = 0;
@@ -41,13 +42,15 @@
     HostIdentity self;
     const IHostTable* hosts = nullptr; ///< Must outlive the directory.
     Duration lease = 2s;
-    Duration leaseGuard = 200ms; ///< Waited beyond another's lease, for clocks that run unlike.
-    Duration announcePeriod = 500ms;
-    Duration progressPeriod = 20ms; ///< Between repeats of a hand-over and of the question for its progress.
-    Duration handoverTimeout = 300ms; ///< Unanswered so long, the target stays here.
-    Duration reportedUseLimit = 5s; ///< How long a target's own report of busy slots may stand for a lost owner's use.
-    uint32_t allowedImbalance
-        = 2; ///< At least 2. Targets of a service more than the least laden zone peer before handing over.
+    Duration leaseGuard
+        = 200ms; ///< Waited after the end of another host's lease, for clocks that run at different rates.
+    Duration announceInterval = 500ms;
+    Duration progressInterval = 20ms; ///< Between repetitions of a hand-over and between queries of its progress.
+    Duration handoverTimeout = 300ms; ///< Without an answer in this time the target stays at this host.
+    Duration reportedUseTimeout
+        = 5s; ///< How long the busy slots reported by a target may stand in for the requests of a lost owner.
+    /// Difference in targets of a service to the least loaded zone peer at which a target is handed over; at least 2.
+    uint32_t allowedImbalance = 2;
     model::Counters* counters = nullptr;
 };
 
--- a/src/membership/membershipmodule.cpp
+++ b/src/membership/membershipmodule.cpp
@@ -7,7 +7,7 @@
 #include "membership/ihostroster.h"
 #include "membership/ihosttable.h"
 #include "membership/internal/creditissuer.h"
-#include "membership/internal/creditwallet.h"
+#include "membership/internal/creditstore.h"
 #include "membership/internal/hosttable.h"
 #include "membership/internal/targetdirectory.h"
 #include "membership/itargetdirectory.h"
@@ -31,7 +31,7 @@
 
 std::unique_ptr<ICreditWallet> makeCreditWallet(const CreditOptions& options)
 {
-    return std::make_unique<CreditWallet>(options);
+    return std::make_unique<CreditStore>(options);
 }
 
 } // namespace saltvane::membership
--- a/src/membership/membershiptypes.h
+++ b/src/membership/membershiptypes.h
@@ -16,7 +16,7 @@
 
 namespace saltvane::membership {
 
-/// Who this host is, from its settings and its start.
+/// Identity of this host, from its settings and its start.
 struct HostIdentity {
     HostId host;
     Incarnation incarnation;
@@ -29,21 +29,21 @@
 
 enum class HostHealth {
     Alive,
-    Suspected, ///< Heartbeats are late: no new work goes there.
+    Suspected, ///< Heartbeats are late or the link is down: gets no new work.
     Dead
 };
 
-/// A host with what is known of its health.
+/// The record of a host and its health.
 struct HostView {
     model::HostRecord record;
     HostHealth health = HostHealth::Alive;
     Duration age {}; ///< Since its last heartbeat.
 };
 
-/// State a target announces for itself (docs/TARGETS.md).
+/// State that a target announces (docs/TARGETS.md).
 enum class TargetState { Ready, Leaving };
 
-/// A target's announcement, checked.
+/// A validated announcement of a target.
 struct Announcement {
     TargetId target;
     Incarnation incarnation;
@@ -54,37 +54,37 @@
     uint32_t slots = 0;
     uint32_t connections = 0;
     TargetState state = TargetState::Ready;
-    uint32_t busySlots = 0; ///< As it reports itself.
-    /// The lease as the target last got it, echoed: it is the witness between owners.
+    uint32_t busySlots = 0; ///< As reported by the target.
+    /// The lease that the target last received, echoed to whichever host it announces to; successive owners rely on it.
     HostId leaseOwner;
     Incarnation leaseOwnerIncarnation;
-    Duration leaseAge {}; ///< Since it received the answer that gave the lease, on its own clock.
-    uint64_t leaseSequence = 0; ///< Sequence of the announcement whose answer gave the lease; 0 without one.
+    Duration leaseAge {}; ///< Time since the target received the answer with the lease, by its own clock.
+    uint64_t leaseSequence = 0; ///< Sequence of the announcement whose answer granted the lease; 0 without one.
 };
 
-/// Answer to an announcement. Where `owner` is named, the target stores owner, incarnation, the answered
-/// announcement's sequence and the time of receipt, in place of what it held. Where `owner` is empty it keeps what it
-/// held. It announces one at a time and ignores an answer that comes after it has sent the next announcement.
+/// Answer to an announcement. If `owner` is set, the target replaces its stored lease by the owner, its incarnation,
+/// the sequence of the answered announcement and the time of receipt. If `owner` is empty, it keeps the stored lease. A
+/// target sends one announcement at a time and ignores an answer that arrives after it has sent the next one.
 struct AnnouncementAnswer {
-    bool isOwner = false; ///< This host owns the target now. False with an owner named: an offer, held once echoed.
-    HostId owner; ///< Whom to echo as the lease's owner from now on; empty: no change.
+    bool isOwner = false; ///< This host owns the target now. False with `owner` set: an offer, in force once echoed.
+    HostId owner; ///< Owner of the lease to echo from now on; empty: no change.
     Incarnation ownerIncarnation;
-    Duration lease {}; ///< Zero where no owner is named.
-    Duration announceAfter {}; ///< When to announce next.
-    HostId announceTo; ///< Empty: to this host again.
+    Duration lease {}; ///< Zero if `owner` is empty.
+    Duration announceAfter {}; ///< Delay until the next announcement.
+    HostId announceTo; ///< Host to announce to next; empty: this host again.
     model::Address announceToAddress;
 };
 
-/// What became of a target at this host.
+/// Change of a target's ownership at this host.
 struct TargetChange {
     enum class Kind {
-        Owned, ///< New, or its announcement changed: upsert it.
-        Lost
-    }; ///< Lease ended, handed over or gone: no new work.
+        Owned, ///< Newly owned, or its announcement changed.
+        Lost ///< Lease expired, handed over or target replaced: no new work.
+    };
     Kind kind = Kind::Owned;
     Announcement announcement;
     uint32_t foreignInFlight = 0;
-    uint32_t concurrencyLimit = 0; ///< From a hand-over; 0 begins cold.
+    uint32_t concurrencyLimit = 0; ///< From a hand-over; 0 starts cold.
 };
 
 } // namespace saltvane::membership
--- a/src/membership/retiredtargets.h
+++ b/src/membership/retiredtargets.h
@@ -13,20 +13,20 @@
 
 namespace saltvane::membership {
 
-/// Starts of targets that said they leave. Each binds itself and all earlier starts under its id, never a later one.
-/// Bounded: the oldest orders are forgotten first.
+/// Target incarnations that announced their shutdown. Each entry applies to that incarnation and all earlier ones of
+/// the target, never to a later one. Bounded: the oldest entries are dropped first.
 class RetiredTargets {
 public:
     explicit RetiredTargets(size_t capacity);
 
-    /// False: it is bound already.
-    bool note(const model::TargetIncarnation& start);
-    [[nodiscard]] bool contains(const model::TargetIncarnation& start) const;
-    /// Oldest order first; of an id the latest binds.
+    /// Returns false if the incarnation is covered already.
+    bool note(const model::TargetIncarnation& instance);
+    [[nodiscard]] bool contains(const model::TargetIncarnation& instance) const;
+    /// Oldest entry first; of several for one target the latest applies.
     [[nodiscard]] const std::deque<model::TargetIncarnation>& inOrder() const { return order_; }
 
 private:
-    void forgetOldest();
+    void eraseOldest();
 
     size_t capacity_;
     std::deque<model::TargetIncarnation> order_;
--- a/src/membership/suspectoutbox.h
+++ b/src/membership/suspectoutbox.h
@@ -13,29 +13,29 @@
 
 namespace saltvane::membership {
 
-/// What of a SuspectTable the other hosts are to hear next. Bounded in words a second, whatever callers send; verdicts
-/// go before all else.
+/// Queue of the entries of a SuspectTable to send to other hosts. Their rate is limited, whatever callers send; entries
+/// of blamed requests go first.
 class SuspectOutbox {
 public:
     struct Options {
-        double perSecond = 0; ///< Requests told.
-        double burst = 0; ///< The same at once.
+        double perSecond = 0; ///< Entries sent.
+        double burst = 0; ///< Entries sent at once.
     };
     explicit SuspectOutbox(Options options)
         : options_(options)
-        , balance_(options.burst)
+        , availableTokens_(options.burst)
     {
     }
 
     void add(const model::RequestDigest& digest, const SuspectTable& table);
     [[nodiscard]] bool isEmpty() const { return queue_.empty(); }
-    /// As many as may be told now.
+    /// Returns as many entries as may be sent now.
     [[nodiscard]] std::vector<model::SuspectRequest> take(const SuspectTable& table, Timestamp now);
 
 private:
     Options options_;
-    double balance_;
-    Timestamp filledAt_ {};
+    double availableTokens_;
+    Timestamp refilledAt_ {};
     std::deque<model::RequestDigest> queue_;
     std::unordered_set<model::RequestDigest> queued_;
 };
--- a/src/membership/suspecttable.h
+++ b/src/membership/suspecttable.h
@@ -18,61 +18,63 @@
 
 namespace saltvane::membership {
 
-/// Requests under which targets ended, as far as this host saw or heard. What hosts tell each other merges in any order
-/// and any number of times, so that all come to the same verdict without agreeing on anything first.
+/// Requests during which targets failed, as observed by this host or reported by others. Updates between hosts can be
+/// merged in any order and any number of times, so that all hosts reach the same verdict without coordination.
 ///
-/// A request is blamed when its runs ended with their targets so often in a row, none of them answered, that chance
-/// would do that to one request in a thousand at the most. docs/design/0013-fatal-requests.md
+/// A request is blamed when so many consecutive runs ended with a failure of their target, and none with an answer,
+/// that chance would explain it for at most one request in a thousand. docs/design/0013-fatal-requests.md
 class SuspectTable {
 public:
     struct Limits {
-        size_t entries = 4096; ///< 0.3 to 1 MB where all are taken.
+        size_t entries = 4096; ///< 0.3 to 1 MB when full.
     };
     explicit SuspectTable(Limits limits);
     ~SuspectTable();
     SuspectTable(const SuspectTable&) = delete;
     SuspectTable& operator=(const SuspectTable&) = delete;
 
-    /// Three ends are what callers are owed targets for at the most; fewer never blame.
-    static constexpr size_t LeastEnds = 3;
-    /// Of each request the newest are kept: as many as blame it whatever its ends have been worth.
-    static constexpr size_t MostEnds = 8;
-    /// Since its last end, or since a caller last sent it.
-    static constexpr Duration Memory = 1h;
+    /// A request may fail on up to three targets before it is refused; fewer failures never blame it.
+    static constexpr size_t MinFailures = 3;
+    /// The newest failures are kept for each request: as many as blame it whatever their weight.
+    static constexpr size_t MaxFailures = 8;
+    /// How long an entry is kept after its last failure or after a caller last sent the request.
+    static constexpr Duration RetentionTime = 1h;
 
-    struct End {
+    /// A run of the request during which its target failed.
+    struct TargetFailure {
         uint64_t target = 0;
         Timestamp sentAt;
         Timestamp endedAt;
-        double usualShare = 0;
+        double usualShare = 0; ///< Fraction of all runs that ended with a target failure at that time.
     };
-    /// False: nothing new.
-    bool noteEnd(const model::RequestDigest& digest, const End& end, Timestamp now);
-    /// One of its runs was answered: no ends speak against it any more. False: none did.
+    /// Returns false if the failure was known already or the table is full.
+    bool noteEnd(const model::RequestDigest& digest, const TargetFailure& failure, Timestamp now);
+    /// A run was answered: discards all failures of the request. Returns false if there were none.
     bool noteAnswered(const model::RequestDigest& digest, Timestamp now);
-    /// False: nothing new.
-    bool merge(const model::SuspectRequest& told, Timestamp now);
+    /// Merges another host's update. Returns false if it contained nothing new.
+    bool merge(const model::SuspectRequest& update, Timestamp now);
 
-    /// Runs that ended with their targets, one sent after the other had ended.
+    /// Number of runs with a target failure, each sent after the one before had failed.
     [[nodiscard]] size_t endsInARow(const model::RequestDigest& digest) const;
-    /// Of those that speak against it now; none: none does.
+    /// Time of the first failure on record; nullopt if there is none.
     [[nodiscard]] std::optional<Timestamp> firstEndAt(const model::RequestDigest& digest) const;
     [[nodiscard]] bool isBlamed(const model::RequestDigest& digest) const;
-    /// Of a blamed one: until it may be tried again; where no trial is left, until it is forgotten unless it is asked
-    /// for.
+    /// Time until a blamed request may be tried again. If no trial is left, the time until the entry expires unless
+    /// callers send the request again.
     [[nodiscard]] Duration untilTrial(const model::RequestDigest& digest, Timestamp now) const;
-    /// Of a blamed one: one run is let through.
+    /// Records that a blamed request is let through for one trial.
     void noteTrial(const model::RequestDigest& digest, Timestamp now);
-    /// A caller sent a blamed one. True where the others ought to hear that it is still asked for.
+    /// Records that a caller sent a blamed request. Returns true if other hosts should be told that it is still in use.
     bool noteAsked(const model::RequestDigest& digest, Timestamp now);
 
     [[nodiscard]] std::optional<model::SuspectRequest> wordOf(const model::RequestDigest& digest, Timestamp now) const;
     [[nodiscard]] std::vector<model::SuspectRequest> blamed(Timestamp now) const;
     [[nodiscard]] size_t size() const { return entries_.size(); }
     [[nodiscard]] size_t blamedCount() const;
-    /// Requests that became void as others explained their ends, since the last call: the other hosts ought to hear.
-    [[nodiscard]] std::vector<model::RequestDigest> takeExplained() { return std::exchange(explained_, {}); }
-    /// Grows with each verdict and each one that is void.
+    /// Returns the requests cleared since the last call because other requests were blamed for their failures. The
+    /// other hosts are to be told of them.
+    [[nodiscard]] std::vector<model::RequestDigest> takeExplained() { return std::exchange(cleared_, {}); }
+    /// Incremented with each new verdict and each one withdrawn.
     [[nodiscard]] uint64_t verdictChanges() const { return verdictChanges_; }
     void expire(Timestamp now);
 
@@ -83,10 +85,10 @@
         uint64_t epoch = 0;
         bool isBlamed = false;
         uint32_t trials = 0;
-        Timestamp restsSince; ///< Blamed, or tried last.
-        Timestamp askedAt; ///< By a caller, or ended a target.
-        Timestamp askToldAt; ///< When the others last heard of that.
-        std::vector<End> ends;
+        Timestamp backoffSince; ///< Time of the verdict or of the last trial.
+        Timestamp lastRequestedAt; ///< Time of the last request by a caller or of the last target failure.
+        Timestamp useReportedAt; ///< When other hosts were last told that the request is still in use.
+        std::vector<TargetFailure> failures;
         Hook hook;
     };
     using Entries = boost::intrusive::list<Entry, boost::intrusive::member_hook<Entry, Hook, &Entry::hook>,
@@ -94,34 +96,36 @@
 
     [[nodiscard]] Entry* find(const model::RequestDigest& digest);
     [[nodiscard]] const Entry* find(const model::RequestDigest& digest) const;
-    /// Null where all places are taken by requests that are asked for.
+    /// Returns null if the table is full of requests still in use.
     Entry* add(const model::RequestDigest& digest, Timestamp now);
-    [[nodiscard]] bool makeRoom(Timestamp now);
+    /// Evicts one entry: the oldest with a single failure or, if there is none, the oldest of the others. Returns false
+    /// if that one is still in use, since requests in use are never evicted for new ones.
+    [[nodiscard]] bool evictOne(Timestamp now);
     void remove(Entry& entry);
     void touch(Entry& entry, Timestamp at);
     [[nodiscard]] Entries& listOf(const Entry& entry);
-    bool addEnd(Entry& entry, const End& end);
-    void judge(Entry& entry, Timestamp now);
-    void blame(Entry& entry, Timestamp restsSince);
-    /// Its ends are its own doing from now on, and speak against no other request that ran there.
-    void claimEnds(const Entry& entry);
-    /// Whether another request is blamed for this end.
-    [[nodiscard]] bool isExplained(const Entry& entry, const End& end) const;
-    void clearExplained();
-    void forgetCulprit(const Entry& entry);
+    bool addFailure(Entry& entry, const TargetFailure& failure);
+    void evaluate(Entry& entry, Timestamp now);
+    void blame(Entry& entry, Timestamp backoffSince);
+    /// Attributes the failures of a blamed request to it, so that they no longer count against other requests.
+    void attributeFailures(const Entry& entry);
+    /// True if another request is blamed for this failure.
+    [[nodiscard]] bool isAttributedToOther(const Entry& entry, const TargetFailure& failure) const;
+    void clearWronglyBlamed();
+    void eraseAttributions(const Entry& entry);
     void startEpoch(Entry& entry, uint64_t epoch);
     [[nodiscard]] size_t endsInARow(const Entry& entry) const;
     [[nodiscard]] static model::SuspectRequest wordOf(const Entry& entry, Timestamp now);
 
     Limits limits_;
     std::unordered_map<model::RequestDigest, Entry> entries_;
-    /// By target: the request that is blamed for its end. Of MostEnds for each of them.
-    std::unordered_map<uint64_t, model::RequestDigest> culprits_;
-    std::vector<model::RequestDigest> explained_;
+    /// By target: the request blamed for its failure. At most MaxFailures entries for each request.
+    std::unordered_map<uint64_t, model::RequestDigest> blamedRequestByTarget_;
+    std::vector<model::RequestDigest> cleared_;
     uint64_t verdictChanges_ = 0;
-    // After the entries, so that they go first. The one touched longest ago first.
-    Entries lone_; ///< With one end, or none.
-    Entries repeated_; ///< With more, or blamed.
+    // Declared after entries_, so that the lists are destroyed first. In order of the last update, oldest first.
+    Entries singleFailures_; ///< Entries with at most one failure.
+    Entries repeatedFailures_; ///< Entries with more failures, or blamed.
 };
 
 } // namespace saltvane::membership
--- a/src/membership/tests/hostrostertests.cpp
+++ b/src/membership/tests/hostrostertests.cpp
@@ -30,7 +30,7 @@
 
 bool hasMessageTo(const std::vector<model::Outgoing>& outgoing, const std::string& host)
 {
-    return std::ranges::any_of(outgoing, [&](const model::Outgoing& one) { return one.to == HostId(host); });
+    return std::ranges::any_of(outgoing, [&](const model::Outgoing& message) { return message.to == HostId(host); });
 }
 
 } // namespace
@@ -63,11 +63,11 @@
     roster->handle(heartbeat(leaving), now);
     roster->handle(heartbeat(recordOf("g", false, 4)), now);
     EXPECT_EQ(roster->find(HostId("g"))->record.state, model::HostState::Leaving);
-    roster->handle(heartbeat(recordOf("g", false, 1, 2)), now); // Started again.
+    roster->handle(heartbeat(recordOf("g", false, 1, 2)), now); // Restarted.
     EXPECT_EQ(roster->find(HostId("g"))->record.state, model::HostState::Serving);
 }
 
-TEST(HostRosterTest, AStartWhoseClockSteppedBackIsHeardOnceItsLinkStands)
+TEST(HostRosterTest, AnIncarnationWithALowerNumberIsAcceptedOnceItsLinkIsUp)
 {
     const auto roster = makeHostRoster({.self = recordOf("c", true)});
     Timestamp now(10s);
@@ -78,7 +78,7 @@
     EXPECT_EQ(roster->heardWithin(1s, now).size(), 1U);
 }
 
-TEST(HostRosterTest, WordOfAThirdHostIsAsOldAsItSays)
+TEST(HostRosterTest, AReportedRecordHasTheReportedAge)
 {
     const auto roster = makeHostRoster({.self = recordOf("g", false), .seeds = {HostId("c1")}});
     const Timestamp now(100s);
@@ -93,7 +93,7 @@
     EXPECT_EQ(roster->heardWithin(5s, now).size(), 1U);
 }
 
-TEST(HostRosterTest, ASilentControlHostIsForgottenButASeedIsNot)
+TEST(HostRosterTest, AnUnresponsiveControlHostIsRemovedButASeedIsNot)
 {
     const auto roster = makeHostRoster({.self = recordOf("g", false), .seeds = {HostId("c1")}});
     Timestamp now(10s);
@@ -106,7 +106,7 @@
     EXPECT_EQ(roster->controlHosts(), std::vector {HostId("c3")});
 }
 
-TEST(HostRosterTest, AChangeOfStateIsToldAtOnce)
+TEST(HostRosterTest, AChangeOfStateIsReportedAtOnce)
 {
     const auto roster = makeHostRoster({.self = recordOf("g", false), .seeds = {HostId("c1")}});
     const Timestamp now(10s);
@@ -130,10 +130,11 @@
 size_t messagesTo(const std::vector<model::Outgoing>& outgoing, const std::string& host)
 {
     return static_cast<size_t>(
-        std::ranges::count_if(outgoing, [&](const model::Outgoing& one) { return one.to == HostId(host); }));
+        std::ranges::count_if(outgoing, [&](const model::Outgoing& message) { return message.to == HostId(host); }));
 }
 
-/// What the roster sends in `duration`, ticked each 20 ms; it hears all of `heard` each 200 ms.
+/// Returns the messages that the roster sends in `duration`. Ticks every 20 ms; sends the heartbeats of `heard` every
+/// 200 ms.
 std::vector<model::Outgoing> runFor(
     IHostRoster& roster, Duration duration, const std::vector<model::HostRecord>& heard, Timestamp& now)
 {
@@ -152,37 +153,37 @@
 
 } // namespace
 
-TEST(HostRosterTest, ControlHostsOfOtherRegionsAreToldRarer)
+TEST(HostRosterTest, ControlHostsOfOtherRegionsGetFewerHeartbeats)
 {
     const auto roster = makeHostRoster({.self = recordIn("g", false, "r"), .seeds = {}});
     Timestamp now(10s);
-    const std::vector heard {recordIn("near", true, "r"), recordIn("far", true, "s")};
+    const std::vector heard {recordIn("local", true, "r"), recordIn("remote", true, "s")};
     const std::vector<model::Outgoing> sent = runFor(*roster, 12s, heard, now);
-    EXPECT_GE(messagesTo(sent, "near"), 38U);
-    EXPECT_GE(messagesTo(sent, "far"), 9U);
-    EXPECT_LE(messagesTo(sent, "far"), 11U);
+    EXPECT_GE(messagesTo(sent, "local"), 38U);
+    EXPECT_GE(messagesTo(sent, "remote"), 9U);
+    EXPECT_LE(messagesTo(sent, "remote"), 11U);
     roster->setState(model::HostState::Leaving);
-    EXPECT_TRUE(hasMessageTo(roster->takeOutgoing(), "far")); // A change goes to all at once.
+    EXPECT_TRUE(hasMessageTo(roster->takeOutgoing(), "remote")); // A change is sent to all hosts at once.
 }
 
-TEST(HostRosterTest, WhereTheRegionHasNoControlHostAllCountAsNear)
+TEST(HostRosterTest, WithoutAControlHostInTheRegionAllGetFrequentHeartbeats)
 {
     const auto roster = makeHostRoster({.self = recordIn("g", false, "r"), .seeds = {}});
     Timestamp now(10s);
-    const std::vector<model::Outgoing> sent = runFor(*roster, 12s, {recordIn("far", true, "s")}, now);
-    EXPECT_GE(messagesTo(sent, "far"), 38U);
+    const std::vector<model::Outgoing> sent = runFor(*roster, 12s, {recordIn("remote", true, "s")}, now);
+    EXPECT_GE(messagesTo(sent, "remote"), 38U);
 }
 
-TEST(HostRosterTest, AControlHostReportsToItsRegionOftenAndToOthersOnNews)
+TEST(HostRosterTest, AControlHostReportsToOtherRegionsRarelyExceptForNewControlHosts)
 {
     const auto roster = makeHostRoster({.self = recordIn("c", true, "r"), .seeds = {}});
     Timestamp now(10s);
-    const std::vector heard {recordIn("g-near", false, "r"), recordIn("g-far", false, "s")};
+    const std::vector heard {recordIn("g-local", false, "r"), recordIn("g-remote", false, "s")};
     const std::vector<model::Outgoing> sent = runFor(*roster, 20s, heard, now);
-    EXPECT_GE(messagesTo(sent, "g-near"), 18U);
-    EXPECT_LE(messagesTo(sent, "g-far"), 5U);
-    const std::vector news {heard[0], heard[1], recordIn("c2", true, "s")};
-    EXPECT_GE(messagesTo(runFor(*roster, 100ms, news, now), "g-far"), 1U);
+    EXPECT_GE(messagesTo(sent, "g-local"), 18U);
+    EXPECT_LE(messagesTo(sent, "g-remote"), 5U);
+    const std::vector withNewControlHost {heard[0], heard[1], recordIn("c2", true, "s")};
+    EXPECT_GE(messagesTo(runFor(*roster, 100ms, withNewControlHost, now), "g-remote"), 1U);
 }
 
 } // namespace saltvane::membership
--- a/src/membership/tests/hosttabletests.cpp
+++ b/src/membership/tests/hosttabletests.cpp
@@ -14,7 +14,7 @@
 namespace saltvane::membership {
 namespace {
 
-/// Host tables joined by links of a fixed delay, which the test can cut.
+/// Host tables connected by links with a fixed delay, which the test can cut.
 class HostTableTest : public ::testing::Test {
 protected:
     struct Member {
@@ -45,7 +45,7 @@
         record.ownedTargets = {TargetId {"t"}};
         member.table->setOwnRecord(record);
     }
-    /// The nine hosts in six zones of today's sizes.
+    /// Adds nine hosts in six zones.
     void addNine()
     {
         for (const char* host : {"a1", "a2", "b1", "c1", "c2", "d1", "e1", "e2", "f1"}) {
@@ -65,7 +65,7 @@
         if (member.links.erase(peer) > 0 && member.isRunning)
             member.table->noteLinkDown(peer, now_);
     }
-    bool isCut(const HostId& one, const HostId& other) const { return cut_.contains(one) != cut_.contains(other); }
+    bool isCut(const HostId& left, const HostId& right) const { return cut_.contains(left) != cut_.contains(right); }
     void connect()
     {
         for (auto& [id, member] : members_) {
@@ -117,7 +117,7 @@
                 (void)to.table->handle(message.from, *report, now_);
         }
     }
-    void run(Duration time)
+    void runFor(Duration time)
     {
         for (const Timestamp end = now_ + time; now_ < end; now_ += 10ms) {
             connect();
@@ -148,88 +148,88 @@
 TEST_F(HostTableTest, NineHostsLearnOfEachOtherFromTwoSeeds)
 {
     addNine();
-    run(1500ms);
+    runFor(1500ms);
     for (const auto& [id, member] : members_)
         EXPECT_EQ(aliveAt(id.value()), 8u) << id.value();
     EXPECT_EQ(table("f1").relayOf(ZoneName {"e"}), HostId {"e1"});
     EXPECT_TRUE(table("a1").isRelay());
     EXPECT_FALSE(table("a2").isRelay());
-    EXPECT_EQ(table("a2").servingHosts(ZoneName {"a"}).size(), 2u) << "with itself";
+    EXPECT_EQ(table("a2").servingHosts(ZoneName {"a"}).size(), 2u) << "includes itself";
     EXPECT_TRUE(table("f1").find(HostId {"a1"})->record.ownedTargets.empty());
     EXPECT_FALSE(table("a2").find(HostId {"a1"})->record.ownedTargets.empty());
 }
 
-TEST_F(HostTableTest, NobodyIsSuspectedWithoutCause)
+TEST_F(HostTableTest, NoHostIsSuspectedWithoutCause)
 {
     addNine();
-    run(2s);
+    runFor(2s);
     const uint64_t before = counters_.value(model::Counter::HostsSuspected);
-    run(60s);
+    runFor(60s);
     EXPECT_EQ(counters_.value(model::Counter::HostsSuspected), before);
 }
 
-TEST_F(HostTableTest, HostThatDoesNotRelayLinksToItsZoneOnly)
+TEST_F(HostTableTest, HostThatIsNoRelayLinksToItsZoneOnly)
 {
     addNine();
-    run(2s);
+    runFor(2s);
     EXPECT_EQ(table("a2").wantedPeers().size(), 1u);
-    EXPECT_EQ(table("a1").wantedPeers().size(), 6u) << "its peer and five relays";
+    EXPECT_EQ(table("a1").wantedPeers().size(), 6u) << "its zone peer and five relays";
 }
 
 TEST_F(HostTableTest, LostRelayIsReplacedBeforeItsZoneIsSuspected)
 {
     addNine();
-    run(2s);
+    runFor(2s);
     stop("e1");
-    run(300ms);
+    runFor(300ms);
     EXPECT_TRUE(table("e2").isRelay());
     EXPECT_NE(table("e2").find(HostId {"e1"})->health, HostHealth::Alive);
     for (int i = 0; i < 50; ++i) {
-        run(100ms);
+        runFor(100ms);
         EXPECT_TRUE(seesAlive("a2", "e2"));
     }
     EXPECT_FALSE(seesAlive("a2", "e1"));
     EXPECT_EQ(table("a2").relayOf(ZoneName {"e"}), HostId {"e2"});
 }
 
-TEST_F(HostTableTest, SilentRelayIsReplacedToo)
+TEST_F(HostTableTest, UnresponsiveRelayIsReplacedToo)
 {
     addNine();
-    run(2s);
+    runFor(2s);
     members_.at(HostId {"e1"}).isRunning = false; // Its links stay up.
     for (int i = 0; i < 50; ++i) {
-        run(100ms);
+        runFor(100ms);
         EXPECT_TRUE(seesAlive("a2", "e2"));
     }
     EXPECT_FALSE(seesAlive("a2", "e1"));
 }
 
-TEST_F(HostTableTest, DeadHostOffersNoRoomAndIsForgottenInTheEnd)
+TEST_F(HostTableTest, DeadHostOffersNoCapacityAndIsRemovedAfterTheTimeout)
 {
     addNine();
-    run(2s);
+    runFor(2s);
     stop("d1");
-    run(1500ms);
+    runFor(1500ms);
     EXPECT_TRUE(table("a2").servingHosts(ZoneName {"d"}).empty()) << "suspected";
     EXPECT_FALSE(table("a2").find(HostId {"d1"})->record.services.empty());
-    run(3s);
+    runFor(3s);
     EXPECT_EQ(table("a2").find(HostId {"d1"})->health, HostHealth::Dead);
     EXPECT_TRUE(table("a2").find(HostId {"d1"})->record.services.empty());
-    run(65s);
+    runFor(65s);
     EXPECT_EQ(table("a2").find(HostId {"d1"}), nullptr);
 }
 
-TEST_F(HostTableTest, RestartedHostReplacesItsFormerSelfAtOnce)
+TEST_F(HostTableTest, RestartedHostReplacesItsFormerIncarnationAtOnce)
 {
     addNine();
-    run(2s);
+    runFor(2s);
     stop("e2");
-    run(100ms);
+    runFor(100ms);
     add("e2", "e", "t", 2);
-    run(800ms);
+    runFor(800ms);
     EXPECT_EQ(table("a2").find(HostId {"e2"})->record.incarnation.value, 2u);
     EXPECT_TRUE(seesAlive("a2", "e2"));
-    EXPECT_EQ(aliveAt("e2"), 8u) << "the restarted one has learnt of everybody";
+    EXPECT_EQ(aliveAt("e2"), 8u) << "the restarted host has learned of all others";
     model::HostRecord old = table("a2").find(HostId {"e2"})->record;
     old.incarnation = {1};
     old.sequence = 1'000'000;
@@ -246,36 +246,36 @@
     const model::ZoneReport report {.zone = ZoneName {"x"}, .relay = record.host, .hosts = {record}, .ages = {1500ms}};
     EXPECT_TRUE(table("a1").handle(record.host, report, Start));
     EXPECT_EQ(table("a1").find(record.host)->health, HostHealth::Suspected);
-    EXPECT_FALSE(table("a1").handle(record.host, report, Start + 1s)) << "the same again is no news";
+    EXPECT_FALSE(table("a1").handle(record.host, report, Start + 1s)) << "the repeated report brings nothing new";
     EXPECT_EQ(table("a1").find(record.host)->age, 1500ms);
 }
 
-TEST_F(HostTableTest, CutRegionIsSuspectedAndComesBackEvenAfterItWasForgotten)
+TEST_F(HostTableTest, CutRegionIsSuspectedAndRecoversEvenAfterItsRemoval)
 {
     addNine();
-    run(2s);
+    runFor(2s);
     cut_ = {HostId {"e1"}, HostId {"e2"}, HostId {"f1"}};
-    run(5s);
+    runFor(5s);
     EXPECT_EQ(aliveAt("a2"), 5u);
     EXPECT_EQ(aliveAt("e2"), 2u);
     cut_.clear();
-    run(1s);
+    runFor(1s);
     EXPECT_EQ(aliveAt("a2"), 8u);
     EXPECT_EQ(aliveAt("e2"), 8u);
     cut_ = {HostId {"e1"}, HostId {"e2"}, HostId {"f1"}};
-    run(80s);
+    runFor(80s);
     EXPECT_EQ(table("a2").find(HostId {"e1"}), nullptr);
     cut_.clear();
     for (auto& [id, member] : members_) {
         for (const char* host : {"e1", "e2", "f1"})
             dropLink(member, HostId {host});
     }
-    run(2s);
+    runFor(2s);
     EXPECT_EQ(aliveAt("a2"), 8u);
     EXPECT_EQ(aliveAt("e2"), 8u);
 }
 
-TEST_F(HostTableTest, MessagesFollowZonesNotAllPairs)
+TEST_F(HostTableTest, MessagesGrowWithZonesNotWithAllPairs)
 {
     for (int zone = 0; zone < 6; ++zone) {
         for (int i = 0; i < 5; ++i) {
@@ -283,10 +283,10 @@
             add(host + std::to_string(i + 1), host.substr(0, 1), "r");
         }
     }
-    run(3s);
+    runFor(3s);
     sent_ = 0;
-    run(10s);
-    // Per second: 5 x 4 heartbeats each, and a relay's 5 x 5 reports, 5 x 5 x 4 forwards, 4 of its own zone.
+    runFor(10s);
+    // Per second: 5 x 4 heartbeats of each host; of each relay 5 x 5 reports, 5 x 5 x 4 forwards, 4 in its own zone.
     const size_t bound = 10 * (30 * 5 * 4 + 6 * (25 + 100 + 4));
     EXPECT_LE(sent_, bound + bound / 10);
     EXPECT_GE(sent_, bound / 2);
--- a/src/membership/tests/membershipfakes.h
+++ b/src/membership/tests/membershipfakes.h
@@ -23,7 +23,7 @@
         .entryAddress = {host, 2}};
 }
 
-/// Hosts as a test sets them.
+/// A host table whose hosts the test sets.
 class FakeHostTable final : public IHostTable {
 public:
     void set(const HostIdentity& identity, uint32_t targets, HostHealth health = HostHealth::Alive)
@@ -76,7 +76,7 @@
     std::map<HostId, HostView> views_;
 };
 
-/// A target's side of the lease as docs/design/0001-ownership-leases.md states it, with its own clock.
+/// A target that keeps its lease as docs/design/0001-ownership-leases.md requires, with its own clock.
 class FakeTarget {
 public:
     explicit FakeTarget(const std::string& id, uint64_t incarnation = 1)
@@ -97,7 +97,7 @@
         return announcement_;
     }
     /// Answers to any but the newest announcement are ignored.
-    void take(uint64_t sequence, const AnnouncementAnswer& answer, Timestamp now)
+    void applyAnswer(uint64_t sequence, const AnnouncementAnswer& answer, Timestamp now)
     {
         if (sequence != announcement_.sequence || answer.owner.isEmpty())
             return;
@@ -110,7 +110,7 @@
     {
         const Announcement sent = next(now);
         const AnnouncementAnswer answer = directory.announce(sent, now);
-        take(sent.sequence, answer, now);
+        applyAnswer(sent.sequence, answer, now);
         return answer;
     }
 
--- a/src/membership/tests/ownershipfuzztests.cpp
+++ b/src/membership/tests/ownershipfuzztests.cpp
@@ -20,19 +20,20 @@
 struct FuzzOptions {
     uint32_t seed = 1;
     Duration leaseGuard = 200ms;
-    int clockErrorPercent = 4; ///< Targets' clocks run up to this much fast or slow.
+    int clockErrorPercent = 4; ///< Maximum deviation of the targets' clock rates in either direction.
 };
 
 struct FuzzResult {
-    uint64_t owned = 0; ///< Checks that found exactly one owner.
+    uint64_t owned = 0; ///< Number of checks that found exactly one owner.
     uint64_t doubleOwners = 0;
-    uint64_t overfills = 0;
+    uint64_t overloads = 0;
     uint64_t handovers = 0;
     uint64_t takeOvers = 0;
 };
 
-/// Directories, targets and requests under loss, delay, repetition and reordering of announcements, loss and delay of
-/// messages between hosts, false and late suspicion, restarts of hosts and targets, cut hosts and planned stops.
+/// Runs directories, targets and requests with random faults: lost, delayed, repeated and reordered announcements, lost
+/// and delayed messages between hosts, wrong and late suspicions, restarts of hosts and targets, process stalls, cut
+/// hosts and planned stops.
 class OwnershipFuzz {
 public:
     explicit OwnershipFuzz(const FuzzOptions& options)
@@ -44,8 +45,8 @@
             start(hosts_[i]);
         }
         for (size_t i = 0; i < TargetCount; ++i) {
-            targets_[i].side = FakeTarget {"t" + std::to_string(i)};
-            targets_[i].side.announcement().slots = Slots;
+            targets_[i].fake = FakeTarget {"t" + std::to_string(i)};
+            targets_[i].fake.announcement().slots = Slots;
             targets_[i].clockPercent = 100 - options.clockErrorPercent + uniform(2 * options.clockErrorPercent);
         }
     }
@@ -59,7 +60,7 @@
             for (Host& host : hosts_)
                 stepHost(host);
             if (uniform(400) == 0)
-                disturb();
+                applyRandomEvent();
             check();
         }
         result_.handovers = counters_.value(model::Counter::OwnershipHandovers);
@@ -78,24 +79,24 @@
         uint64_t hostIncarnation = 0;
     };
     struct Target {
-        FakeTarget side {""};
+        FakeTarget fake {""};
         int clockPercent = 100;
         size_t announceTo = 0;
         Timestamp nextAt = Start;
         bool isWaiting = false;
         std::vector<Request> running;
     };
-    struct Use {
+    struct TargetUse {
         uint32_t inFlight = 0;
-        uint32_t foreign = 0;
+        uint32_t foreignInFlight = 0;
         bool isOwned = false;
-        Incarnation incarnation; ///< Of the target.
+        Incarnation incarnation; ///< Incarnation of the target.
     };
     struct Host {
         HostIdentity identity;
         FakeHostTable table;
         std::unique_ptr<ITargetDirectory> directory;
-        std::map<TargetId, Use> pool;
+        std::map<TargetId, TargetUse> pool;
         std::map<HostId, Timestamp> lastDelivery; ///< Links keep the order of messages.
         Timestamp cutUntil {};
         Timestamp pausedUntil {};
@@ -106,10 +107,10 @@
         std::function<void()> run;
     };
 
-    int uniform(int most) { return boost::random::uniform_int_distribution<int> {0, most}(random_); }
+    int uniform(int max) { return boost::random::uniform_int_distribution<int> {0, max}(random_); }
     Duration delay() { return uniform(9) == 0 ? Duration {1ms} * uniform(3000) : Duration {1ms} * uniform(20); }
     void after(Duration wait, std::function<void()> run) { events_.push_back({now_ + wait, std::move(run)}); }
-    /// The target's clock runs unlike the hosts'.
+    /// The time by the target's clock, whose rate differs from the hosts' clocks.
     Timestamp clockOf(const Target& target) const { return Start + (now_ - Start) / 100 * target.clockPercent; }
 
     void start(Host& host)
@@ -143,17 +144,17 @@
                 return false;
             Host& host = hosts_[request.host];
             if (host.identity.incarnation.value == request.hostIncarnation)
-                --host.pool[target.side.announcement().target].inFlight;
+                --host.pool[target.fake.announcement().target].inFlight;
             return true;
         });
         if (now_ < target.nextAt)
             return;
-        if (target.isWaiting) // The last one stayed unanswered.
+        if (target.isWaiting) // The last announcement was not answered.
             target.announceTo = static_cast<size_t>(uniform(HostCount - 1));
         target.isWaiting = true;
         target.nextAt = now_ + AnswerTimeout;
-        target.side.announcement().busySlots = static_cast<uint32_t>(target.running.size());
-        const Announcement announcement = target.side.next(clockOf(target));
+        target.fake.announcement().busySlots = static_cast<uint32_t>(target.running.size());
+        const Announcement announcement = target.fake.next(clockOf(target));
         const int copies = uniform(9) == 0 ? 0 : 1 + (uniform(9) == 0 ? 1 : 0);
         for (int i = 0; i < copies; ++i)
             after(
@@ -167,19 +168,19 @@
             return;
         host.directory->tick(now_);
         const AnnouncementAnswer answer = host.directory->announce(announcement, now_);
-        finish(host);
+        applyChanges(host);
         if (uniform(9) == 0)
             return;
-        after(delay(), [this, &target, answer, announcement] { answered(target, announcement, answer); });
+        after(delay(), [this, &target, answer, announcement] { handleAnswer(target, announcement, answer); });
     }
 
-    void answered(Target& target, const Announcement& announcement, const AnnouncementAnswer& answer)
+    void handleAnswer(Target& target, const Announcement& announcement, const AnnouncementAnswer& answer)
     {
-        const bool isExpected = target.isWaiting && announcement.sequence == target.side.announcement().sequence
-            && announcement.incarnation == target.side.announcement().incarnation;
+        const bool isExpected = target.isWaiting && announcement.sequence == target.fake.announcement().sequence
+            && announcement.incarnation == target.fake.announcement().incarnation;
         if (!isExpected)
             return;
-        target.side.take(announcement.sequence, answer, clockOf(target));
+        target.fake.applyAnswer(announcement.sequence, answer, clockOf(target));
         target.isWaiting = false;
         target.nextAt = now_ + answer.announceAfter;
         for (size_t i = 0; i < HostCount; ++i) {
@@ -193,17 +194,17 @@
         if (now_ < host.pausedUntil)
             return;
         host.directory->tick(now_);
-        finish(host);
+        applyChanges(host);
         dispatch(host);
     }
 
-    /// Does what the host core does after each event.
-    void finish(Host& host)
+    /// Applies changes and sends messages, as the host core does after each event.
+    void applyChanges(Host& host)
     {
         for (const TargetChange& change : host.directory->takeChanges()) {
-            Use& use = host.pool[change.announcement.target];
+            TargetUse& use = host.pool[change.announcement.target];
             use.isOwned = change.kind == TargetChange::Kind::Owned;
-            use.foreign = change.foreignInFlight;
+            use.foreignInFlight = change.foreignInFlight;
             use.incarnation = change.announcement.incarnation;
         }
         for (const auto& [target, use] : host.pool)
@@ -238,8 +239,8 @@
     void dispatch(Host& host)
     {
         for (Target& target : targets_) {
-            Use& use = host.pool[target.side.announcement().target];
-            if (!owns(host, target) || use.inFlight + use.foreign >= Slots || uniform(20) != 0)
+            TargetUse& use = host.pool[target.fake.announcement().target];
+            if (!owns(host, target) || use.inFlight + use.foreignInFlight >= Slots || uniform(20) != 0)
                 continue;
             ++use.inFlight;
             const auto index = static_cast<size_t>(&host - hosts_.data());
@@ -248,7 +249,7 @@
         }
     }
 
-    void disturb()
+    void applyRandomEvent()
     {
         Host& host = hosts_[static_cast<size_t>(uniform(HostCount - 1))];
         Host& other = hosts_[static_cast<size_t>(uniform(HostCount - 1))];
@@ -292,12 +293,12 @@
         for (const Request& request : target.running) {
             Host& host = hosts_[request.host];
             if (host.identity.incarnation.value == request.hostIncarnation)
-                --host.pool[target.side.announcement().target].inFlight;
+                --host.pool[target.fake.announcement().target].inFlight;
         }
         target.running.clear();
-        const Announcement old = target.side.announcement();
-        target.side = FakeTarget {old.target.value(), old.incarnation.value + 1};
-        target.side.announcement().slots = Slots;
+        const Announcement old = target.fake.announcement();
+        target.fake = FakeTarget {old.target.value(), old.incarnation.value + 1};
+        target.fake.announcement().slots = Slots;
         target.isWaiting = false;
         target.nextAt = now_;
     }
@@ -309,15 +310,15 @@
                 hosts_, [&](const Host& host) { return now_ >= host.pausedUntil && owns(host, target); });
             result_.owned += owners == 1 ? 1 : 0;
             result_.doubleOwners += owners > 1 ? 1 : 0;
-            result_.overfills += target.running.size() > Slots ? 1 : 0;
+            result_.overloads += target.running.size() > Slots ? 1 : 0;
         }
     }
 
     static bool owns(const Host& host, const Target& target)
     {
-        const auto use = host.pool.find(target.side.announcement().target);
+        const auto use = host.pool.find(target.fake.announcement().target);
         return use != host.pool.end() && use->second.isOwned
-            && use->second.incarnation == target.side.announcement().incarnation;
+            && use->second.incarnation == target.fake.announcement().incarnation;
     }
 
     FuzzOptions options_;
@@ -340,12 +341,12 @@
     for (uint32_t seed = FirstSeed; seed < FirstSeed + SeedCount; ++seed) {
         const FuzzResult result = OwnershipFuzz({.seed = seed}).run(RunTime);
         EXPECT_EQ(result.doubleOwners, 0u) << "seed " << seed;
-        EXPECT_EQ(result.overfills, 0u) << "seed " << seed;
+        EXPECT_EQ(result.overloads, 0u) << "seed " << seed;
         EXPECT_GT(result.handovers, 0u) << "seed " << seed;
         owned += result.owned;
     }
     RecordProperty("owned_checks", std::to_string(owned));
-    EXPECT_GT(owned, SeedCount * 100'000u) << "the runs must own targets for much of their time";
+    EXPECT_GT(owned, SeedCount * 100'000u) << "targets must be owned for much of the time";
 }
 
 TEST(OwnershipFuzzTest, CheckFindsTwoOwnersWithoutTheGuard)
--- a/src/membership/tests/suspecttabletests.cpp
+++ b/src/membership/tests/suspecttabletests.cpp
@@ -16,21 +16,21 @@
 namespace {
 
 constexpr model::RequestDigest Digest {.high = 1, .low = 2};
-constexpr double Calm = 0.01;
-constexpr double Wave = 0.3;
+constexpr double RareFailureShare = 0.01;
+constexpr double FrequentFailureShare = 0.3;
 
 class SuspectTableTest : public testing::Test {
 protected:
     [[nodiscard]] static Timestamp at(Duration time) { return Timestamp(1000s + time); }
-    /// A run of 100 ms that began so long after the start of the test.
-    static SuspectTable::End end(uint64_t target, Duration sentAt, double usualShare = Calm)
+    /// A failed run of 100 ms, sent `sentAt` after the start of the test.
+    static SuspectTable::TargetFailure failure(uint64_t target, Duration sentAt, double usualShare = RareFailureShare)
     {
         return {.target = target, .sentAt = at(sentAt), .endedAt = at(sentAt + 100ms), .usualShare = usualShare};
     }
-    void noteEnds(size_t count, double usualShare = Calm)
+    void recordFailures(size_t count, double usualShare = RareFailureShare)
     {
         for (size_t i = 0; i < count; ++i)
-            (void)table_.noteEnd(Digest, end(i + 1, i * 200ms, usualShare), at(i * 200ms + 100ms));
+            (void)table_.noteEnd(Digest, failure(i + 1, i * 200ms, usualShare), at(i * 200ms + 100ms));
     }
 
     SuspectTable table_ {SuspectTable::Limits {}};
@@ -38,32 +38,32 @@
 
 } // namespace
 
-TEST_F(SuspectTableTest, ThreeEndsInARowBlameInACalmFleet)
+TEST_F(SuspectTableTest, ThreeConsecutiveFailuresBlameWhenFailuresAreRare)
 {
-    noteEnds(2);
+    recordFailures(2);
     EXPECT_FALSE(table_.isBlamed(Digest));
-    noteEnds(3);
+    recordFailures(3);
     EXPECT_TRUE(table_.isBlamed(Digest));
 }
 
-TEST_F(SuspectTableTest, TheSameEndToldTwiceIsOne)
+TEST_F(SuspectTableTest, TheSameFailureReportedTwiceCountsOnce)
 {
     for (int i = 0; i < 5; ++i)
-        (void)table_.noteEnd(Digest, end(7, i * 200ms), at(1s));
+        (void)table_.noteEnd(Digest, failure(7, i * 200ms), at(1s));
     EXPECT_EQ(table_.endsInARow(Digest), 1U);
 }
 
-TEST_F(SuspectTableTest, EndsAtOnceAreOne)
+TEST_F(SuspectTableTest, SimultaneousFailuresCountOnce)
 {
     for (uint64_t target = 1; target <= 6; ++target)
-        (void)table_.noteEnd(Digest, end(target, 0s), at(100ms));
+        (void)table_.noteEnd(Digest, failure(target, 0s), at(100ms));
     EXPECT_EQ(table_.endsInARow(Digest), 1U);
     EXPECT_FALSE(table_.isBlamed(Digest));
 }
 
-TEST_F(SuspectTableTest, AnAnswerMakesTheEndsVoid)
+TEST_F(SuspectTableTest, AnAnswerDiscardsTheFailures)
 {
-    noteEnds(2);
+    recordFailures(2);
     EXPECT_TRUE(table_.noteAnswered(Digest, at(1s)));
     EXPECT_FALSE(table_.noteAnswered(Digest, at(1s)));
     EXPECT_EQ(table_.endsInARow(Digest), 0U);
@@ -71,55 +71,55 @@
     EXPECT_EQ(table_.size(), 1U);
 }
 
-/// Where three runs in ten end with their targets, a harmless request meets three ends in a row once in 37.
-TEST_F(SuspectTableTest, AWaveOfEndsTakesMoreOfThem)
+/// If the targets of three in ten runs fail, one in 37 harmless requests meets three consecutive failures.
+TEST_F(SuspectTableTest, MoreFailuresAreNeededWhenFailuresAreFrequent)
 {
-    noteEnds(5, Wave);
+    recordFailures(5, FrequentFailureShare);
     EXPECT_FALSE(table_.isBlamed(Digest));
-    noteEnds(6, Wave);
-    EXPECT_TRUE(table_.isBlamed(Digest)); // 0.3 to the power of 6 is under one in a thousand.
+    recordFailures(6, FrequentFailureShare);
+    EXPECT_TRUE(table_.isBlamed(Digest)); // 0.3 to the power of 6 is less than one in a thousand.
 }
 
-TEST_F(SuspectTableTest, TheWorstMomentOfAllEndsCounts)
+TEST_F(SuspectTableTest, TheHighestShareOfAllFailuresApplies)
 {
-    noteEnds(2);
-    (void)table_.noteEnd(Digest, end(9, 1s, Wave), at(1100ms));
+    recordFailures(2);
+    (void)table_.noteEnd(Digest, failure(9, 1s, FrequentFailureShare), at(1100ms));
     EXPECT_EQ(table_.endsInARow(Digest), 3U);
     EXPECT_FALSE(table_.isBlamed(Digest));
 }
 
-TEST_F(SuspectTableTest, AsManyEndsAsAreKeptBlameWhateverTheyAreWorth)
+TEST_F(SuspectTableTest, MaxFailuresBlameWhateverTheirWeight)
 {
-    noteEnds(SuspectTable::MostEnds, 0.9);
+    recordFailures(SuspectTable::MaxFailures, 0.9);
     EXPECT_TRUE(table_.isBlamed(Digest));
 }
 
-/// Words of several hosts, in any order, some twice: all come to the same.
-TEST_F(SuspectTableTest, WordsMergeInAnyOrder)
+/// Merges updates of several hosts in random order, some of them twice: the result must always be the same.
+TEST_F(SuspectTableTest, UpdatesMergeInAnyOrder)
 {
-    std::mt19937 random(1); // NOLINT(cert-msc32-c,cert-msc51-cpp): the same each time.
-    std::vector<model::SuspectRequest> words;
-    SuspectTable one {SuspectTable::Limits {}};
-    (void)one.noteEnd(Digest, end(1, 0s), at(2s));
-    words.push_back(*one.wordOf(Digest, at(2s)));
-    (void)one.noteAnswered(Digest, at(2s));
-    words.push_back(*one.wordOf(Digest, at(2s)));
+    std::mt19937 random(1); // NOLINT(cert-msc32-c,cert-msc51-cpp): must be reproducible.
+    std::vector<model::SuspectRequest> updates;
+    SuspectTable table {SuspectTable::Limits {}};
+    (void)table.noteEnd(Digest, failure(1, 0s), at(2s));
+    updates.push_back(*table.wordOf(Digest, at(2s)));
+    (void)table.noteAnswered(Digest, at(2s));
+    updates.push_back(*table.wordOf(Digest, at(2s)));
     for (uint64_t target = 2; target <= 4; ++target) {
         SuspectTable other {SuspectTable::Limits {}};
-        (void)other.merge(words[1], at(2s));
-        (void)other.noteEnd(Digest, end(1, 0s), at(2s));
-        (void)other.noteEnd(Digest, end(target, target * 300ms), at(2s));
-        words.push_back(*one.wordOf(Digest, at(2s)));
-        words.push_back(*other.wordOf(Digest, at(2s)));
-        words.back().epoch = 1;
+        (void)other.merge(updates[1], at(2s));
+        (void)other.noteEnd(Digest, failure(1, 0s), at(2s));
+        (void)other.noteEnd(Digest, failure(target, target * 300ms), at(2s));
+        updates.push_back(*table.wordOf(Digest, at(2s)));
+        updates.push_back(*other.wordOf(Digest, at(2s)));
+        updates.back().epoch = 1;
     }
     std::optional<model::SuspectRequest> first;
     for (int order = 0; order < 50; ++order) {
-        std::ranges::shuffle(words, random);
+        std::ranges::shuffle(updates, random);
         SuspectTable merged {SuspectTable::Limits {}};
-        (void)merged.noteEnd(Digest, end(1, 0s), at(2s));
-        for (const model::SuspectRequest& word : words)
-            (void)merged.merge(word, at(2s));
+        (void)merged.noteEnd(Digest, failure(1, 0s), at(2s));
+        for (const model::SuspectRequest& update : updates)
+            (void)merged.merge(update, at(2s));
         const auto result = merged.wordOf(Digest, at(2s));
         ASSERT_TRUE(result);
         if (!first)
@@ -129,27 +129,27 @@
     EXPECT_TRUE(first->isBlamed);
 }
 
-/// Two requests on the same targets at the same moments: one is blamed. If it was the harmless one, the other ends more
-/// targets, and then all ends are its own.
-TEST_F(SuspectTableTest, EndsSpeakAgainstOneOfTwoThatRanTogether)
+/// Of two requests that run on the same targets at the same times, one is blamed. If it was the harmless one, the other
+/// fails further targets and then accounts for all failures.
+TEST_F(SuspectTableTest, FailuresCountAgainstOneOfTwoConcurrentRequests)
 {
-    constexpr model::RequestDigest Beside {.high = 3, .low = 4};
+    constexpr model::RequestDigest Concurrent {.high = 3, .low = 4};
     for (size_t i = 0; i < 3; ++i) {
-        (void)table_.noteEnd(Beside, end(i + 1, i * 200ms), at(i * 200ms + 100ms));
-        (void)table_.noteEnd(Digest, end(i + 1, i * 200ms), at(i * 200ms + 100ms));
+        (void)table_.noteEnd(Concurrent, failure(i + 1, i * 200ms), at(i * 200ms + 100ms));
+        (void)table_.noteEnd(Digest, failure(i + 1, i * 200ms), at(i * 200ms + 100ms));
     }
-    EXPECT_TRUE(table_.isBlamed(Beside));
+    EXPECT_TRUE(table_.isBlamed(Concurrent));
     EXPECT_FALSE(table_.isBlamed(Digest));
     for (size_t i = 3; i < 6; ++i)
-        (void)table_.noteEnd(Digest, end(i + 1, i * 200ms), at(i * 200ms + 100ms));
+        (void)table_.noteEnd(Digest, failure(i + 1, i * 200ms), at(i * 200ms + 100ms));
     EXPECT_TRUE(table_.isBlamed(Digest));
-    EXPECT_FALSE(table_.isBlamed(Beside));
-    EXPECT_EQ(table_.takeExplained(), std::vector {Beside});
+    EXPECT_FALSE(table_.isBlamed(Concurrent));
+    EXPECT_EQ(table_.takeExplained(), std::vector {Concurrent});
 }
 
-TEST_F(SuspectTableTest, TrialsAreAMinuteAndTenMinutesApartAndThenOver)
+TEST_F(SuspectTableTest, TrialsFollowAfterOneAndTenMinutesAndThenStop)
 {
-    noteEnds(3);
+    recordFailures(3);
     EXPECT_GT(table_.untilTrial(Digest, at(30s)), 29s);
     EXPECT_EQ(table_.untilTrial(Digest, at(61s)), 0s);
     table_.noteTrial(Digest, at(61s));
@@ -158,9 +158,9 @@
     EXPECT_GT(table_.untilTrial(Digest, at(50min)), 30min);
 }
 
-TEST_F(SuspectTableTest, ATrialIsHeardOfByAll)
+TEST_F(SuspectTableTest, ATrialReachesOtherHosts)
 {
-    noteEnds(3);
+    recordFailures(3);
     SuspectTable other {SuspectTable::Limits {}};
     (void)other.merge(*table_.wordOf(Digest, at(1s)), at(1s));
     EXPECT_TRUE(other.isBlamed(Digest));
@@ -169,9 +169,9 @@
     EXPECT_GT(other.untilTrial(Digest, at(62s)), 9min);
 }
 
-TEST_F(SuspectTableTest, IsForgottenAnHourAfterItWasLastAskedFor)
+TEST_F(SuspectTableTest, AnEntryExpiresAnHourAfterItsLastRequest)
 {
-    noteEnds(3);
+    recordFailures(3);
     (void)table_.noteAsked(Digest, at(50min));
     table_.expire(at(109min));
     EXPECT_TRUE(table_.isBlamed(Digest));
@@ -179,34 +179,34 @@
     EXPECT_EQ(table_.size(), 0U);
 }
 
-TEST_F(SuspectTableTest, WhatIsAskedForIsNotPushedOutByWhatIsNew)
+TEST_F(SuspectTableTest, RequestsInUseAreNotEvictedForNewOnes)
 {
     SuspectTable table {{.entries = 4}};
     const auto digest = [](uint64_t number) { return model::RequestDigest {.high = number, .low = number}; };
     for (uint64_t number = 1; number <= 4; ++number) {
         for (uint64_t target = 1; target <= 3; ++target)
-            (void)table.noteEnd(digest(number), end(number * 10 + target, target * 200ms), at(1s));
+            (void)table.noteEnd(digest(number), failure(number * 10 + target, target * 200ms), at(1s));
     }
-    EXPECT_FALSE(table.noteEnd(digest(5), end(1, 0s), at(2s)));
+    EXPECT_FALSE(table.noteEnd(digest(5), failure(1, 0s), at(2s)));
     EXPECT_EQ(table.blamedCount(), 4U);
     for (uint64_t number = 2; number <= 4; ++number)
         (void)table.noteAsked(digest(number), at(15min));
-    EXPECT_TRUE(table.noteEnd(digest(5), end(1, 0s), at(15min))); // In place of the first, which nobody asks for.
+    EXPECT_TRUE(table.noteEnd(digest(5), failure(1, 0s), at(15min))); // Evicts the first, which is no longer in use.
     EXPECT_FALSE(table.isBlamed(digest(1)));
-    EXPECT_TRUE(table.noteEnd(digest(6), end(1, 0s), at(15min))); // In place of one with a single end.
+    EXPECT_TRUE(table.noteEnd(digest(6), failure(1, 0s), at(15min))); // Evicts the one with a single failure.
     EXPECT_EQ(table.endsInARow(digest(5)), 0U);
     EXPECT_EQ(table.blamedCount(), 3U);
 }
 
-TEST_F(SuspectTableTest, WordsASecondAreBoundedAndVerdictsGoFirst)
+TEST_F(SuspectTableTest, TheRateOfUpdatesIsLimitedAndBlamedRequestsGoFirst)
 {
     SuspectOutbox outbox({.perSecond = 10, .burst = 5});
     for (uint64_t number = 1; number <= 100; ++number) {
         const model::RequestDigest digest {.high = number, .low = 1};
-        (void)table_.noteEnd(digest, end(1, 0s), at(1s));
+        (void)table_.noteEnd(digest, failure(1, 0s), at(1s));
         outbox.add(digest, table_);
     }
-    noteEnds(3);
+    recordFailures(3);
     outbox.add(Digest, table_);
     const auto first = outbox.take(table_, at(1s));
     ASSERT_EQ(first.size(), 5U);
--- a/src/membership/tests/targetdirectorytests.cpp
+++ b/src/membership/tests/targetdirectorytests.cpp
@@ -29,7 +29,7 @@
         (void)target_.announceTo(directory, Start);
         ASSERT_TRUE(target_.announceTo(directory, Start + 5ms).isOwner);
     }
-    /// Delivers what `from` sends to `to`; returns how many messages there were.
+    /// Delivers the pending messages of `from` to `to`; returns their number.
     static size_t deliver(ITargetDirectory& from, const HostIdentity& sender, ITargetDirectory& to, Timestamp now)
     {
         const std::vector<model::Outgoing> messages = from.takeOutgoing();
@@ -65,7 +65,7 @@
 {
     const auto a = make(a_);
     makeOwner(*a);
-    // The answer to this one is lost, so the target still counts from the first offer.
+    // The answer to this announcement is lost, so the lease of the target still starts with the first offer.
     (void)a->announce(target_.next(Start + 1s), Start + 1s);
     a->tick(Start + 1999ms);
     EXPECT_TRUE(owns(*a));
@@ -74,7 +74,7 @@
     EXPECT_EQ(a->takeChanges().back().kind, TargetChange::Kind::Lost);
 }
 
-TEST_F(TargetDirectoryTest, AnotherHostWaitsOutTheLeaseAndItsGuard)
+TEST_F(TargetDirectoryTest, AnotherHostWaitsForTheLeaseAndItsGuardToExpire)
 {
     const auto a = make(a_);
     const auto b = make(b_);
@@ -86,7 +86,7 @@
     EXPECT_TRUE(target_.announceTo(*b, Start + 2211ms).isOwner);
 }
 
-TEST_F(TargetDirectoryTest, RestartedOwnerWaitsOutItsOwnFormerLease)
+TEST_F(TargetDirectoryTest, RestartedOwnerWaitsForItsFormerLeaseToExpire)
 {
     const auto a = make(a_);
     makeOwner(*a);
@@ -102,7 +102,7 @@
 {
     const auto a = make(a_);
     const Announcement first = target_.next(Start);
-    target_.take(1, a->announce(first, Start), Start);
+    target_.applyAnswer(1, a->announce(first, Start), Start);
     const Announcement second = target_.next(Start + 5ms);
     EXPECT_TRUE(a->announce(second, Start + 5ms).isOwner);
     EXPECT_TRUE(a->announce(second, Start + 6ms).owner.isEmpty());
@@ -111,7 +111,7 @@
     EXPECT_EQ(counters_.value(model::Counter::AnnouncementsRefused), 2u);
 }
 
-TEST_F(TargetDirectoryTest, AnnouncementDelayedBeyondItsLeaseGivesNoOwnership)
+TEST_F(TargetDirectoryTest, AnnouncementDelayedBeyondItsLeaseGrantsNoOwnership)
 {
     const auto a = make(a_);
     makeOwner(*a);
@@ -129,13 +129,13 @@
     const AnnouncementAnswer answer = restarted.announceTo(*a, Start + 100ms);
     EXPECT_FALSE(owns(*a));
     EXPECT_EQ(answer.owner, a_.host);
-    EXPECT_TRUE(target_.announceTo(*a, Start + 200ms).owner.isEmpty()) << "the old process is void";
+    EXPECT_TRUE(target_.announceTo(*a, Start + 200ms).owner.isEmpty()) << "the old process gets no lease any more";
 }
 
 TEST_F(TargetDirectoryTest, TakeOverCountsTheBusySlotsTheTargetReports)
 {
     const auto b = make(b_);
-    target_.announcement().leaseOwner = HostId {"gone"};
+    target_.announcement().leaseOwner = HostId {"lost"};
     target_.announcement().busySlots = 4;
     (void)target_.announceTo(*b, Start);
     (void)target_.announceTo(*b, Start + 5ms);
@@ -148,10 +148,10 @@
     for (Duration after = 1s; after < 6s; after += 500ms)
         (void)target_.announceTo(*b, Start + after);
     b->tick(Start + 6s);
-    EXPECT_EQ(b->takeChanges().back().foreignInFlight, 0u) << "a report may not hold slots back for ever";
+    EXPECT_EQ(b->takeChanges().back().foreignInFlight, 0u) << "a report must not block slots for ever";
 }
 
-TEST_F(TargetDirectoryTest, SendsNewTargetsToTheLeastLadenHost)
+TEST_F(TargetDirectoryTest, SendsNewTargetsToTheLeastLoadedHost)
 {
     hosts_.set(b_, 3);
     const auto b = make(b_);
@@ -164,23 +164,23 @@
         FakeTarget fresh {"n" + std::to_string(i)};
         redirected += fresh.announceTo(*a, Start + 1ms).announceTo == b_.host ? 1 : 0;
     }
-    EXPECT_EQ(redirected, 3u) << "loads by its own count and by what it sent away, not by one stale heartbeat";
+    EXPECT_EQ(redirected, 3u) << "the load includes its own targets and those redirected, not only the last heartbeat";
 }
 
 TEST_F(TargetDirectoryTest, ZoneWithoutHostsUsesItsRegion)
 {
     hosts_.set(makeIdentity("dead", "z9", "r1"), 0, HostHealth::Dead);
-    hosts_.set(makeIdentity("far", "z8", "r2"), 0);
+    hosts_.set(makeIdentity("remote", "z8", "r2"), 0);
     target_.announcement().zone = ZoneName {"z9"};
     const auto a = make(a_);
     EXPECT_EQ(target_.announceTo(*a, Start).owner, a_.host);
-    const auto far = make(makeIdentity("far", "z8", "r2"));
+    const auto remote = make(makeIdentity("remote", "z8", "r2"));
     FakeTarget other {"t2"};
     other.announcement().zone = ZoneName {"z9"};
-    EXPECT_EQ(other.announceTo(*far, Start).announceTo, a_.host);
+    EXPECT_EQ(other.announceTo(*remote, Start).announceTo, a_.host);
 }
 
-TEST_F(TargetDirectoryTest, LeavingTargetIsReportedAndNeverTakenAnew)
+TEST_F(TargetDirectoryTest, LeavingTargetIsReportedAndNeverOwnedAgain)
 {
     const auto a = make(a_);
     makeOwner(*a);
@@ -192,7 +192,7 @@
     EXPECT_TRUE(target_.announceTo(*a, Start + 5s).owner.isEmpty());
 }
 
-TEST_F(TargetDirectoryTest, PlannedStopHandsOverWithWhatIsStillInFlight)
+TEST_F(TargetDirectoryTest, PlannedStopHandsOverTheCountOfRequestsInFlight)
 {
     const auto a = make(a_);
     const auto b = make(b_);
@@ -201,7 +201,7 @@
     a->startLeaving(Start);
     EXPECT_FALSE(a->hasHandedAllOver());
     (void)target_.announceTo(*a, Start + 500ms);
-    EXPECT_FALSE(owns(*a)) << "no new work from here on";
+    EXPECT_FALSE(owns(*a)) << "gets no new work from here on";
     EXPECT_EQ(deliver(*a, a_, *b, Start + 501ms), 1u);
     (void)deliver(*b, b_, *a, Start + 502ms);
     EXPECT_EQ(target_.announceTo(*a, Start + 510ms).owner, b_.host);
@@ -212,7 +212,7 @@
     EXPECT_EQ(change.foreignInFlight, 3u);
     EXPECT_EQ(change.concurrencyLimit, 7u);
 
-    // Every other question is lost: the new owner asks until it is told that none is left.
+    // Every other query is lost: the new owner repeats it until it learns that no request is left.
     a->noteUse(TargetId {"t1"}, 0, 7);
     int rounds = 0;
     for (Timestamp now = Start + 540ms; change.foreignInFlight > 0 && rounds < 10; now += 20ms) {
@@ -240,7 +240,7 @@
     EXPECT_TRUE(owns(*a));
 }
 
-TEST_F(TargetDirectoryTest, LostNamingAnswerIsRepeatedAndOldEchoGivesNothingBack)
+TEST_F(TargetDirectoryTest, LostHandoverAnswerIsRepeatedAndAnOldEchoRestoresNoOwnership)
 {
     const auto a = make(a_);
     const auto b = make(b_);
@@ -254,7 +254,7 @@
     EXPECT_FALSE(owns(*a));
 }
 
-TEST_F(TargetDirectoryTest, DeadPredecessorsCountFallsByReportsAndEndsAtTheLimit)
+TEST_F(TargetDirectoryTest, DeadPredecessorsCountFallsByReportsAndExpiresAtTheLimit)
 {
     const auto b = make(b_);
     b->handle(a_.host,
@@ -269,7 +269,7 @@
     EXPECT_EQ(b->takeChanges().back().foreignInFlight, 5u);
     target_.announcement().busySlots = 4;
     (void)target_.announceTo(*b, Start + 500ms);
-    EXPECT_EQ(b->takeChanges().back().foreignInFlight, 4u) << "the target's report lowers it";
+    EXPECT_EQ(b->takeChanges().back().foreignInFlight, 4u) << "the report of the target lowers the count";
     for (Duration after = 1s; after <= 5s; after += 500ms)
         (void)target_.announceTo(*b, Start + after);
     b->tick(Start + 5150ms);
@@ -288,20 +288,20 @@
     (void)target_.announceTo(*a, Start + 500ms);
     EXPECT_EQ(a->ownedTargets().size(), 1u);
     (void)second.announceTo(*a, Start + 700ms);
-    EXPECT_EQ(a->ownedTargets().size(), 1u) << "one each";
+    EXPECT_EQ(a->ownedTargets().size(), 1u) << "each host owns one";
 }
 
-TEST_F(TargetDirectoryTest, TargetGoesHomeWhenItsZoneHasHostsAgain)
+TEST_F(TargetDirectoryTest, TargetReturnsToItsZoneOnceItHasHostsAgain)
 {
-    const HostIdentity home = makeIdentity("home", "z7", "r1");
-    target_.announcement().zone = home.zone;
+    const HostIdentity zoneHost = makeIdentity("zone-host", "z7", "r1");
+    target_.announcement().zone = zoneHost.zone;
     const auto a = make(a_);
     makeOwner(*a);
-    hosts_.set(home, 0);
+    hosts_.set(zoneHost, 0);
     (void)target_.announceTo(*a, Start + 500ms);
     const std::vector<model::Outgoing> outgoing = a->takeOutgoing();
     ASSERT_EQ(outgoing.size(), 1u);
-    EXPECT_EQ(outgoing.front().to, home.host);
+    EXPECT_EQ(outgoing.front().to, zoneHost.host);
 }
 
 } // namespace
