--- a/src/membership/internal/hostroster.cpp
+++ b/src/membership/internal/hostroster.cpp
@@ -137,19 +137,19 @@
 std::vector<HostId> HostRoster::nearControlHosts() const
 {
     const std::vector<HostId> all = controlHosts();
-    std::vector<HostId> near = all;
-    std::erase_if(near, [&](const HostId& host) { return isInOtherRegion(host); });
-    return near.empty() ? all : near;
+    std::vector<HostId> sameRegion = all;
+    std::erase_if(sameRegion, [&](const HostId& host) { return isInOtherRegion(host); });
+    return sameRegion.empty() ? all : sameRegion;
 }
 
 std::vector<const RosterEntry*> HostRoster::heardWithin(Duration age, Timestamp now) const
 {
-    std::vector<const RosterEntry*> heard;
+    std::vector<const RosterEntry*> received;
     for (const auto& [host, entry] : entries_) {
         if (now - entry.heardAt <= age)
-            heard.push_back(&entry);
+            received.push_back(&entry);
     }
-    return heard;
+    return received;
 }
 
 const RosterEntry* HostRoster::find(const HostId& host) const
--- a/src/membership/internal/hosttable.cpp
+++ b/src/membership/internal/hosttable.cpp
@@ -126,7 +126,7 @@
     }
     entry.view.record = record;
     entry.lastHeartbeatAt = lastHeartbeatAt;
-    entry.wasHeardDirectly = entry.wasHeardDirectly || isDirect;
+    entry.wasReceivedDirectly = entry.wasReceivedDirectly || isDirect;
     entry.isLinkDown = false;
     updateHealth(entry, now);
     return true;
@@ -169,7 +169,7 @@
     if (entry.isLinkDown)
         return HostHealth::Suspected;
     if (isZonePeer(entry))
-        return !entry.wasHeardDirectly || age > options_.suspectTimeout ? HostHealth::Suspected : HostHealth::Alive;
+        return !entry.wasReceivedDirectly || age > options_.suspectTimeout ? HostHealth::Suspected : HostHealth::Alive;
     return age > RemoteSuspicionFactor * options_.suspectTimeout ? HostHealth::Suspected : HostHealth::Alive;
 }
 
--- a/src/membership/internal/hosttable.h
+++ b/src/membership/internal/hosttable.h
@@ -39,7 +39,7 @@
                                       ///< its sending.
         Timestamp lastFullReplyAt {}; ///< When it was last sent all known records.
         bool isLinkDown = false; ///< Until the next heartbeat.
-        bool wasHeardDirectly = false; ///< A heartbeat was received from the host itself.
+        bool wasReceivedDirectly = false; ///< A heartbeat was received from the host itself.
     };
     using Entries = std::map<HostId, Entry>;
 
--- a/src/membership/tests/hostrostertests.cpp
+++ b/src/membership/tests/hostrostertests.cpp
@@ -133,14 +133,14 @@
         std::ranges::count_if(outgoing, [&](const model::Outgoing& message) { return message.to == HostId(host); }));
 }
 
-/// Returns the messages that the roster sends in `duration`. Ticks every 20 ms; sends the heartbeats of `heard` every
-/// 200 ms.
+/// Returns the messages that the roster sends in `duration`. Ticks every 20 ms; sends the heartbeats of `received`
+/// every 200 ms.
 std::vector<model::Outgoing> runFor(
-    IHostRoster& roster, Duration duration, const std::vector<model::HostRecord>& heard, Timestamp& now)
+    IHostRoster& roster, Duration duration, const std::vector<model::HostRecord>& received, Timestamp& now)
 {
     std::vector<model::Outgoing> all;
     for (int step = 0; step * 20ms < duration; ++step, now += 20ms) {
-        for (const model::HostRecord& record : heard) {
+        for (const model::HostRecord& record : received) {
             if (step % 10 == 0)
                 roster.handle(heartbeat(record), now);
         }
@@ -157,8 +157,8 @@
 {
     const auto roster = makeHostRoster({.self = recordIn("g", false, "r"), .seeds = {}});
     Timestamp now(10s);
-    const std::vector heard {recordIn("local", true, "r"), recordIn("remote", true, "s")};
-    const std::vector<model::Outgoing> sent = runFor(*roster, 12s, heard, now);
+    const std::vector received {recordIn("local", true, "r"), recordIn("remote", true, "s")};
+    const std::vector<model::Outgoing> sent = runFor(*roster, 12s, received, now);
     EXPECT_GE(messagesTo(sent, "local"), 38U);
     EXPECT_GE(messagesTo(sent, "remote"), 9U);
     EXPECT_LE(messagesTo(sent, "remote"), 11U);
@@ -178,11 +178,11 @@
 {
     const auto roster = makeHostRoster({.self = recordIn("c", true, "r"), .seeds = {}});
     Timestamp now(10s);
-    const std::vector heard {recordIn("g-local", false, "r"), recordIn("g-remote", false, "s")};
-    const std::vector<model::Outgoing> sent = runFor(*roster, 20s, heard, now);
+    const std::vector received {recordIn("g-local", false, "r"), recordIn("g-remote", false, "s")};
+    const std::vector<model::Outgoing> sent = runFor(*roster, 20s, received, now);
     EXPECT_GE(messagesTo(sent, "g-local"), 18U);
     EXPECT_LE(messagesTo(sent, "g-remote"), 5U);
-    const std::vector withNewControlHost {heard[0], heard[1], recordIn("c2", true, "s")};
+    const std::vector withNewControlHost {received[0], received[1], recordIn("c2", true, "s")};
     EXPECT_GE(messagesTo(runFor(*roster, 100ms, withNewControlHost, now), "g-remote"), 1U);
 }
 
