--- a/src/saltvane/internal/arguments.cpp
+++ b/src/saltvane/internal/arguments.cpp
@@ -32,7 +32,7 @@
 
 } // namespace
 
-Result<Arguments, int> parseArguments(const std::string& command, std::vector<std::string> words)
+Result<Arguments, int> parseArguments(const std::string& command, std::vector<std::string> args)
 {
     TCLAP::CmdLine commandLine("saltvane " + command, ' ', "", false);
     commandLine.setExceptionHandling(false);
@@ -49,16 +49,16 @@
     TCLAP::SwitchArg wait("", "wait", "Follow until in force everywhere", commandLine);
     TCLAP::SwitchArg watch("", "watch", "Refresh every second until interrupted", commandLine);
     TCLAP::UnlabeledMultiArg<std::string> operands("operands", "Files or versions", false, "operand", commandLine);
-    words.insert(words.begin(), "saltvane " + command);
+    args.insert(args.begin(), "saltvane " + command);
     try {
-        commandLine.parse(words);
+        commandLine.parse(args);
     } catch (const TCLAP::ArgException& error) {
         std::cerr << "saltvane " << command << ": " << error.error() << " " << error.argId() << "\n";
         return ExitUsage;
     } catch (const TCLAP::ExitException& exit) {
         return exit.getExitStatus();
     }
-    // The library takes an option that it doesn't know for an operand, which most commands ignore.
+    // TCLAP parses an unknown option as an operand, and most commands ignore operands.
     for (const std::string& operand : operands) {
         if (operand.size() > 1 && operand.starts_with('-')) {
             std::cerr << "saltvane " << command << ": unknown option " << operand << "\n";
--- a/src/saltvane/internal/arguments.h
+++ b/src/saltvane/internal/arguments.h
@@ -14,20 +14,20 @@
 
 namespace saltvane::cli {
 
-/// Options and operands that the commands share; each command says which it needs.
+/// Options and operands that the commands share; each command checks those that it needs.
 struct Arguments {
     std::vector<std::string> operands;
-    std::vector<std::string> servers; ///< "ip:port" of entry addresses.
+    std::vector<std::string> servers; ///< Entry addresses of hosts, as "ip:port".
     std::string operatorName;
     std::string keyPath;
-    uint64_t toVersion = 0;
-    Duration timeout = 30s; ///< Of --wait.
+    uint64_t toVersion = 0; ///< Of --to; 0: not given.
+    Duration timeout = 30s; ///< Longest wait of --wait.
     bool isJson = false;
     bool isWaiting = false;
     bool isWatching = false;
 };
 
-/// Parses what follows the command's words. The error is the exit code.
-[[nodiscard]] Result<Arguments, int> parseArguments(const std::string& command, std::vector<std::string> words);
+/// Parses the arguments after the command's name. The error is the exit code.
+[[nodiscard]] Result<Arguments, int> parseArguments(const std::string& command, std::vector<std::string> args);
 
 } // namespace saltvane::cli
--- a/src/saltvane/internal/bundlecommands.cpp
+++ b/src/saltvane/internal/bundlecommands.cpp
@@ -24,7 +24,7 @@
 
 namespace {
 
-constexpr size_t ShownDigestLength = 12;
+constexpr size_t PrintedDigestLength = 12;
 
 std::optional<uint64_t> parseVersion(const std::string& text)
 {
@@ -42,11 +42,11 @@
     return parseVersion(arguments.operands.front());
 }
 
-/// Loads the operator's key; says what is missing.
+/// Loads the operator's key. Prints an error and returns nothing if an option is missing or the key can't be read.
 std::optional<Signer> loadSigner(const Arguments& arguments)
 {
     if (arguments.operatorName.empty() || arguments.keyPath.empty()) {
-        std::cerr << "saltvane: --operator and --key are needed to sign\n";
+        std::cerr << "saltvane: --operator and --key are required to sign\n";
         return std::nullopt;
     }
     Result<Signer, IoError> signer = Signer::load(arguments.keyPath);
@@ -57,23 +57,24 @@
     return signer.value();
 }
 
-int report(const Result<nlohmann::json, ClientError>& answer, const Arguments& arguments, const std::string& done)
+int printResult(
+    const Result<nlohmann::json, ClientError>& response, const Arguments& arguments, const std::string& successText)
 {
-    if (!answer)
-        return reportError(answer.error());
+    if (!response)
+        return reportError(response.error());
     if (arguments.isJson)
-        std::cout << answer.value().dump(2) << "\n";
+        std::cout << response.value().dump(2) << "\n";
     else
-        std::cout << done << "\n";
+        std::cout << successText << "\n";
     return ExitOk;
 }
 
-std::string field(const nlohmann::json& record, const char* name)
+std::string fieldText(const nlohmann::json& record, const char* name)
 {
-    const auto found = record.find(name);
-    if (found == record.end() || found->is_null())
+    const auto value = record.find(name);
+    if (value == record.end() || value->is_null())
         return "-";
-    return found->is_string() ? found->get<std::string>() : found->dump();
+    return value->is_string() ? value->get<std::string>() : value->dump();
 }
 
 } // namespace
@@ -101,7 +102,7 @@
     const nlohmann::json body {{"content", proposal.content}, {"version", proposal.version.value},
         {"author", proposal.author.value()}, {"signature", signer->sign(control::proposalText(proposal))}};
     const std::string version = std::to_string(proposal.version.value);
-    return report(ControlClient(arguments.servers).post("/v1/control/propose", body), arguments,
+    return printResult(ControlClient(arguments.servers).post("/v1/control/propose", body), arguments,
         "version " + version + " proposed; another operator approves it with: saltvane bundle approve " + version);
 }
 
@@ -124,7 +125,7 @@
         .approver = OperatorName(arguments.operatorName)};
     const nlohmann::json body {{"version", *version}, {"digest", approval.digest},
         {"approver", approval.approver.value()}, {"signature", signer->sign(control::approvalText(approval))}};
-    return report(client.post("/v1/control/approve", body), arguments,
+    return printResult(client.post("/v1/control/approve", body), arguments,
         "version " + std::to_string(*version)
             + " approved and in force; follow it with: saltvane bundle status --wait");
 }
@@ -142,15 +143,15 @@
     const auto list = client.get("/v1/control/bundles");
     if (!list)
         return reportError(list.error());
-    uint64_t newest = 0;
+    uint64_t newestVersion = 0;
     for (const nlohmann::json& record : list.value().value("bundles", nlohmann::json::array()))
-        newest = std::max(newest, record.value("version", uint64_t {0}));
+        newestVersion = std::max(newestVersion, record.value("version", uint64_t {0}));
     const control::RevertBundle revert {
-        .to = {arguments.toVersion}, .version = {newest + 1}, .author = OperatorName(arguments.operatorName)};
+        .to = {arguments.toVersion}, .version = {newestVersion + 1}, .author = OperatorName(arguments.operatorName)};
     const nlohmann::json body {{"to", revert.to.value}, {"version", revert.version.value},
         {"author", revert.author.value()}, {"signature", signer->sign(control::revertText(revert))}};
     const std::string version = std::to_string(revert.version.value);
-    return report(client.post("/v1/control/revert", body), arguments,
+    return printResult(client.post("/v1/control/revert", body), arguments,
         "version " + version + " proposed with the content of version " + std::to_string(revert.to.value)
             + "; another operator approves it with: saltvane bundle approve " + version);
 }
@@ -166,8 +167,9 @@
     }
     TextTable table({"VERSION", "STATE", "AUTHOR", "APPROVER", "DIGEST", "REVERT OF"});
     for (const nlohmann::json& record : list.value().value("bundles", nlohmann::json::array())) {
-        table.add({field(record, "version"), field(record, "state"), field(record, "author"), field(record, "approver"),
-            field(record, "digest").substr(0, ShownDigestLength), field(record, "revert_of")});
+        table.add({fieldText(record, "version"), fieldText(record, "state"), fieldText(record, "author"),
+            fieldText(record, "approver"), fieldText(record, "digest").substr(0, PrintedDigestLength),
+            fieldText(record, "revert_of")});
     }
     table.print(std::cout);
     return ExitOk;
--- a/src/saltvane/internal/bundlecommands.h
+++ b/src/saltvane/internal/bundlecommands.h
@@ -9,7 +9,7 @@
 
 namespace saltvane::cli {
 
-// Commands of a bundle's life cycle; each gives the exit code.
+// Commands to propose, approve, revert and list bundles; each returns the exit code.
 int proposeBundle(const Arguments& arguments);
 int approveBundle(const Arguments& arguments);
 int revertBundle(const Arguments& arguments);
--- a/src/saltvane/internal/checkcommands.cpp
+++ b/src/saltvane/internal/checkcommands.cpp
@@ -22,7 +22,7 @@
         {"field", finding.field}, {"message", finding.message}};
 }
 
-void print(const std::vector<Finding>& findings, bool isJson)
+void printFindings(const std::vector<Finding>& findings, bool isJson)
 {
     if (isJson) {
         nlohmann::json list = nlohmann::json::array();
@@ -35,7 +35,7 @@
         std::cerr << toString(finding) << "\n";
 }
 
-template <typename Load> int checkFiles(const Arguments& arguments, Load load)
+template <typename LoadFunction> int checkFiles(const Arguments& arguments, LoadFunction load)
 {
     if (arguments.operands.empty()) {
         std::cerr << "saltvane: name at least one file\n";
@@ -52,7 +52,7 @@
             std::cout << path << ": ok\n";
     }
     if (arguments.isJson || !findings.empty())
-        print(findings, arguments.isJson);
+        printFindings(findings, arguments.isJson);
     return findings.empty() ? ExitOk : ExitUsage;
 }
 
--- a/src/saltvane/internal/checkcommands.h
+++ b/src/saltvane/internal/checkcommands.h
@@ -9,10 +9,11 @@
 
 namespace saltvane::cli {
 
-// Commands that only read files; each gives the exit code.
+// Commands that need no host; each returns the exit code.
 int checkHosts(const Arguments& arguments);
 int checkBundles(const Arguments& arguments);
-/// Writes a new secret key (mode 0600, never over an existing file) and prints the public key for a bundle.
+/// Writes a new secret key to a file (mode 0600; an existing file is never overwritten) and prints the public key to
+/// list in a bundle.
 int newKey(const Arguments& arguments);
 
 } // namespace saltvane::cli
--- a/src/saltvane/internal/commandtable.cpp
+++ b/src/saltvane/internal/commandtable.cpp
@@ -21,7 +21,7 @@
 namespace {
 
 struct Command {
-    std::string_view words; ///< "bundle propose"
+    std::string_view name; ///< One or two words, such as "bundle propose".
     std::string_view usage;
     std::string_view help;
     int (*run)(const Arguments& arguments);
@@ -47,10 +47,10 @@
 {
     out << "usage: saltvane COMMAND [OPTIONS]\n\n";
     for (const Command& command : Commands) {
-        std::string left(command.words);
-        left += " ";
-        left += command.usage;
-        out << "  " << std::left << std::setw(58) << left << command.help << "\n";
+        std::string synopsis(command.name);
+        synopsis += " ";
+        synopsis += command.usage;
+        out << "  " << std::left << std::setw(58) << synopsis << command.help << "\n";
     }
     out << "\n  --server IP:PORT   entry address of a host, may be repeated (or SALTVANE_SERVERS, comma separated)\n"
            "  --json             answers in JSON\n"
@@ -62,28 +62,28 @@
 
 } // namespace
 
-int runCommandLine(std::vector<std::string> words, const std::string& version)
+int runCommandLine(std::vector<std::string> args, const std::string& version)
 {
-    if (words.empty()) {
+    if (args.empty()) {
         printHelp(std::cerr);
         return ExitUsage;
     }
-    if (words.front() == "--help" || words.front() == "-h")
+    if (args.front() == "--help" || args.front() == "-h")
         return printHelp(std::cout);
-    if (words.front() == "--version") {
+    if (args.front() == "--version") {
         std::cout << "saltvane " << version << "\n";
         return ExitOk;
     }
-    const std::string pair = words.size() > 1 ? words[0] + " " + words[1] : words[0];
+    const std::string leadingWords = args.size() > 1 ? args[0] + " " + args[1] : args[0];
     for (const Command& command : Commands) {
-        const bool isPair = command.words == pair;
-        if (!isPair && command.words != words.front())
+        const bool isExactMatch = command.name == leadingWords;
+        if (!isExactMatch && command.name != args.front())
             continue;
-        words.erase(words.begin(), words.begin() + (isPair && pair != words.front() ? 2 : 1));
-        const Result<Arguments, int> arguments = parseArguments(std::string(command.words), std::move(words));
+        args.erase(args.begin(), args.begin() + (isExactMatch && leadingWords != args.front() ? 2 : 1));
+        const Result<Arguments, int> arguments = parseArguments(std::string(command.name), std::move(args));
         return arguments ? command.run(arguments.value()) : arguments.error();
     }
-    std::cerr << "saltvane: unknown command: " << pair << " (see saltvane --help)\n";
+    std::cerr << "saltvane: unknown command: " << leadingWords << " (see saltvane --help)\n";
     return ExitUsage;
 }
 
--- a/src/saltvane/internal/commandtable.h
+++ b/src/saltvane/internal/commandtable.h
@@ -10,7 +10,7 @@
 
 namespace saltvane::cli {
 
-/// Runs the command that the words name; gives the exit code.
-[[nodiscard]] int runCommandLine(std::vector<std::string> words, const std::string& version);
+/// Runs the command that the arguments begin with. Returns the exit code.
+[[nodiscard]] int runCommandLine(std::vector<std::string> args, const std::string& version);
 
 } // namespace saltvane::cli
--- a/src/saltvane/internal/controlclient.cpp
+++ b/src/saltvane/internal/controlclient.cpp
@@ -21,8 +21,8 @@
 
 constexpr long RequestTimeoutMs = 10000;
 constexpr long ConnectTimeoutMs = 1000;
-constexpr int Rounds = 5; ///< Passes over the servers: an election takes a second or two.
-constexpr std::chrono::milliseconds RoundPause {500};
+constexpr int MaxRounds = 5; ///< Passes over the servers; with the pauses they outlast an election (1 to 2 s).
+constexpr std::chrono::milliseconds PauseBetweenRounds {500};
 constexpr long StatusMisdirected = 421;
 constexpr long StatusUnavailable = 503;
 
@@ -32,20 +32,20 @@
     return size * count;
 }
 
-std::optional<HttpAnswer> exchange(const std::string& server, const std::string& path, const std::string* body)
+std::optional<HttpResponse> sendRequest(const std::string& server, const std::string& path, const std::string* body)
 {
     const std::unique_ptr<CURL, decltype(&curl_easy_cleanup)> curl(curl_easy_init(), curl_easy_cleanup);
     const std::unique_ptr<curl_slist, decltype(&curl_slist_free_all)> headers(
         curl_slist_append(curl_slist_append(nullptr, "Content-Type: application/json"), "Expect:"),
         curl_slist_free_all);
-    HttpAnswer answer;
+    HttpResponse response;
     const std::string url = "http://" + server + path;
     curl_easy_setopt(curl.get(), CURLOPT_URL, url.c_str());
     curl_easy_setopt(curl.get(), CURLOPT_NOPROXY, "*");
     curl_easy_setopt(curl.get(), CURLOPT_TIMEOUT_MS, RequestTimeoutMs);
     curl_easy_setopt(curl.get(), CURLOPT_CONNECTTIMEOUT_MS, ConnectTimeoutMs);
     curl_easy_setopt(curl.get(), CURLOPT_WRITEFUNCTION, appendBody);
-    curl_easy_setopt(curl.get(), CURLOPT_WRITEDATA, &answer.body);
+    curl_easy_setopt(curl.get(), CURLOPT_WRITEDATA, &response.body);
     curl_easy_setopt(curl.get(), CURLOPT_HTTPHEADER, headers.get());
     if (body) {
         curl_easy_setopt(curl.get(), CURLOPT_POSTFIELDSIZE_LARGE, static_cast<curl_off_t>(body->size()));
@@ -53,25 +53,25 @@
     }
     if (curl_easy_perform(curl.get()) != CURLE_OK)
         return std::nullopt;
-    curl_easy_getinfo(curl.get(), CURLINFO_RESPONSE_CODE, &answer.status);
-    return answer;
+    curl_easy_getinfo(curl.get(), CURLINFO_RESPONSE_CODE, &response.status);
+    return response;
 }
 
-std::string leaderAddress(const nlohmann::json& answer)
+std::string leaderAddress(const nlohmann::json& response)
 {
-    const auto leader = answer.find("leader");
-    if (leader == answer.end() || !leader->is_object())
+    const auto leader = response.find("leader");
+    if (leader == response.end() || !leader->is_object())
         return {};
     return leader->value("address", std::string());
 }
 
-std::string describe(const nlohmann::json& answer, long status)
+std::string describeError(const nlohmann::json& response, long status)
 {
-    std::string text = answer.value("error", "HTTP status " + std::to_string(status));
-    const std::string message = answer.value("message", std::string());
+    std::string text = response.value("error", "HTTP status " + std::to_string(status));
+    const std::string message = response.value("message", std::string());
     if (!message.empty())
         text += ": " + message;
-    for (const auto& finding : answer.value("findings", nlohmann::json::array()))
+    for (const auto& finding : response.value("findings", nlohmann::json::array()))
         text += "\n  " + (finding.is_string() ? finding.get<std::string>() : finding.dump());
     return text;
 }
@@ -94,38 +94,38 @@
 Result<nlohmann::json, ClientError> ControlClient::send(const std::string& path, const std::string* body) const
 {
     if (servers_.empty())
-        return ClientError {ExitUsage, "name a host by --server IP:PORT or SALTVANE_SERVERS"};
-    ClientError last {ExitNoControl, "no host answered"};
-    for (int round = 0; round < Rounds; ++round) {
-        std::deque<std::string> untried(servers_.begin(), servers_.end());
-        std::vector<std::string> tried;
-        while (!untried.empty()) {
-            const std::string server = untried.front();
-            untried.pop_front();
-            if (std::find(tried.begin(), tried.end(), server) != tried.end())
+        return ClientError {ExitUsage, "no host given: use --server IP:PORT or SALTVANE_SERVERS"};
+    ClientError lastError {ExitNoControl, "no host responded"};
+    for (int round = 0; round < MaxRounds; ++round) {
+        std::deque<std::string> remaining(servers_.begin(), servers_.end());
+        std::vector<std::string> attempted;
+        while (!remaining.empty()) {
+            const std::string server = remaining.front();
+            remaining.pop_front();
+            if (std::find(attempted.begin(), attempted.end(), server) != attempted.end())
                 continue;
-            tried.push_back(server);
-            const std::optional<HttpAnswer> answer = exchange(server, path, body);
-            if (!answer)
+            attempted.push_back(server);
+            const std::optional<HttpResponse> response = sendRequest(server, path, body);
+            if (!response)
                 continue;
-            const nlohmann::json json = nlohmann::json::parse(answer->body, nullptr, false);
+            const nlohmann::json json = nlohmann::json::parse(response->body, nullptr, false);
             if (!json.is_object() && !json.is_array()) {
-                last = {ExitNoControl, server + " answered no JSON"};
+                lastError = {ExitNoControl, server + " returned a response that is not JSON"};
                 continue;
             }
-            if (answer->status >= 200 && answer->status < 300)
+            if (response->status >= 200 && response->status < 300)
                 return json;
-            if (answer->status == StatusMisdirected && !leaderAddress(json).empty()) {
-                untried.push_front(leaderAddress(json));
+            if (response->status == StatusMisdirected && !leaderAddress(json).empty()) {
+                remaining.push_front(leaderAddress(json));
                 continue;
             }
-            if (answer->status != StatusUnavailable && answer->status != StatusMisdirected)
-                return ClientError {ExitRefused, describe(json, answer->status)};
-            last = {ExitNoControl, server + ": " + describe(json, answer->status)};
+            if (response->status != StatusUnavailable && response->status != StatusMisdirected)
+                return ClientError {ExitRefused, describeError(json, response->status)};
+            lastError = {ExitNoControl, server + ": " + describeError(json, response->status)};
         }
-        std::this_thread::sleep_for(RoundPause);
+        std::this_thread::sleep_for(PauseBetweenRounds);
     }
-    return last;
+    return lastError;
 }
 
 } // namespace saltvane::cli
--- a/src/saltvane/internal/controlclient.h
+++ b/src/saltvane/internal/controlclient.h
@@ -14,26 +14,26 @@
 
 namespace saltvane::cli {
 
-/// A host's HTTP answer.
-struct HttpAnswer {
+struct HttpResponse {
     long status = 0;
     std::string body;
 };
 
-/// Why no usable answer came.
+/// Why a request got no usable response.
 struct ClientError {
-    int exitCode = 0;
+    int exitCode = 0; ///< For the process, as in exitcodes.h.
     std::string message;
 };
 
-/// Talks to the servers given until one answers; follows the hint to the control leader.
+/// Sends requests to the given servers in turn until one succeeds. Where a server names the control leader, the leader
+/// is attempted next.
 class ControlClient {
 public:
     explicit ControlClient(std::vector<std::string> servers);
 
-    /// GET from the first server that answers with success.
+    /// GET from the first server that responds with success.
     [[nodiscard]] Result<nlohmann::json, ClientError> get(const std::string& path) const;
-    /// POST to the control leader. Requests are idempotent, so that an answer lost on the way is fetched by a resend.
+    /// POST to the control leader. Requests are idempotent, so they are safely sent again if the response is lost.
     [[nodiscard]] Result<nlohmann::json, ClientError> post(const std::string& path, const nlohmann::json& body) const;
 
 private:
--- a/src/saltvane/internal/report.h
+++ b/src/saltvane/internal/report.h
@@ -9,7 +9,7 @@
 
 namespace saltvane::cli {
 
-/// Prints why no usable answer came; gives the exit code.
+/// Prints the error to standard error. Returns its exit code.
 int reportError(const ClientError& error);
 
 } // namespace saltvane::cli
--- a/src/saltvane/internal/signer.cpp
+++ b/src/saltvane/internal/signer.cpp
@@ -19,15 +19,15 @@
 constexpr int Base64Variant = sodium_base64_VARIANT_ORIGINAL;
 constexpr int KeyFileMode = 0600;
 
-std::string toBase64(std::span<const unsigned char> bytes)
+std::string encodeBase64(std::span<const unsigned char> bytes)
 {
     std::string text(sodium_base64_encoded_len(bytes.size(), Base64Variant), '\0');
     sodium_bin2base64(text.data(), text.size(), bytes.data(), bytes.size(), Base64Variant);
-    text.pop_back(); // the terminator
+    text.pop_back(); // The size above includes the terminating zero.
     return text;
 }
 
-/// Lines that begin with # are comments.
+/// The first line that is neither empty nor a comment (#); empty if there is none.
 std::string firstKeyLine(const std::string& path)
 {
     std::ifstream file(path);
@@ -63,12 +63,12 @@
     const int file = open(path.c_str(), O_WRONLY | O_CREAT | O_EXCL | O_CLOEXEC, KeyFileMode);
     if (file < 0)
         return IoError {.place = path, .message = std::strerror(errno), .code = errno};
-    const std::string text = toBase64(secretKey) + "\n";
+    const std::string text = encodeBase64(secretKey) + "\n";
     const bool isWritten = write(file, text.data(), text.size()) == static_cast<ssize_t>(text.size());
     const bool isClosed = close(file) == 0;
     if (!isWritten || !isClosed)
         return IoError {.place = path, .message = "cannot write the key"};
-    return toBase64(publicKey);
+    return encodeBase64(publicKey);
 }
 
 std::string Signer::sign(std::string_view text) const
@@ -76,7 +76,7 @@
     std::array<unsigned char, crypto_sign_BYTES> signature {};
     const auto* bytes = reinterpret_cast<const unsigned char*>(text.data());
     crypto_sign_detached(signature.data(), nullptr, bytes, text.size(), secretKey_.data());
-    return toBase64(signature);
+    return encodeBase64(signature);
 }
 
 } // namespace saltvane::cli
--- a/src/saltvane/internal/signer.h
+++ b/src/saltvane/internal/signer.h
@@ -14,14 +14,15 @@
 
 namespace saltvane::cli {
 
-/// An operator's Ed25519 secret key, read from a file that holds it in base64.
+/// Signs with an operator's Ed25519 secret key, which is stored in a file in base64.
 class Signer {
 public:
     [[nodiscard]] static Result<Signer, IoError> load(const std::string& path);
-    /// Makes a key pair, writes the secret key to a new file and gives the public key in base64.
+    /// Creates a key pair and writes the secret key to a new file. Returns the public key in base64. Fails if the file
+    /// exists.
     [[nodiscard]] static Result<std::string, IoError> createKeyFile(const std::string& path);
 
-    /// Signature in base64.
+    /// Returns the signature in base64.
     [[nodiscard]] std::string sign(std::string_view text) const;
 
 private:
--- a/src/saltvane/internal/statuscommands.cpp
+++ b/src/saltvane/internal/statuscommands.cpp
@@ -21,20 +21,20 @@
 
 namespace {
 
-constexpr std::chrono::seconds WatchPeriod {1};
-constexpr std::chrono::milliseconds WaitPeriod {200};
+constexpr std::chrono::seconds WatchInterval {1};
+constexpr std::chrono::milliseconds WaitPollInterval {200};
 constexpr const char* ClearScreen = "\x1b[H\x1b[2J";
 
 const nlohmann::json EmptyList = nlohmann::json::array();
 
-std::string number(double value)
+std::string formatNumber(double value)
 {
     char text[32];
     std::snprintf(text, sizeof text, "%.2f", value);
     return text;
 }
 
-std::string percent(double value)
+std::string formatPercent(double value)
 {
     char text[32];
     std::snprintf(text, sizeof text, "%.0f%%", value * 100);
@@ -55,7 +55,7 @@
 {
     TextTable table({"SERVICE", "ZONE", "OPEN", "ROOM", "IN FLIGHT", "QUEUED"});
     for (const nlohmann::json& zone : status.value("zones", EmptyList)) {
-        table.add({zone.value("service", ""), zone.value("zone", ""), percent(zone.value("open_share", 0.0)),
+        table.add({zone.value("service", ""), zone.value("zone", ""), formatPercent(zone.value("open_share", 0.0)),
             std::to_string(zone.value("room", 0)), std::to_string(zone.value("in_flight", 0)),
             std::to_string(zone.value("queued", 0))});
     }
@@ -69,7 +69,7 @@
         std::string shares;
         for (const nlohmann::json& zone : row.value("zones", EmptyList)) {
             if (zone.value("share", 0.0) > 0)
-                shares += zone.value("zone", "") + "=" + number(zone.value("share", 0.0)) + " ";
+                shares += zone.value("zone", "") + "=" + formatNumber(zone.value("share", 0.0)) + " ";
         }
         table.add({row.value("service", ""), row.value("region", ""), shares});
     }
@@ -91,7 +91,7 @@
 {
     std::cout << "host " << status.value("host", "") << ", " << status.value("state", "") << ", version "
               << status.value("bundle_version", uint64_t {0}) << ", state age "
-              << number(status.value("state_age_ms", 0.0) / 1000.0) << " s"
+              << formatNumber(status.value("state_age_ms", 0.0) / 1000.0) << " s"
               << (status.value("is_cut_off", false) ? ", CUT OFF from control" : "") << "\n\n";
     printHosts(status);
     std::cout << "\n";
@@ -101,19 +101,19 @@
     std::cout << "\n";
     const nlohmann::json shifts = status.value("shift_progress", nlohmann::json::object());
     for (const auto& [service, progress] : shifts.items())
-        std::cout << "shift of " << service << ": " << percent(progress.get<double>()) << "\n";
+        std::cout << "shift of " << service << ": " << formatPercent(progress.get<double>()) << "\n";
     printCounts(status, "refusals", "refusals:");
     printCounts(status, "retries", "retries:");
 }
 
-/// How far a version has come.
+/// On how many hosts a bundle version is in force, and how far the shifts to it are.
 struct Progress {
     size_t hosts = 0;
-    size_t current = 0;
-    double leastShift = 1.0;
-    std::string laggards;
+    size_t currentHosts = 0; ///< With this version or a later one in force.
+    double minShiftProgress = 1.0; ///< Of the service that is furthest behind, 0 to 1.
+    std::string laggards; ///< Names of the other hosts, each after a space.
 
-    [[nodiscard]] bool isDone() const { return hosts > 0 && current == hosts; }
+    [[nodiscard]] bool isDone() const { return hosts > 0 && currentHosts == hosts; }
 };
 
 Progress progressOf(const nlohmann::json& status, uint64_t version)
@@ -122,27 +122,27 @@
     for (const nlohmann::json& host : status.value("hosts", EmptyList)) {
         ++progress.hosts;
         const bool isCurrent = host.value("bundle_version", uint64_t {0}) >= version;
-        progress.current += isCurrent ? 1 : 0;
+        progress.currentHosts += isCurrent ? 1 : 0;
         if (!isCurrent)
             progress.laggards += " " + host.value("host", "");
     }
     const nlohmann::json shifts = status.value("shift_progress", nlohmann::json::object());
     for (const auto& [service, share] : shifts.items())
-        progress.leastShift = std::min(progress.leastShift, share.get<double>());
+        progress.minShiftProgress = std::min(progress.minShiftProgress, share.get<double>());
     return progress;
 }
 
 std::string progressLine(const Progress& progress, uint64_t version)
 {
-    std::string line = "version " + std::to_string(version) + " in force on " + std::to_string(progress.current) + "/"
-        + std::to_string(progress.hosts) + " hosts, shift " + percent(progress.leastShift);
+    std::string line = "version " + std::to_string(version) + " in force on " + std::to_string(progress.currentHosts)
+        + "/" + std::to_string(progress.hosts) + " hosts, shift " + formatPercent(progress.minShiftProgress);
     if (!progress.laggards.empty())
         line += ", behind:" + progress.laggards;
     return line;
 }
 
-/// The version asked for, or the one in force by the replicated log.
-Result<uint64_t, ClientError> wantedVersion(const ControlClient& client, const Arguments& arguments)
+/// Returns the version in the arguments or, without one, the version in force according to the replicated log.
+Result<uint64_t, ClientError> requestedVersion(const ControlClient& client, const Arguments& arguments)
 {
     if (!arguments.operands.empty()) {
         const uint64_t version = std::strtoull(arguments.operands.front().c_str(), nullptr, 10);
@@ -178,17 +178,17 @@
         std::cout << std::flush;
         if (!arguments.isWatching)
             return ExitOk;
-        std::this_thread::sleep_for(WatchPeriod);
+        std::this_thread::sleep_for(WatchInterval);
     }
 }
 
 int bundleStatus(const Arguments& arguments)
 {
     const ControlClient client(arguments.servers);
-    const auto version = wantedVersion(client, arguments);
+    const auto version = requestedVersion(client, arguments);
     if (!version)
         return reportError(version.error());
-    const auto end = monotonicNow() + arguments.timeout;
+    const auto deadline = monotonicNow() + arguments.timeout;
     std::string lastLine;
     for (;;) {
         const auto status = client.get("/v1/status");
@@ -199,16 +199,16 @@
         if (!arguments.isJson && line != lastLine)
             std::cout << line << std::endl;
         lastLine = line;
-        const bool isOver = !arguments.isWaiting || progress.isDone();
-        if (isOver && arguments.isJson)
+        const bool isFinished = !arguments.isWaiting || progress.isDone();
+        if (isFinished && arguments.isJson)
             std::cout << status.value().dump(2) << "\n";
-        if (isOver && !arguments.isJson)
+        if (isFinished && !arguments.isJson)
             printHosts(status.value());
-        if (isOver)
+        if (isFinished)
             return ExitOk;
-        if (monotonicNow() > end)
+        if (monotonicNow() > deadline)
             return ExitTimedOut;
-        std::this_thread::sleep_for(WaitPeriod);
+        std::this_thread::sleep_for(WaitPollInterval);
     }
 }
 
--- a/src/saltvane/internal/statuscommands.h
+++ b/src/saltvane/internal/statuscommands.h
@@ -9,9 +9,10 @@
 
 namespace saltvane::cli {
 
-// Commands that show the running system; each gives the exit code.
+// Commands that print the state of the running hosts; each returns the exit code.
 int showStatus(const Arguments& arguments);
-/// Each host's version in force; with --wait follows until every host has it and the shift is done.
+/// Prints the bundle version in force on each host. With --wait, polls until the requested version is in force on all
+/// hosts or the timeout ends.
 int bundleStatus(const Arguments& arguments);
 
 } // namespace saltvane::cli
--- a/src/saltvane/internal/texttable.h
+++ b/src/saltvane/internal/texttable.h
@@ -11,7 +11,7 @@
 
 namespace saltvane::cli {
 
-/// Columns of text, as wide as their widest cell.
+/// Table of text, each column as wide as its widest cell.
 class TextTable {
 public:
     explicit TextTable(std::vector<std::string> titles);
--- a/src/saltvane/main.cpp
+++ b/src/saltvane/main.cpp
@@ -15,7 +15,7 @@
 {
     using namespace saltvane;
     if (sodium_init() < 0 || curl_global_init(CURL_GLOBAL_DEFAULT) != CURLE_OK) {
-        std::cerr << "saltvane: a library could not be initialised\n";
+        std::cerr << "saltvane: libsodium or libcurl could not be initialised\n";
         return cli::ExitRefused;
     }
     const int exitCode = cli::runCommandLine({argv + 1, argv + argc}, SALTVANE_VERSION);
--- a/src/saltvane/tests/commandlinetests.cpp
+++ b/src/saltvane/tests/commandlinetests.cpp
@@ -19,10 +19,10 @@
 
 namespace {
 
-const std::string GoodHost = std::string(SALTVANE_SOURCE_DIR) + "/deployments/valoria/hosts/uio-carolina-1.yaml";
-const std::string GoodBundle = std::string(SALTVANE_SOURCE_DIR) + "/deployments/valoria/bundles/0001.yaml";
-/// Nothing listens there: the port is reserved.
-const std::string NobodysAddress = "127.0.0.1:1";
+const std::string ValidHost = std::string(SALTVANE_SOURCE_DIR) + "/deployments/valoria/hosts/uio-carolina-1.yaml";
+const std::string ValidBundle = std::string(SALTVANE_SOURCE_DIR) + "/deployments/valoria/bundles/0001.yaml";
+/// No process listens on this reserved port.
+const std::string UnusedAddress = "127.0.0.1:1";
 
 class CommandLineTest : public testing::Test {
 protected:
@@ -40,11 +40,11 @@
         std::string out;
         std::string err;
     };
-    static Outcome run(std::vector<std::string> words)
+    static Outcome run(std::vector<std::string> args)
     {
         testing::internal::CaptureStdout();
         testing::internal::CaptureStderr();
-        const int exitCode = runCommandLine(std::move(words), "1.2.3");
+        const int exitCode = runCommandLine(std::move(args), "1.2.3");
         std::string out = testing::internal::GetCapturedStdout();
         return {.exitCode = exitCode, .out = std::move(out), .err = testing::internal::GetCapturedStderr()};
     }
@@ -65,7 +65,7 @@
 
 } // namespace
 
-TEST_F(CommandLineTest, HelpNamesAllCommandsAndExitCodes)
+TEST_F(CommandLineTest, HelpListsCommandsAndExitCodes)
 {
     const Outcome help = run({"--help"});
     EXPECT_EQ(help.exitCode, ExitOk);
@@ -74,56 +74,56 @@
     EXPECT_EQ(run({"--version"}).out, "saltvane 1.2.3\n");
 }
 
-TEST_F(CommandLineTest, WithoutAKnownCommandTheErrorSaysSo)
+TEST_F(CommandLineTest, MissingOrUnknownCommandIsAnError)
 {
-    const Outcome nothing = run({});
-    EXPECT_EQ(nothing.exitCode, ExitUsage);
-    EXPECT_TRUE(nothing.out.empty());
-    EXPECT_NE(nothing.err.find("usage:"), std::string::npos);
+    const Outcome missing = run({});
+    EXPECT_EQ(missing.exitCode, ExitUsage);
+    EXPECT_TRUE(missing.out.empty());
+    EXPECT_NE(missing.err.find("usage:"), std::string::npos);
     const Outcome unknown = run({"bundle", "destroy"});
     EXPECT_EQ(unknown.exitCode, ExitUsage);
     EXPECT_NE(unknown.err.find("bundle destroy"), std::string::npos);
 }
 
-TEST_F(CommandLineTest, OptionsThatAreWrongAreRefusedByName)
+TEST_F(CommandLineTest, InvalidOptionsAreErrorsThatNameTheCommand)
 {
-    for (const std::vector<std::string>& words : {std::vector<std::string> {"bundle", "list", "--nonsense"},
+    for (const std::vector<std::string>& args : {std::vector<std::string> {"bundle", "list", "--nonsense"},
              {"bundle", "revert", "--to", "three"}, {"bundle", "status", "--timeout"}}) {
-        const Outcome outcome = run(words);
-        EXPECT_EQ(outcome.exitCode, ExitUsage) << words.back();
+        const Outcome outcome = run(args);
+        EXPECT_EQ(outcome.exitCode, ExitUsage) << args.back();
         EXPECT_NE(outcome.err.find("saltvane bundle"), std::string::npos) << outcome.err;
     }
 }
 
-TEST_F(CommandLineTest, CheckedFilesAreToldOneByOne)
+TEST_F(CommandLineTest, CheckPrintsAResultForEachFile)
 {
-    const Outcome good = run({"host", "check", GoodHost});
-    EXPECT_EQ(good.exitCode, ExitOk) << good.err;
-    EXPECT_EQ(good.out, GoodHost + ": ok\n");
-    EXPECT_EQ(run({"bundle", "check", GoodBundle}).exitCode, ExitOk);
+    const Outcome valid = run({"host", "check", ValidHost});
+    EXPECT_EQ(valid.exitCode, ExitOk) << valid.err;
+    EXPECT_EQ(valid.out, ValidHost + ": ok\n");
+    EXPECT_EQ(run({"bundle", "check", ValidBundle}).exitCode, ExitOk);
     EXPECT_EQ(run({"host", "check"}).exitCode, ExitUsage);
 }
 
-TEST_F(CommandLineTest, FindingsComeWithTheirPlaceAlsoAsJson)
+TEST_F(CommandLineTest, FindingsHaveALocationInTextAndJson)
 {
-    const std::string bad = write("bad.yaml", textOf(GoodHost) + "\nno_such_setting: 1\n");
-    const std::string cut = write("cut.yaml", "roles: [entry\n");
-    const Outcome text = run({"host", "check", bad, cut, GoodHost});
+    const std::string unknownField = write("bad.yaml", textOf(ValidHost) + "\nno_such_setting: 1\n");
+    const std::string incomplete = write("cut.yaml", "roles: [entry\n");
+    const Outcome text = run({"host", "check", unknownField, incomplete, ValidHost});
     EXPECT_EQ(text.exitCode, ExitUsage);
-    EXPECT_NE(text.err.find(bad + ":"), std::string::npos) << text.err;
+    EXPECT_NE(text.err.find(unknownField + ":"), std::string::npos) << text.err;
     EXPECT_NE(text.err.find("no_such_setting"), std::string::npos) << text.err;
-    EXPECT_NE(text.err.find(cut + ":"), std::string::npos) << text.err;
-    EXPECT_EQ(text.out, GoodHost + ": ok\n");
+    EXPECT_NE(text.err.find(incomplete + ":"), std::string::npos) << text.err;
+    EXPECT_EQ(text.out, ValidHost + ": ok\n");
 
-    const Outcome json = run({"host", "check", "--json", bad});
+    const Outcome json = run({"host", "check", "--json", unknownField});
     EXPECT_EQ(json.exitCode, ExitUsage);
     const nlohmann::json findings = nlohmann::json::parse(json.out)["findings"];
     ASSERT_EQ(findings.size(), 1U);
-    EXPECT_EQ(findings[0]["source"], bad);
+    EXPECT_EQ(findings[0]["source"], unknownField);
     EXPECT_GT(findings[0]["line"].get<int>(), 1);
 }
 
-TEST_F(CommandLineTest, AFileThatCanNotBeReadIsAFinding)
+TEST_F(CommandLineTest, UnreadableFileIsAFinding)
 {
     const std::string missing = folder_ / "missing.yaml";
     const Outcome outcome = run({"bundle", "check", missing});
@@ -131,7 +131,7 @@
     EXPECT_NE(outcome.err.find(missing), std::string::npos);
 }
 
-TEST_F(CommandLineTest, WithoutAServerTheErrorNamesTheWaysToGiveOne)
+TEST_F(CommandLineTest, MissingServerErrorNamesOptionAndVariable)
 {
     const Outcome outcome = run({"status"});
     EXPECT_EQ(outcome.exitCode, ExitUsage);
@@ -139,22 +139,22 @@
     EXPECT_NE(outcome.err.find("SALTVANE_SERVERS"), std::string::npos);
 }
 
-TEST_F(CommandLineTest, WhereNobodyAnswersTheExitCodeSaysSo)
+TEST_F(CommandLineTest, UnreachableServersGiveTheNoControlExitCode)
 {
-    EXPECT_EQ(run({"bundle", "list", "--server", NobodysAddress}).exitCode, ExitNoControl);
-    ::setenv("SALTVANE_SERVERS", NobodysAddress.c_str(), 1);
+    EXPECT_EQ(run({"bundle", "list", "--server", UnusedAddress}).exitCode, ExitNoControl);
+    ::setenv("SALTVANE_SERVERS", UnusedAddress.c_str(), 1);
     const Outcome outcome = run({"bundle", "list"});
     EXPECT_EQ(outcome.exitCode, ExitNoControl);
     EXPECT_FALSE(outcome.err.empty());
     EXPECT_TRUE(outcome.out.empty());
 }
 
-TEST_F(CommandLineTest, AKeyIsSecretAndNeverWrittenOver)
+TEST_F(CommandLineTest, NewKeyFileIsPrivateAndNeverOverwritten)
 {
     const std::string path = folder_ / "operator.key";
-    const Outcome made = run({"key", "new", path});
-    EXPECT_EQ(made.exitCode, ExitOk) << made.err;
-    EXPECT_EQ(made.out.rfind("public_key: ", 0), 0U);
+    const Outcome created = run({"key", "new", path});
+    EXPECT_EQ(created.exitCode, ExitOk) << created.err;
+    EXPECT_EQ(created.out.rfind("public_key: ", 0), 0U);
     struct stat status { };
     ASSERT_EQ(::stat(path.c_str(), &status), 0);
     EXPECT_EQ(status.st_mode & 0777U, 0600U);
@@ -164,13 +164,13 @@
     EXPECT_EQ(run({"key", "new"}).exitCode, ExitUsage);
 }
 
-TEST_F(CommandLineTest, SigningNeedsAnOperatorAndAKey)
+TEST_F(CommandLineTest, SigningRequiresOperatorAndKey)
 {
-    const Outcome nameless = run({"bundle", "propose", GoodBundle, "--server", NobodysAddress});
+    const Outcome nameless = run({"bundle", "propose", ValidBundle, "--server", UnusedAddress});
     EXPECT_EQ(nameless.exitCode, ExitUsage);
     EXPECT_NE(nameless.err.find("--operator"), std::string::npos) << nameless.err;
     const Outcome keyless
-        = run({"bundle", "approve", "1", "--operator", "ana", "--key", folder_ / "no.key", "--server", NobodysAddress});
+        = run({"bundle", "approve", "1", "--operator", "ana", "--key", folder_ / "no.key", "--server", UnusedAddress});
     EXPECT_EQ(keyless.exitCode, ExitUsage);
     EXPECT_NE(keyless.err.find("no.key"), std::string::npos) << keyless.err;
 }
--- a/src/saltvaned/internal/accesslog.h
+++ b/src/saltvaned/internal/accesslog.h
@@ -9,7 +9,7 @@
 
 namespace saltvane::saltvaned {
 
-/// Writes one line of the access log (docs/LOGS.md).
+/// Writes the access log line of a completed request or, on the owner side, a completed dispatch (docs/LOGS.md).
 void logAccess(const requests::AccessRecord& record);
 
 } // namespace saltvane::saltvaned
--- a/src/saltvaned/internal/clocks.h
+++ b/src/saltvaned/internal/clocks.h
@@ -12,7 +12,8 @@
 
 namespace saltvane::saltvaned {
 
-/// For people and for the order of starts only: it may step.
+/// Wall clock time in milliseconds since the Unix epoch. It may jump: use it only for display and to order process
+/// starts, never for durations.
 inline int64_t wallClockUnixMs()
 {
     const auto sinceEpoch = std::chrono::system_clock::now().time_since_epoch();
--- a/src/saltvaned/internal/commandline.cpp
+++ b/src/saltvaned/internal/commandline.cpp
@@ -13,12 +13,12 @@
 
 Result<CommandLine, int> parseCommandLine(int argc, char** argv, const std::string& version)
 {
-    TCLAP::CmdLine commandLine("saltvaned: one host of saltvane, with the roles its settings name", ' ', version);
+    TCLAP::CmdLine commandLine("saltvaned: one host of saltvane, with the roles set in its settings", ' ', version);
     commandLine.setExceptionHandling(false);
     TCLAP::SwitchArg check(
-        "", "check", "Check the settings, print every finding with its place, and exit", commandLine);
+        "", "check", "Check the settings, print every finding with its location, and exit", commandLine);
     TCLAP::UnlabeledValueArg<std::string> settings("settings",
-        "Settings file (docs/SETTINGS.md); by default the one that SALTVANE_CONFIG names", false, "", "SETTINGS.yaml",
+        "Settings file (docs/SETTINGS.md); default: the value of SALTVANE_CONFIG", false, "", "SETTINGS.yaml",
         commandLine);
     try {
         commandLine.parse(argc, argv);
@@ -29,11 +29,11 @@
         return exit.getExitStatus();
     }
     std::string path = settings.getValue();
-    const char* const named = std::getenv(SettingsVariable);
-    if (path.empty() && named != nullptr)
-        path = named;
+    const char* const defaultPath = std::getenv(SettingsVariable);
+    if (path.empty() && defaultPath != nullptr)
+        path = defaultPath;
     if (path.empty()) {
-        std::cerr << "saltvaned: no settings file: name one, or set " << SettingsVariable << "\n";
+        std::cerr << "saltvaned: no settings file: pass one as an argument, or set " << SettingsVariable << "\n";
         return ExitUsage;
     }
     return CommandLine {.settingsPath = std::move(path), .isCheckOnly = check.getValue()};
--- a/src/saltvaned/internal/commandline.h
+++ b/src/saltvaned/internal/commandline.h
@@ -13,10 +13,10 @@
 
 // Exit codes (docs/OPERATORS.md).
 inline constexpr int ExitOk = 0;
-inline constexpr int ExitFailure = 1; ///< Something outside failed: a port, the data folder, the stop's time limit.
-inline constexpr int ExitUsage = 2; ///< Wrong arguments or settings with findings.
+inline constexpr int ExitFailure = 1; ///< Failed to open a port or the data folder, or the stop timed out.
+inline constexpr int ExitUsage = 2; ///< Invalid arguments, or settings with findings.
 
-/// Environment variable that names the settings file where the arguments don't.
+/// Environment variable with the path of the settings file, used if the arguments name none.
 inline constexpr const char* SettingsVariable = "SALTVANE_CONFIG";
 
 struct CommandLine {
@@ -24,7 +24,7 @@
     bool isCheckOnly = false;
 };
 
-/// Reads the arguments. The error is the exit code: 0 after --help and --version.
+/// Parses the arguments. The error is the exit code of the process: 0 after --help and --version.
 [[nodiscard]] Result<CommandLine, int> parseCommandLine(int argc, char** argv, const std::string& version);
 
 } // namespace saltvane::saltvaned
--- a/src/saltvaned/internal/daemon.cpp
+++ b/src/saltvaned/internal/daemon.cpp
@@ -18,11 +18,11 @@
 
 namespace {
 
-/// How often the settings file is looked at: it may change without a signal.
-constexpr Duration SettingsPeriod = 2s;
+/// Interval of the checks whether the settings file has changed: no signal is needed for a reload.
+constexpr Duration SettingsCheckInterval = 2s;
 
-/// When a file was changed last, in nanoseconds; 0 where it can't be read.
-int64_t changeTimeOf(const std::string& path)
+/// Modification time of a file in nanoseconds since the Unix epoch; 0 if it can't be read.
+int64_t modificationTimeNs(const std::string& path)
 {
     constexpr int64_t NanosecondsPerSecond = 1'000'000'000;
     struct stat info { };
@@ -52,7 +52,7 @@
     httpServers_.clear();
     ev_loop_destroy(loop_);
     google::RemoveLogSink(&logWriter_);
-    logWriter_.flushAtEnd();
+    logWriter_.flushBeforeExit();
 }
 
 Result<std::unique_ptr<Daemon>, IoError> Daemon::start(const settings::HostSettings& settings)
@@ -85,7 +85,7 @@
     return daemon;
 }
 
-net::IHttpServer& Daemon::serverOf(requests::HttpHandle handle) const
+net::IHttpServer& Daemon::serverFor(requests::HttpHandle handle) const
 {
     return *httpServers_.at(requests::listenerOf(handle));
 }
@@ -109,8 +109,8 @@
 void Daemon::watchSettings(const std::string& path)
 {
     settingsPath_ = path;
-    settingsChangedAt_ = 0; // Looked at once more: it may have changed while this process started.
-    ev_timer_init(&settingsTimer_, onSettingsTimer, toSeconds(SettingsPeriod), toSeconds(SettingsPeriod));
+    settingsModifiedAtNs_ = 0; // Forces one reload: the file may have changed while this process started.
+    ev_timer_init(&settingsTimer_, onSettingsTimer, toSeconds(SettingsCheckInterval), toSeconds(SettingsCheckInterval));
     settingsTimer_.data = this;
     ev_timer_start(loop_, &settingsTimer_);
 }
@@ -119,7 +119,7 @@
 {
     if (settingsPath_.empty())
         return;
-    settingsChangedAt_ = changeTimeOf(settingsPath_);
+    settingsModifiedAtNs_ = modificationTimeNs(settingsPath_);
     const Result<settings::AnyHostSettings, Findings> read = settings::loadAnyHostSettings(settingsPath_);
     if (!read) {
         for (const Finding& finding : read.error().items())
@@ -146,9 +146,9 @@
 {
     auto* daemon = static_cast<Daemon*>(watcher->data);
     const Timestamp now = monotonicNow();
-    if (const auto stood = daemon->standstills_.note(now, daemon->core_->tickPeriod()))
+    if (const auto stall = daemon->stallMonitor_.recordTick(now, daemon->core_->tickPeriod()))
         LOG_TAGGED(WARNING, "saltvaned") << "event=stood_still ms="
-                                         << std::chrono::duration_cast<std::chrono::milliseconds>(*stood).count();
+                                         << std::chrono::duration_cast<std::chrono::milliseconds>(*stall).count();
     daemon->core_->tick(now);
     daemon->carryOutActions();
     daemon->drainEvents();
@@ -168,7 +168,7 @@
 void Daemon::onSettingsTimer(struct ev_loop* /*loop*/, ev_timer* watcher, int /*events*/)
 {
     auto* daemon = static_cast<Daemon*>(watcher->data);
-    if (changeTimeOf(daemon->settingsPath_) != daemon->settingsChangedAt_)
+    if (modificationTimeNs(daemon->settingsPath_) != daemon->settingsModifiedAtNs_)
         daemon->reloadSettings();
 }
 
@@ -204,16 +204,16 @@
         Daemon& daemon;
         void operator()(requests::HttpRespond& item)
         {
-            net::IHttpServer& server = daemon.serverOf(item.handle);
+            net::IHttpServer& server = daemon.serverFor(item.handle);
             server.carryOut(std::move(item));
         }
         void operator()(requests::HttpResponseBody& item)
         {
-            net::IHttpServer& server = daemon.serverOf(item.handle);
+            net::IHttpServer& server = daemon.serverFor(item.handle);
             server.carryOut(std::move(item));
         }
-        void operator()(requests::HttpAbort& item) { daemon.serverOf(item.handle).carryOut(item); }
-        void operator()(requests::HttpRequestWindow& item) { daemon.serverOf(item.handle).carryOut(item); }
+        void operator()(requests::HttpAbort& item) { daemon.serverFor(item.handle).carryOut(item); }
+        void operator()(requests::HttpRequestWindow& item) { daemon.serverFor(item.handle).carryOut(item); }
         void operator()(requests::TargetStart& item) { daemon.targetClient_->carryOut(std::move(item)); }
         void operator()(requests::TargetRequestBody& item) { daemon.targetClient_->carryOut(std::move(item)); }
         void operator()(requests::TargetResponseWindow& item) { daemon.targetClient_->carryOut(item); }
@@ -247,8 +247,8 @@
 
 void Daemon::carryOut(const host::CallerLimitsChanged& changed)
 {
-    constexpr size_t Front = 0; // Of all kinds of hosts.
-    httpServers_.at(Front)->setCallerLimits(changed.limits);
+    constexpr size_t FrontListener = 0; // On hosts of every kind.
+    httpServers_.at(FrontListener)->setCallerLimits(changed.limits);
 }
 
 void Daemon::carryOut(const host::LogLine& line)
--- a/src/saltvaned/internal/daemon.h
+++ b/src/saltvaned/internal/daemon.h
@@ -9,7 +9,7 @@
 #include "host/ihostcore.h"
 #include "net/inetadapters.h"
 #include "saltvaned/internal/logwriter.h"
-#include "saltvaned/internal/standstillwatch.h"
+#include "saltvaned/internal/stallmonitor.h"
 #include "settings/routedhostsettings.h"
 
 #include <deque>
@@ -19,45 +19,46 @@
 
 namespace saltvane::saltvaned {
 
-/// Binds one host's core to its adapters: one thread, one loop. Events go through one queue, so that the core is
-/// never entered twice; actions are carried out right after the event that caused them. docs/ARCHITECTURE.md
+/// Connects the core of one host to its network and disk adapters, on one thread with one event loop. All events pass
+/// through one queue, so that the core is never called recursively. The actions that an event causes are executed
+/// before the next event is handled. docs/ARCHITECTURE.md
 class Daemon {
 public:
     [[nodiscard]] static Result<std::unique_ptr<Daemon>, IoError> start(const settings::HostSettings& settings);
-    /// Reads the file again when it changes, and on SIGHUP.
+    /// Also reloads the settings file when it changes and on SIGHUP.
     [[nodiscard]] static Result<std::unique_ptr<Daemon>, IoError> start(
         const settings::RoutedHostSettings& settings, const std::string& settingsPath);
     ~Daemon();
     Daemon(const Daemon&) = delete;
     Daemon& operator=(const Daemon&) = delete;
 
-    /// Runs until the planned stop is over; gives the exit code.
+    /// Runs the event loop until the planned stop is complete. Returns the exit code.
     int run();
 
 private:
     Daemon();
 
-    /// How other hosts know this one.
+    /// What the link hub needs to identify this host to others and to accept their links.
     struct LinkIdentity {
         HostId host;
         Incarnation incarnation;
         std::string deployment;
         std::string linkKey;
         model::Address address;
-        uint64_t memoryBytes = 0; ///< That the host may use.
+        uint64_t memoryBytes = 0; ///< Memory limit of the host.
     };
 
     Result<Done, IoError> openAdapters(const settings::HostSettings& settings);
     Result<Done, IoError> openAdapters(const settings::RoutedHostSettings& settings);
     Result<Done, IoError> openDataFolder(const std::string& path);
     Result<Done, IoError> openLinks(const LinkIdentity& identity);
-    Result<Done, IoError> openTargetClient(Duration connectTimeout, int receiveBuffer);
-    /// Each call opens the next listener.
+    Result<Done, IoError> openTargetClient(Duration connectTimeout, int receiveBufferBytes);
+    /// Adds a server to httpServers_; its index there is its listener number.
     Result<Done, IoError> openHttpServer(
-        const model::Address& address, const settings::Limits& limits, bool isMetricsServed, int sendBuffer);
+        const model::Address& address, const settings::Limits& limits, bool isMetricsServed, int sendBufferBytes);
     [[nodiscard]] std::unique_ptr<host::IHostCore> makeRoutedCore(
         const settings::RoutedHostSettings& settings, Incarnation incarnation) const;
-    [[nodiscard]] net::IHttpServer& serverOf(requests::HttpHandle handle) const;
+    [[nodiscard]] net::IHttpServer& serverFor(requests::HttpHandle handle) const;
     void startWatchers();
     void deliver(host::Event event);
     void drainEvents();
@@ -84,17 +85,17 @@
     ev_signal interruptSignal_ {};
     ev_signal hangUpSignal_ {};
     ev_timer settingsTimer_ {};
-    std::string settingsPath_; ///< Empty: its changes are not followed.
-    int64_t settingsChangedAt_ = 0; ///< Of the file, nanoseconds.
+    std::string settingsPath_; ///< Empty: the settings are never reloaded.
+    int64_t settingsModifiedAtNs_ = 0; ///< Modification time of the file when it was last read.
     std::vector<model::Address> seeds_;
     std::unique_ptr<host::IHostCore> core_;
     std::unique_ptr<net::IDataFolder> dataFolder_;
-    std::vector<std::unique_ptr<net::IHttpServer>> httpServers_; ///< By listener.
+    std::vector<std::unique_ptr<net::IHttpServer>> httpServers_; ///< Indexed by listener number.
     std::unique_ptr<net::ITargetClient> targetClient_;
     std::unique_ptr<net::ILinkHub> linkHub_;
     model::Counters adapterCounters_;
     LogWriter logWriter_;
-    StandstillWatch standstills_;
+    StallMonitor stallMonitor_;
     std::deque<host::Event> events_;
     bool isDraining_ = false;
     bool isFinished_ = false;
--- a/src/saltvaned/internal/daemonadapters.cpp
+++ b/src/saltvaned/internal/daemonadapters.cpp
@@ -16,48 +16,51 @@
 #include <unistd.h>
 #include <utility>
 
-/// How Daemon sets up what its core needs: disk, links, HTTP servers and client.
+/// The part of Daemon that opens the adapters of its core: data folder, links, HTTP servers and target client.
 namespace saltvane::saltvaned {
 
 namespace {
 
-constexpr Duration UsualConnectTimeout = 1s;
-/// Three lost round trips between far regions; a target that takes longer is tried elsewhere.
+constexpr Duration DefaultConnectTimeout = 1s;
+/// As long as three round trips between distant regions. If a target takes longer to accept the connection, the request
+/// is attempted at another target.
 constexpr Duration GatewayConnectTimeout = 600ms;
 
-/// Bytes of one connection that may wait on a host's link: a large answer must not hold up the small ones behind it for
-/// longer than this. 0 (the system's choice) on links that are quick enough.
-int socketBufferFor(double linkMegabits)
+/// Size of a connection's socket buffer in bytes. On slow links it is limited to what the link sends in
+/// MaxQueueDelaySeconds, so that a large response doesn't delay the small ones behind it for longer. 0 on fast links
+/// and where the speed is unknown: the system's default.
+int socketBufferBytes(double linkMegabitsPerSecond)
 {
-    constexpr double LongestWaitSeconds = 0.033;
-    constexpr double QuickLinkMegabits = 100;
+    constexpr double MaxQueueDelaySeconds = 0.033;
+    constexpr double FastLinkMegabitsPerSecond = 100;
     constexpr double BytesPerMegabit = 125'000;
-    constexpr double LeastBuffer = 16 * 1024;
-    if (linkMegabits <= 0 || linkMegabits >= QuickLinkMegabits)
+    constexpr double MinBufferBytes = 16 * 1024;
+    if (linkMegabitsPerSecond <= 0 || linkMegabitsPerSecond >= FastLinkMegabitsPerSecond)
         return 0;
-    return static_cast<int>(std::max(LeastBuffer, linkMegabits * BytesPerMegabit * LongestWaitSeconds));
+    return static_cast<int>(std::max(MinBufferBytes, linkMegabitsPerSecond * BytesPerMegabit * MaxQueueDelaySeconds));
 }
 
-/// Hosts without a disk have only the wall clock to order their starts by.
-Incarnation incarnationOfThisStart()
+/// Incarnation of this start of the process. It comes from the wall clock because hosts without a disk have nothing
+/// else to order their starts by.
+Incarnation makeIncarnation()
 {
     const auto sinceEpoch = std::chrono::system_clock::now().time_since_epoch();
     return {static_cast<uint64_t>(std::chrono::duration_cast<std::chrono::microseconds>(sinceEpoch).count())};
 }
 
-/// Of this process; 0 where the system doesn't tell.
+/// Resident memory of this process; 0 if the system doesn't report it.
 uint64_t residentBytes()
 {
     std::ifstream statistics("/proc/self/statm");
-    uint64_t allPages = 0;
+    uint64_t totalPages = 0;
     uint64_t residentPages = 0;
-    if (!(statistics >> allPages >> residentPages))
+    if (!(statistics >> totalPages >> residentPages))
         return 0;
     return residentPages * static_cast<uint64_t>(::sysconf(_SC_PAGESIZE));
 }
 
-/// Of a host's memory, for what waits on its links.
-constexpr uint64_t PartForLinks = 4;
+/// The buffers of all links together may use the host's memory limit divided by this.
+constexpr uint64_t LinkMemoryDivisor = 4;
 
 uint64_t randomSeed()
 {
@@ -70,7 +73,7 @@
 
 Result<Done, IoError> Daemon::openAdapters(const settings::HostSettings& settings)
 {
-    const Incarnation incarnation = incarnationOfThisStart();
+    const Incarnation incarnation = makeIncarnation();
     std::optional<control::RecoveredState> recovered;
     if (settings.isControl) {
         if (auto opened = openDataFolder(settings.dataFolder); !opened)
@@ -90,21 +93,21 @@
         .memoryBytes = settings.limits.memoryBytes});
     if (!linked)
         return linked;
-    if (auto opened = openTargetClient(UsualConnectTimeout, 0); !opened)
+    if (auto opened = openTargetClient(DefaultConnectTimeout, 0); !opened)
         return opened;
     return openHttpServer(settings.entryAddress, settings.limits, true, 0);
 }
 
 Result<Done, IoError> Daemon::openAdapters(const settings::RoutedHostSettings& settings)
 {
-    const Incarnation incarnation = incarnationOfThisStart();
+    const Incarnation incarnation = makeIncarnation();
     if (settings.isRegistry) {
         if (auto opened = openDataFolder(settings.dataFolder); !opened)
             return opened;
     }
     core_ = makeRoutedCore(settings, incarnation);
     if (!core_)
-        return IoError {.place = settings.dataFolder, .message = "holds no state of this version"};
+        return IoError {.place = settings.dataFolder, .message = "contains no state of this version"};
     const auto linked = openLinks({.host = settings.host(),
         .incarnation = incarnation,
         .deployment = settings.deployment,
@@ -113,15 +116,15 @@
         .memoryBytes = settings.limits.memoryBytes});
     if (!linked)
         return linked;
-    const int buffer = socketBufferFor(settings.linkMegabits);
-    if (auto opened = openTargetClient(GatewayConnectTimeout, buffer); settings.isGateway && !opened)
+    const int bufferBytes = socketBufferBytes(settings.linkMegabits);
+    if (auto opened = openTargetClient(GatewayConnectTimeout, bufferBytes); settings.isGateway && !opened)
         return opened;
     // In the order of gateway::Listener and registry::Listener.
     const std::array<model::Address, 2> addresses = settings.isGateway
         ? std::array {settings.frontAddress, settings.readinessAddress}
         : std::array {settings.controlAddress, settings.directoryAddress};
     for (const model::Address& address : addresses) {
-        if (auto opened = openHttpServer(address, settings.limits, false, buffer); !opened)
+        if (auto opened = openHttpServer(address, settings.limits, false, bufferBytes); !opened)
             return opened;
     }
     if (settings.metricsAddress.port == 0)
@@ -162,19 +165,19 @@
         .listenAddress = identity.address,
         .sink = [this](host::Event event) { deliver(std::move(event)); },
         .counters = &adapterCounters_,
-        .largestBacklog = identity.memoryBytes / PartForLinks});
+        .largestBacklog = identity.memoryBytes / LinkMemoryDivisor});
     if (!linkHub)
         return linkHub.error();
     linkHub_ = std::move(linkHub.value());
     return Done {};
 }
 
-Result<Done, IoError> Daemon::openTargetClient(Duration connectTimeout, int receiveBuffer)
+Result<Done, IoError> Daemon::openTargetClient(Duration connectTimeout, int receiveBufferBytes)
 {
     Result<std::unique_ptr<net::ITargetClient>, IoError> targetClient = net::makeTargetClient({.loop = loop_,
         .sink = [this](host::Event event) { deliver(std::move(event)); },
         .connectTimeout = connectTimeout,
-        .receiveBuffer = receiveBuffer});
+        .receiveBuffer = receiveBufferBytes});
     if (!targetClient)
         return targetClient.error();
     targetClient_ = std::move(targetClient.value());
@@ -182,7 +185,7 @@
 }
 
 Result<Done, IoError> Daemon::openHttpServer(
-    const model::Address& address, const settings::Limits& limits, bool isMetricsServed, int sendBuffer)
+    const model::Address& address, const settings::Limits& limits, bool isMetricsServed, int sendBufferBytes)
 {
     Result<std::unique_ptr<net::IHttpServer>, IoError> httpServer = net::makeHttpServer({.loop = loop_,
         .address = address,
@@ -190,7 +193,7 @@
         .sink = [this](host::Event event) { deliver(std::move(event)); },
         .counters = &adapterCounters_,
         .listener = static_cast<uint8_t>(httpServers_.size()),
-        .sendBuffer = sendBuffer,
+        .sendBuffer = sendBufferBytes,
         .isMetricsServed = isMetricsServed,
         .metricsText =
             [this] {
@@ -202,7 +205,7 @@
                     .linkBacklogBytes = backlog.bytes,
                     .linkMemoryBytes = backlog.memory,
                     .residentBytes = residentBytes(),
-                    .stoodStill = standstills_.total()});
+                    .stallTime = stallMonitor_.total()});
             }});
     if (!httpServer)
         return httpServer.error();
--- a/src/saltvaned/internal/logwriter.cpp
+++ b/src/saltvaned/internal/logwriter.cpp
@@ -17,21 +17,21 @@
 
 namespace {
 
-/// A pipe that is writable takes so much without waiting (POSIX).
-constexpr size_t Block = PIPE_BUF;
-constexpr int LongestEndWaitMs = 200;
-constexpr char Levels[] = "IWEF";
+/// A write of at most this size to a pipe that polls as writable doesn't block (POSIX).
+constexpr size_t MaxBlockBytes = PIPE_BUF;
+constexpr int MaxFinalPollMs = 200;
+constexpr char LevelLetters[] = "IWEF";
 
-std::string timeText(const google::LogMessageTime& time)
+std::string formatTime(const google::LogMessageTime& time)
 {
-    constexpr size_t Longest = 40;
-    char text[Longest];
+    constexpr size_t MaxTextBytes = 40;
+    char seconds[MaxTextBytes];
     const std::tm& utc = time.tm();
-    const size_t length = std::strftime(text, sizeof(text), "%Y-%m-%dT%H:%M:%S", &utc);
-    char whole[Longest];
+    const size_t length = std::strftime(seconds, sizeof(seconds), "%Y-%m-%dT%H:%M:%S", &utc);
+    char text[MaxTextBytes];
     const int size = std::snprintf(
-        whole, sizeof(whole), "%.*s.%03d", static_cast<int>(length), text, static_cast<int>(time.usec() / 1000));
-    return {whole, static_cast<size_t>(size)};
+        text, sizeof(text), "%.*s.%03d", static_cast<int>(length), seconds, static_cast<int>(time.usec() / 1000));
+    return {text, static_cast<size_t>(size)};
 }
 
 } // namespace
@@ -44,7 +44,7 @@
 void LogWriter::send(google::LogSeverity severity, const char* /*fullFilename*/, const char* /*baseFilename*/,
     int /*line*/, const google::LogMessageTime& time, const char* message, size_t length)
 {
-    std::string text = "time=" + timeText(time) + " level=" + Levels[std::clamp(severity, 0, 3)] + ' ';
+    std::string text = "time=" + formatTime(time) + " level=" + LevelLetters[std::clamp(severity, 0, 3)] + ' ';
     text.append(message, length);
     text.push_back('\n');
     append(text);
@@ -52,32 +52,32 @@
 
 void LogWriter::append(std::string_view line)
 {
-    if (waiting() + line.size() > options_.capacity) {
-        ++dropped_;
-        ++droppedInAll_;
+    if (bufferedBytes() + line.size() > options_.capacityBytes) {
+        ++unreportedDrops_;
+        ++droppedLines_;
         return;
     }
-    noteDropped();
+    reportDroppedLines();
     buffer_.append(line);
 }
 
-void LogWriter::noteDropped()
+void LogWriter::reportDroppedLines()
 {
-    if (dropped_ == 0)
+    if (unreportedDrops_ == 0)
         return;
-    buffer_ += "level=W module=saltvaned event=log_lines_dropped count=" + std::to_string(dropped_) + "\n";
-    dropped_ = 0;
+    buffer_ += "level=W module=saltvaned event=log_lines_dropped count=" + std::to_string(unreportedDrops_) + "\n";
+    unreportedDrops_ = 0;
 }
 
 bool LogWriter::isWritable(int timeoutMs) const
 {
-    pollfd waited {.fd = options_.fd, .events = POLLOUT, .revents = 0};
-    return ::poll(&waited, 1, timeoutMs) == 1 && (waited.revents & POLLOUT) != 0;
+    pollfd descriptor {.fd = options_.fd, .events = POLLOUT, .revents = 0};
+    return ::poll(&descriptor, 1, timeoutMs) == 1 && (descriptor.revents & POLLOUT) != 0;
 }
 
 bool LogWriter::writeBlock()
 {
-    const size_t size = std::min(Block, waiting());
+    const size_t size = std::min(MaxBlockBytes, bufferedBytes());
     const ssize_t count = ::write(options_.fd, buffer_.data() + written_, size);
     if (count <= 0)
         return count < 0 && errno == EINTR;
@@ -91,28 +91,28 @@
 
 void LogWriter::tick(Timestamp now)
 {
-    if (waiting() == 0 || now < nextFlushAt_)
+    if (bufferedBytes() == 0 || now < nextFlushAt_)
         return;
-    nextFlushAt_ = now + options_.flushPeriod;
+    nextFlushAt_ = now + options_.flushInterval;
     flush();
 }
 
 void LogWriter::flush()
 {
-    while (waiting() > 0 && isWritable(0)) {
+    while (bufferedBytes() > 0 && isWritable(0)) {
         if (!writeBlock())
             break;
     }
-    if (waiting() > 0 && written_ > 0) {
+    if (bufferedBytes() > 0 && written_ > 0) {
         buffer_.erase(0, written_);
         written_ = 0;
     }
 }
 
-void LogWriter::flushAtEnd()
+void LogWriter::flushBeforeExit()
 {
-    noteDropped();
-    while (waiting() > 0 && isWritable(LongestEndWaitMs)) {
+    reportDroppedLines();
+    while (bufferedBytes() > 0 && isWritable(MaxFinalPollMs)) {
         if (!writeBlock())
             return;
     }
--- a/src/saltvaned/internal/logwriter.h
+++ b/src/saltvaned/internal/logwriter.h
@@ -13,41 +13,44 @@
 
 namespace saltvane::saltvaned {
 
-/// Takes the process's log lines from glog and writes them to a descriptor, in blocks, without ever waiting for its
-/// reader. Lines that find the buffer full are dropped, and a line says how many. docs/LOGS.md
+/// Receives the log lines of the process from glog and writes them to a file descriptor in blocks. Logging never waits
+/// for the descriptor's reader: lines are dropped while the buffer is full, and a log line reports how many.
+/// docs/LOGS.md
 class LogWriter final : public google::LogSink {
 public:
     struct Options {
         int fd = 1;
-        size_t capacity = 256 * 1024; ///< Bytes that may wait.
-        Duration flushPeriod = 200ms;
+        size_t capacityBytes = 256 * 1024; ///< Most bytes that are buffered.
+        Duration flushInterval = 200ms;
     };
     explicit LogWriter(Options options);
 
     void send(google::LogSeverity severity, const char* fullFilename, const char* baseFilename, int line,
         const google::LogMessageTime& time, const char* message, size_t length) override;
-    /// Writes what waits, as far as the descriptor takes it, once a flush period.
+    /// Calls flush() once per flush interval.
     void tick(Timestamp now);
+    /// Writes buffered bytes for as long as the descriptor accepts them without blocking.
     void flush();
-    /// At the end of the process: waits for the reader, but not for long.
-    void flushAtEnd();
+    /// Writes the rest before the process exits; gives up once the descriptor accepts nothing for 200 ms.
+    void flushBeforeExit();
 
-    [[nodiscard]] uint64_t dropped() const { return droppedInAll_; }
-    [[nodiscard]] size_t waiting() const { return buffer_.size() - written_; }
+    [[nodiscard]] uint64_t droppedLines() const { return droppedLines_; }
+    [[nodiscard]] size_t bufferedBytes() const { return buffer_.size() - written_; }
 
 private:
     void append(std::string_view line);
-    void noteDropped();
-    /// False: the descriptor takes nothing now.
+    /// Appends a line with the number of lines dropped since the last such line.
+    void reportDroppedLines();
+    /// Whether the descriptor accepts a block, now or within the timeout.
     [[nodiscard]] bool isWritable(int timeoutMs) const;
-    /// Writes one block; false where nothing could be written.
+    /// Writes one block. Returns false if the write failed, true also if a signal interrupted it.
     bool writeBlock();
 
     Options options_;
     std::string buffer_;
-    size_t written_ = 0;
-    uint64_t dropped_ = 0; ///< Not told of yet.
-    uint64_t droppedInAll_ = 0;
+    size_t written_ = 0; ///< Bytes at the start of the buffer that are already written.
+    uint64_t unreportedDrops_ = 0; ///< Dropped lines that no log line has reported yet.
+    uint64_t droppedLines_ = 0; ///< Since the start of the process.
     Timestamp nextFlushAt_ {};
 };
 
--- a/src/saltvaned/internal/metricstext.cpp
+++ b/src/saltvaned/internal/metricstext.cpp
@@ -154,7 +154,7 @@
     families.push_back(
         makeGauge("saltvane_resident_bytes", "Memory of this process", static_cast<double>(input.residentBytes)));
     families.push_back(makeGauge("saltvane_stood_still_seconds",
-        "Time in which timers of this process were late by over 250 ms, since its start", toSeconds(input.stoodStill)));
+        "Time in which timers of this process were late by over 250 ms, since its start", toSeconds(input.stallTime)));
     families.push_back(makeGauge("saltvane_word_age_seconds",
         "Time since a gateway asked the registry something that was answered with a proof", toSeconds(status.wordAge)));
     if (!input.latencies.empty())
--- a/src/saltvaned/internal/metricstext.h
+++ b/src/saltvaned/internal/metricstext.h
@@ -16,16 +16,16 @@
 
 struct MetricsInput {
     const model::Counters& core;
-    const model::Counters& adapters; ///< These count apart from the core.
+    const model::Counters& adapters; ///< Counted by the adapters; the core doesn't include them.
     const host::HostStatus& status;
     std::span<const model::StageLatency> latencies;
-    uint64_t linkBacklogBytes = 0; ///< Unsent, over all links.
-    uint64_t linkMemoryBytes = 0; ///< Of their buffers.
-    uint64_t residentBytes = 0; ///< Of this process's memory.
-    Duration stoodStill {}; ///< See StandstillWatch.
+    uint64_t linkBacklogBytes = 0; ///< Bytes not sent yet, over all links.
+    uint64_t linkMemoryBytes = 0; ///< Size of the buffers of all links.
+    uint64_t residentBytes = 0; ///< Resident memory of this process.
+    Duration stallTime {}; ///< See StallMonitor::total().
 };
 
-/// The host's metrics in the Prometheus text format (docs/METRICS.md).
+/// Returns the host's metrics in the Prometheus text format (docs/METRICS.md).
 [[nodiscard]] std::string metricsText(const MetricsInput& input);
 
 } // namespace saltvane::saltvaned
--- a/src/saltvaned/main.cpp
+++ b/src/saltvaned/main.cpp
@@ -43,20 +43,22 @@
     return daemon.value()->run();
 }
 
-/// Gives large blocks back as soon as they are free: a host parses a plan now and then and is small otherwise.
-void keepMemorySmall()
+/// Makes malloc return large blocks to the system as soon as they are freed. Parsing a plan needs much memory for a
+/// short time; a host needs little otherwise.
+void returnFreedMemoryEarly()
 {
-    constexpr int LargeBlock = 64 * 1024;
-    constexpr int KeptAtTop = 128 * 1024;
-    mallopt(M_MMAP_THRESHOLD, LargeBlock);
-    mallopt(M_TRIM_THRESHOLD, KeptAtTop);
+    constexpr int MmapThresholdBytes = 64 * 1024;
+    constexpr int TrimThresholdBytes = 128 * 1024;
+    mallopt(M_MMAP_THRESHOLD, MmapThresholdBytes);
+    mallopt(M_TRIM_THRESHOLD, TrimThresholdBytes);
 }
 
 } // namespace
 
 int main(int argc, char** argv)
 {
-    // It says that the settings file has changed, which may come before the loop stands that reads it again.
+    // SIGHUP requests a reload of the settings. It must not end the process if it arrives before the event loop handles
+    // it. None is missed: a daemon that follows its settings file reloads it once after its start.
     std::signal(SIGHUP, SIG_IGN);
     const Result<saltvaned::CommandLine, int> commandLine = saltvaned::parseCommandLine(argc, argv, SALTVANE_VERSION);
     if (!commandLine)
@@ -73,8 +75,8 @@
         std::cout << commandLine.value().settingsPath << ": ok\n";
         return saltvaned::ExitOk;
     }
-    // All lines go through the daemon's log writer, to standard output.
-    keepMemorySmall();
+    returnFreedMemoryEarly();
+    // glog writes no files of its own: the daemon's LogWriter writes all lines to standard output.
     FLAGS_stderrthreshold = google::GLOG_FATAL;
     FLAGS_log_utc_time = true;
     google::InitGoogleLogging(argv[0]);
--- a/src/saltvaned/tests/logwritertests.cpp
+++ b/src/saltvaned/tests/logwritertests.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-/// A pipe that nobody reads unless the test does.
+/// Writes to a pipe that is read only when a test calls read().
 class LogWriterTest : public testing::Test {
 protected:
     LogWriterTest() { EXPECT_EQ(::pipe2(ends_.data(), O_CLOEXEC), 0); }
@@ -44,7 +44,7 @@
 
 } // namespace
 
-TEST_F(LogWriterTest, LinesComeOutWholeWithTimeAndLevel)
+TEST_F(LogWriterTest, WritesCompleteLinesWithTimeAndLevel)
 {
     LogWriter writer({.fd = ends_[1]});
     log(writer, "module=test event=one");
@@ -56,16 +56,16 @@
     EXPECT_TRUE(text.ends_with("event=two\n"));
 }
 
-TEST_F(LogWriterTest, AReaderThatDoesNotReadDelaysNothingAndIsToldWhatItMissed)
+TEST_F(LogWriterTest, BlockedReaderNeverDelaysLoggingAndDroppedLinesAreReported)
 {
-    LogWriter writer({.fd = ends_[1], .capacity = 20'000});
+    LogWriter writer({.fd = ends_[1], .capacityBytes = 20'000});
     const std::string line(200, 'x');
-    for (int i = 0; i < 5000; ++i) { // Far more than pipe and buffer hold together.
+    for (int i = 0; i < 5000; ++i) { // Far more than the pipe and the buffer can store.
         log(writer, line);
         writer.flush();
     }
-    EXPECT_GT(writer.dropped(), 0U);
-    EXPECT_LE(writer.waiting(), 20'000U);
+    EXPECT_GT(writer.droppedLines(), 0U);
+    EXPECT_LE(writer.bufferedBytes(), 20'000U);
     std::string text = read();
     writer.flush();
     log(writer, "module=test event=after");
@@ -75,9 +75,9 @@
     EXPECT_TRUE(text.ends_with("event=after\n"));
 }
 
-TEST_F(LogWriterTest, LinesAreGatheredForAPeriod)
+TEST_F(LogWriterTest, BuffersLinesForTheFlushInterval)
 {
-    LogWriter writer({.fd = ends_[1], .flushPeriod = 200ms});
+    LogWriter writer({.fd = ends_[1], .flushInterval = 200ms});
     log(writer, "one");
     writer.tick(Timestamp(10s));
     EXPECT_NE(read().find("one"), std::string::npos);
