--- a/src/control/controltypes.h
+++ b/src/control/controltypes.h
@@ -22,7 +22,7 @@
 
 namespace saltvane::control {
 
-/// One voting or learning replica of the log.
+/// A voter or learner (non-voting member) of the replicated log.
 struct ReplicaInfo {
     model::ReplicaId replica;
     HostId host;
@@ -32,15 +32,15 @@
 
 // Commands of the replicated log.
 struct ProposeBundle {
-    std::string content; ///< YAML as in version control.
+    std::string content; ///< YAML, as stored in the operators' version control.
     BundleVersion version;
     OperatorName author;
     std::string signature; ///< Ed25519 of the content's digest by the author, base64.
-    int64_t proposedAtUnixMs = 0; ///< For people only; decides nothing.
+    int64_t proposedAtUnixMs = 0; ///< Informational only.
 };
 struct ApproveBundle {
     BundleVersion version;
-    std::string digest; ///< Hex; what the approver read.
+    std::string digest; ///< Hex digest of the content that the approver reviewed.
     OperatorName approver;
     std::string signature;
 };
@@ -57,38 +57,39 @@
     uint64_t fingerprint = 0;
     HostId holder;
     Incarnation holderIncarnation;
-    uint64_t claim = 0; ///< The holder's number of the claim: its resend is granted again.
+    uint64_t claim = 0; ///< Number assigned by the holder; a resend with the same number is granted again.
     int64_t expiresAtUnixMs = 0;
-    int64_t nowUnixMs = 0; ///< The leader's wall clock when it appended; expiry only ever moves forward with it.
+    /// Leader's wall clock when it appended the entry. It advances the clock that decides expiry, never sets it back.
+    int64_t nowUnixMs = 0;
 };
 struct ChangeReplicas {
-    std::vector<ReplicaInfo> replicas; ///< Differs from the one before by one replica.
+    std::vector<ReplicaInfo> replicas; ///< Differs from the previous configuration by exactly one replica.
 };
-/// Replaces the route plan whole, if `base` is the version in force.
+/// Replaces the whole route plan, provided that `base` is the version in force.
 struct ReplacePlan {
-    BundleVersion base; ///< 0: there is none yet.
+    BundleVersion base; ///< 0: no plan exists yet.
     BundleVersion version;
     std::string content; ///< As the operator sent it.
 };
-/// Closes a zone's targets for every route, or opens them again.
+/// Starts or ends the evacuation of a zone. No route uses the targets of an evacuated zone.
 struct SetEvacuation {
     ZoneName zone;
     bool isEvacuated = false;
 };
-/// A target that said it leaves: this start and all before it get no new work from any host again. A later start under
-/// the same id isn't bound.
+/// Retires a target that announced it is leaving: no host sends new work to this or an earlier incarnation of it. Later
+/// incarnations under the same id are not affected.
 struct RetireTarget {
     TargetId target;
-    Incarnation incarnation; ///< 0: not known. It binds the start that a host knows when it hears of the order.
+    Incarnation incarnation; ///< 0: unknown; applies to the incarnation that a host knows when it receives the order.
 };
-/// Opens a leader's term.
+/// First entry of a leader's term.
 struct NoOperation { };
 using Command = std::variant<ProposeBundle, ApproveBundle, RevertBundle, ClaimKey, ChangeReplicas, NoOperation,
     ReplacePlan, SetEvacuation, RetireTarget>;
 
 enum class BundleState { Proposed, InForce, Superseded };
 
-/// What the replicated state knows of one version.
+/// Replicated record of one bundle version.
 struct BundleRecord {
     BundleVersion version;
     BundleState state = BundleState::Proposed;
@@ -102,47 +103,48 @@
     std::optional<BundleVersion> revertOf;
 };
 
-/// The replicated routing orders.
+/// Replicated route plan and operator's orders for zones and targets.
 struct RoutingState {
-    /// Far more than leave within the time a host could be cut off.
+    /// Far more than the number of targets that can leave while a host is cut off.
     static constexpr size_t KeptRetiredTargets = 8192;
 
     BundleVersion planVersion; ///< 0: no plan yet.
     std::string planContent;
-    LogPosition planPosition; ///< Where the plan came into force.
+    LogPosition planPosition; ///< Log position at which the plan came into force.
     std::set<ZoneName> evacuatedZones;
     membership::RetiredTargets retiredTargets {KeptRetiredTargets};
-    LogPosition ordersPosition; ///< Of the last change of zones or targets.
+    LogPosition ordersPosition; ///< Log position of the latest change to zones or targets.
 };
 
-/// Why the control part refuses an operator's request.
+/// Why control refuses an operator's request.
 enum class ControlErrorKind {
-    NotCurrent, ///< No proof from a quorum: the host may be cut off.
+    NotCurrent, ///< No recent proof from a quorum; the host may be cut off.
     NotLeader,
-    Conflict, ///< Same version, other content: `message` names the first and its author.
+    Conflict, ///< The version has other content, or another version is in force; `message` says which.
     NotFound,
     BadSignature,
     UnknownOperator,
     SelfApproval,
-    Invalid, ///< The bundle has findings.
+    Invalid, ///< Invalid bundle, plan or command; `findings` lists the errors of a bundle or plan.
     StorageFull,
     Busy
 };
 struct ControlError {
     ControlErrorKind kind = ControlErrorKind::NotCurrent;
     std::string message;
-    HostId leader; ///< Known leader, where NotLeader.
+    HostId leader; ///< Set for NotLeader.
     std::vector<Finding> findings;
 };
 
-/// Number of an operator's request or claim at this host, to match its answer.
+/// Identifies a request submitted at this host and its answer.
 using SubmissionId = Number<struct SubmissionIdTag>;
 struct SubmissionAnswer {
     SubmissionId submission;
     Result<BundleRecord, ControlError> result;
 };
 
-// What a replica keeps on disk, and how it asks for it. Done in order; counts only after StorageDone.
+// Persistent state of a replica and its write requests. Writes are done in order; a write is durable only once
+// StorageDone reports it.
 struct HardState {
     LogTerm term;
     model::ReplicaId votedFor;
@@ -150,7 +152,7 @@
 struct StorageWrite {
     uint64_t sequence = 0;
     std::optional<HardState> hardState;
-    std::optional<LogIndex> truncateFrom; ///< Drop entries from here on, before appending.
+    std::optional<LogIndex> truncateFrom; ///< Delete entries from this index on before appending.
     std::vector<model::LogEntry> append;
     std::optional<std::string> snapshot; ///< Replaces entries up to snapshotIndex.
     LogIndex snapshotIndex;
@@ -161,10 +163,10 @@
 };
 struct StorageFailed {
     uint64_t sequence = 0;
-    std::string message; ///< E.g. disk full: the write may be tried again.
+    std::string message; ///< For example, disk full. The write may be retried.
 };
 
-/// What was found on disk at start. A new disk gives a fresh replica id and nothing else.
+/// State read from disk at start. A new disk gives a new replica id and nothing else.
 struct RecoveredState {
     model::ReplicaId replica;
     bool isNewDisk = true;
--- a/src/control/ibundleholder.h
+++ b/src/control/ibundleholder.h
@@ -16,25 +16,28 @@
 
 namespace saltvane::control {
 
-/// What an entry host has in force, and how it gets newer ones: control -> relay of each zone -> its hosts, with a
-/// pull that repairs loss. Positions only grow. docs/design/0007-distribution.md
+/// Replica of the state in force (bundle or route plan) on an entry host. Control pushes new states to a relay in each
+/// zone, which pushes them to the hosts of its zone; periodic pulls recover lost pushes. The log position of the state
+/// never decreases. docs/design/0007-distribution.md
 class IBundleHolder {
 public:
     virtual ~IBundleHolder() = default;
 
-    /// BundlePush, BundlePart, BundlePull, BundleCurrent.
+    /// Handles BundlePush, BundlePart, BundlePull and BundleCurrent.
     virtual void handle(const model::Delivery& delivery, Timestamp now) = 0;
-    /// On a control host: what its replica has in force, and the age of its proof; no value while it has no proof.
+    /// On a control host: the state in force at its replica and the age of the replica's quorum proof.
     struct ControlView {
         LogPosition position;
         BundleVersion version;
         std::string_view content;
         Duration proofAge {};
     };
+    /// No value while the replica has no proof.
     virtual void setControlView(const std::optional<ControlView>& view, Timestamp now) = 0;
-    /// Whom to pull from, best first (relay, control hosts, peers), whom to push to (relays, or zone hosts of a relay).
+    /// `sources`: hosts to pull from, in order of preference (relay, control hosts, peers). `receivers`: hosts to push
+    /// to (on a control host the relays, on a relay the hosts of its zone).
     virtual void setPeers(std::span<const HostId> sources, std::span<const HostId> receivers, Timestamp now) = 0;
-    /// A new link stands with this source: what was asked before on an older one gets no answer any more.
+    /// A new link to this source is established; pulls sent over an earlier link will not be answered.
     virtual void noteLinkUp(const HostId& source, Timestamp now) = 0;
     virtual void tick(Timestamp now) = 0;
     [[nodiscard]] virtual std::vector<model::Outgoing> takeOutgoing() = 0;
@@ -42,37 +45,42 @@
     struct InForce {
         LogPosition position;
         BundleVersion version;
-        std::shared_ptr<const std::string> content; ///< Never null; empty where nothing is in force.
+        std::shared_ptr<const std::string> content; ///< Never null; empty if nothing is in force.
     };
-    /// Newly in force since the last call, if any.
+    /// The state in force, if it has changed since the last call.
     [[nodiscard]] virtual std::optional<InForce> takeInstalled() = 0;
-    /// May serve: holds a state that was proven current, or had from a peer that was up since before the cut.
+    /// The host may serve requests: its state was confirmed as current, or came from a peer that was ready before
+    /// control became unreachable.
     [[nodiscard]] virtual bool isReady() const = 0;
-    /// Since control last confirmed the state as current; the host is cut off when it grows.
+    /// Time since control last confirmed the state as current. The host is cut off once it reaches cutOffTimeout.
     [[nodiscard]] virtual Duration age(Timestamp now) const = 0;
     [[nodiscard]] virtual bool isCutOff(Timestamp now) const = 0;
-    /// Since the newest pull that any source has answered was sent: what that source had said before has come as well.
+    /// Time since the newest answered pull was sent, whatever its source. Everything that the source had sent before
+    /// that answer has arrived as well.
     [[nodiscard]] virtual Duration answerAge(Timestamp now) const = 0;
-    /// The same of sources with a proof that they miss nothing, and with the age of that proof.
+    /// As answerAge, but only for answers with a proof that the source is current, and with the age of that proof
+    /// added.
     [[nodiscard]] virtual Duration provenAnswerAge(Timestamp now) const = 0;
-    /// A newer state is known to be in force and on its way here.
+    /// A newer state is being transferred to this host.
     [[nodiscard]] virtual bool isFetching() const = 0;
 };
 
 struct BundleHolderOptions {
     HostId self;
     Duration pullPeriod = 1s;
-    Duration startPullPeriod = 100ms;
-    /// A pull without an answer for so long is followed by one of another source.
+    Duration startPullInterval = 100ms;
+    /// After this time without an answer, the next pull goes to another source.
     Duration unansweredAfter = 1s;
-    Duration cutOffAfter = 3s;
-    /// A source whose own proof is that old may miss what is in force: it is passed over, and a starting host waits for
-    /// another's word as long as peerStateAfter. Over what a proof takes to reach a source in its usual course.
+    Duration cutOffTimeout = 3s;
+    /// A source with a proof of this age may lack the state in force: it is avoided, and a starting host waits up to
+    /// peerStateDelay for a source with a newer proof. Longer than a proof normally takes to reach a source.
     Duration staleAfter = 3s;
-    Duration peerStateAfter = 1s; ///< A starting host that heard no control for so long takes a peer's state.
-    /// Until the next part of a large state is asked of another source: fifteen times what the narrowest link takes.
+    /// After this time without a confirmation from control, a starting host accepts the state of a peer.
+    Duration peerStateDelay = 1s;
+    /// Wait for a part of a large state before it is requested from another source: fifteen times its transfer time on
+    /// the slowest link.
     Duration partTimeout = 1s;
-    bool isSource = true; ///< False: answers no pulls, and keeps nothing for them.
+    bool isSource = true; ///< False: answers no pulls and caches nothing for them.
     model::Counters* counters = nullptr;
 };
 
--- a/src/control/internal/bundleholder.cpp
+++ b/src/control/internal/bundleholder.cpp
@@ -12,9 +12,9 @@
 
 namespace {
 
-constexpr size_t MaximumPulls = 64;
-/// A source that did not answer, or whose state is old itself, is not asked for so many pulls.
-constexpr int AvoidedPulls = 10;
+constexpr size_t MaxPendingPulls = 64;
+/// Number of pulls for which a source that did not answer, or whose proof is too old, is avoided.
+constexpr int AvoidancePulls = 10;
 
 } // namespace
 
@@ -54,34 +54,34 @@
         return count(model::Counter::StaleMessages);
     if (isNewer(push.position))
         install(push.position, push.version, push.content, now);
-    noteAnswer(from, push.pull, push.position, push.age, now);
+    handleAnswer(from, push.pull, push.position, push.age, now);
 }
 
-/// Only the next part is ever asked for, and only once the one before is here: what waits on a narrow link for this
-/// host is one part, however large the state is, however often it changes and however slow the link. Whole states sent
-/// for each pull filled links of 4 Mbit/s for over 20 s and delayed what else went to the host as long.
+/// Requests each part only after the previous one has arrived, so that at most one part is queued on a slow link to
+/// this host, whatever the size of the state and the rate of changes. Sending complete states for each pull filled
+/// links of 4 Mbit/s for over 20 s and delayed all other messages to the host by as much.
 void BundleHolder::handlePart(const HostId& from, const model::BundlePart& part, Timestamp now)
 {
-    const LogPosition held = inForce_ ? inForce_->position : LogPosition {};
-    const bool isAlone = part.base == LogPosition {};
-    if (part.position <= held || (!isAlone && part.base != held)) {
+    const LogPosition ownPosition = inForce_ ? inForce_->position : LogPosition {};
+    const bool isSelfContained = part.base == LogPosition {};
+    if (part.position <= ownPosition || (!isSelfContained && part.base != ownPosition)) {
         count(model::Counter::StaleMessages);
-        (void)takePullTime(from, part.pull, part.age);
+        (void)popPullTime(from, part.pull, part.age);
         return;
     }
     if (part.offset == 0 && part.bytes.size() == part.totalSize) {
-        BundleTransfer whole;
-        if (whole.take(part, false))
-            finishTransfer(whole, from, part, now);
+        BundleTransfer singlePart;
+        if (singlePart.addPart(part, false))
+            finishTransfer(singlePart, from, part, now);
         return;
     }
     const bool isRestart = part.pull != 0 && part.pull == partPull_;
-    const bool isTaken = transfer_.take(part, isRestart);
-    if (isTaken && transfer_.isComplete())
+    const bool isAccepted = transfer_.addPart(part, isRestart);
+    if (isAccepted && transfer_.isComplete())
         return finishTransfer(transfer_, from, part, now);
-    (void)takePullTime(from, part.pull, part.age);
-    if (isTaken)
-        askForPart(from, now);
+    (void)popPullTime(from, part.pull, part.age);
+    if (isAccepted)
+        requestPart(from, now);
 }
 
 void BundleHolder::finishTransfer(
@@ -90,19 +90,19 @@
     std::optional<std::string> content
         = transfer.finish(inForce_ ? std::string_view(*inForce_->content) : std::string_view());
     nextPullAt_ = now; // A newer state may have come into force meanwhile.
-    wantsWhole_ = !content.has_value();
+    needsFullState_ = !content.has_value();
     if (!content)
         return count(model::Counter::BundlesRefused);
     if (isNewer(last.position))
         install(last.position, last.version, *std::move(content), now);
-    noteAnswer(from, last.pull, last.position, last.age, now);
+    handleAnswer(from, last.pull, last.position, last.age, now);
 }
 
-void BundleHolder::askForPart(const HostId& source, Timestamp now)
+void BundleHolder::requestPart(const HostId& source, Timestamp now)
 {
     partSource_ = source;
-    partDueAt_ = now + options_.partTimeout;
-    partPull_ = notePull(source, now);
+    partTimeoutAt_ = now + options_.partTimeout;
+    partPull_ = recordPull(source, now);
     outgoing_.push_back({.to = source,
         .message = model::BundlePull {.have = inForce_ ? inForce_->position : LogPosition {},
             .isStarting = !isReady_,
@@ -110,31 +110,31 @@
             .partOf = transfer_.position(),
             .partBase = transfer_.base(),
             .offset = transfer_.offset(),
-            .wantsWhole = wantsWhole_}});
+            .wantsWhole = needsFullState_}});
 }
 
 void BundleHolder::continueTransfer(Timestamp now)
 {
-    if (now < partDueAt_)
+    if (now < partTimeoutAt_)
         return;
-    avoidedUntil_[partSource_] = now + AvoidedPulls * options_.pullPeriod;
+    avoidedUntil_[partSource_] = now + AvoidancePulls * options_.pullPeriod;
     const HostId source = chooseSource(now);
     if (!source.isEmpty())
-        askForPart(source, now);
+        requestPart(source, now);
 }
 
 void BundleHolder::handleCurrent(const HostId& from, const model::BundleCurrent& current, Timestamp now)
 {
-    if (transfer_.isUnderWay() && current.pull == partPull_)
-        partDueAt_ = now; // It doesn't hold what is being fetched.
-    noteAnswer(from, current.pull, current.position, current.age, now);
+    if (transfer_.isInProgress() && current.pull == partPull_)
+        partTimeoutAt_ = now; // The source no longer has the state of this transfer.
+    handleAnswer(from, current.pull, current.position, current.age, now);
 }
 
 void BundleHolder::install(LogPosition position, BundleVersion version, std::string content, Timestamp now)
 {
     inForce_ = InForce {
         .position = position, .version = version, .content = std::make_shared<const std::string>(std::move(content))};
-    hasNews_ = true;
+    hasNewState_ = true;
     count(model::Counter::BundlesInstalled);
     const bool isFetchable = transfer_.position() > position && transfer_.base() == LogPosition {};
     if (!isFetchable)
@@ -142,10 +142,10 @@
     if (options_.isSource)
         parts_.setInForce(*inForce_);
     for (const HostId& receiver : receivers_)
-        outgoing_.push_back({.to = receiver, .message = parts_.firstAfterLast({.age = age(now)})});
+        outgoing_.push_back({.to = receiver, .message = parts_.firstMessageAfterPrevious({.age = age(now)})});
 }
 
-std::optional<Timestamp> BundleHolder::takePullTime(const HostId& from, uint64_t number, Duration answerAge)
+std::optional<Timestamp> BundleHolder::popPullTime(const HostId& from, uint64_t number, Duration answerAge)
 {
     const auto pull = std::ranges::find(pulls_, number, &Pull::number);
     if (pull == pulls_.end() || pull->source != from)
@@ -158,21 +158,21 @@
     return sentAt;
 }
 
-void BundleHolder::noteAnswer(
+void BundleHolder::handleAnswer(
     const HostId& from, uint64_t number, LogPosition position, Duration answerAge, Timestamp now)
 {
-    const std::optional<Timestamp> askedAt = takePullTime(from, number, answerAge);
-    if (!askedAt)
+    const std::optional<Timestamp> requestedAt = popPullTime(from, number, answerAge);
+    if (!requestedAt)
         return;
     avoidedUntil_.erase(from);
     if (answerAge >= options_.staleAfter)
-        avoidedUntil_[from] = now + AvoidedPulls * options_.pullPeriod;
-    // An answer about an older position tells nothing of the one held.
+        avoidedUntil_[from] = now + AvoidancePulls * options_.pullPeriod;
+    // An answer for an older position says nothing about the state in force here.
     if (!inForce_ || position != inForce_->position)
         return;
     hasPeerState_ = true;
     if (answerAge != Duration::max())
-        confirm(*askedAt - answerAge, now);
+        confirm(*requestedAt - answerAge, now);
     becomeReady(now);
 }
 
@@ -187,15 +187,15 @@
     if (isReady_ || !inForce_)
         return;
     const bool isConfirmed = age(now) < options_.staleAfter;
-    const bool mayTakePeerState = hasPeerState_ && now - *startedAt_ >= options_.peerStateAfter;
-    isReady_ = isConfirmed || mayTakePeerState;
+    const bool mayAcceptPeerState = hasPeerState_ && now - *startedAt_ >= options_.peerStateDelay;
+    isReady_ = isConfirmed || mayAcceptPeerState;
 }
 
 void BundleHolder::answerPull(const HostId& from, const model::BundlePull& pull, Timestamp now)
 {
     if (!options_.isSource)
         return;
-    // A starting host knows nothing that another may rely on, but that the pull has come.
+    // A starting host cannot vouch for its state; it only confirms that the pull has arrived.
     if (!isReady_) {
         outgoing_.push_back({.to = from, .message = model::BundleCurrent {.age = Duration::max(), .pull = pull.pull}});
         return;
@@ -203,12 +203,12 @@
     const BundleParts::Answer answer {.pull = pull.pull, .age = age(now)};
     std::optional<model::Message> part;
     if (pull.offset > 0)
-        part = parts_.next(pull, answer);
+        part = parts_.nextMessage(pull, answer);
     if (part)
         outgoing_.push_back({.to = from, .message = *std::move(part)});
     else if (inForce_->position > pull.have)
         outgoing_.push_back(
-            {.to = from, .message = parts_.first(pull.wantsWhole ? LogPosition {} : pull.have, answer)});
+            {.to = from, .message = parts_.firstMessage(pull.wantsWhole ? LogPosition {} : pull.have, answer)});
     else
         outgoing_.push_back({.to = from,
             .message = model::BundleCurrent {.position = inForce_->position, .age = age(now), .pull = pull.pull}});
@@ -234,13 +234,12 @@
     std::erase(receivers_, options_.self);
 }
 
-/// After all links fell silent the first new one brings the newest state at once, not with the next pull (half a
-/// second).
+/// After an outage of all links, the first new one is used at once instead of at the next pull (half a second later).
 void BundleHolder::noteLinkUp(const HostId& source, Timestamp now)
 {
     avoidedUntil_.erase(source);
     std::erase_if(pulls_, [&](const Pull& pull) { return pull.source == source; });
-    if (isReady_ && !transfer_.isUnderWay() && age(now) > options_.pullPeriod)
+    if (isReady_ && !transfer_.isInProgress() && age(now) > options_.pullPeriod)
         sendPull(source, now);
 }
 
@@ -248,25 +247,25 @@
 {
     begin(now);
     becomeReady(now);
-    if (transfer_.isUnderWay())
+    if (transfer_.isInProgress())
         return continueTransfer(now);
     const bool isUnanswered = isReady_ && !pulls_.empty() && !pulls_.back().isOverdue
         && now - pulls_.back().sentAt >= options_.unansweredAfter;
     if (nextPullAt_ && now < *nextPullAt_ && !isUnanswered)
         return;
-    nextPullAt_ = now + (isReady_ ? options_.pullPeriod : options_.startPullPeriod);
+    nextPullAt_ = now + (isReady_ ? options_.pullPeriod : options_.startPullInterval);
     if (isReady_)
-        avoidSilentSources(now);
+        avoidUnresponsiveSources(now);
     if (const HostId source = chooseSource(now); !source.isEmpty())
         sendPull(source, now);
 }
 
-/// Their answers may still come, and then tell what they told late.
-void BundleHolder::avoidSilentSources(Timestamp now)
+/// The pulls stay pending: late answers to them still count.
+void BundleHolder::avoidUnresponsiveSources(Timestamp now)
 {
     for (Pull& pull : pulls_) {
         if (!std::exchange(pull.isOverdue, true))
-            avoidedUntil_[pull.source] = now + AvoidedPulls * options_.pullPeriod;
+            avoidedUntil_[pull.source] = now + AvoidancePulls * options_.pullPeriod;
     }
 }
 
@@ -275,13 +274,13 @@
     outgoing_.push_back({.to = source,
         .message = model::BundlePull {.have = inForce_ ? inForce_->position : LogPosition {},
             .isStarting = !isReady_,
-            .pull = notePull(source, now),
-            .wantsWhole = wantsWhole_}});
+            .pull = recordPull(source, now),
+            .wantsWhole = needsFullState_}});
 }
 
-uint64_t BundleHolder::notePull(const HostId& source, Timestamp now)
+uint64_t BundleHolder::recordPull(const HostId& source, Timestamp now)
 {
-    if (pulls_.size() >= MaximumPulls)
+    if (pulls_.size() >= MaxPendingPulls)
         pulls_.erase(pulls_.begin());
     pulls_.push_back({.number = ++lastPull_, .source = source, .sentAt = now});
     count(model::Counter::BundlePulls);
@@ -306,7 +305,7 @@
 
 std::optional<IBundleHolder::InForce> BundleHolder::takeInstalled()
 {
-    if (!std::exchange(hasNews_, false))
+    if (!std::exchange(hasNewState_, false))
         return std::nullopt;
     return inForce_;
 }
@@ -318,6 +317,6 @@
 
 Duration BundleHolder::age(Timestamp now) const { return ageOf(confirmedAt_, now); }
 
-bool BundleHolder::isCutOff(Timestamp now) const { return age(now) >= options_.cutOffAfter; }
+bool BundleHolder::isCutOff(Timestamp now) const { return age(now) >= options_.cutOffTimeout; }
 
 } // namespace saltvane::control
--- a/src/control/internal/bundleparts.cpp
+++ b/src/control/internal/bundleparts.cpp
@@ -15,59 +15,59 @@
 
 namespace {
 
-/// Fetching a plan of 3.5 MiB over 4 Mbit/s takes 7 s; one that hosts fetch is asked for all the time, so it stays
-/// among so many however fast changes come.
-constexpr size_t MostKept = 4;
+/// A transfer of a 3.5 MiB plan over 4 Mbit/s takes 7 s. A state in transfer is requested continuously, so it stays
+/// among the most recently requested ones, whatever the rate of changes.
+constexpr size_t MaxCachedStates = 4;
 
 } // namespace
 
-void BundleParts::setInForce(const IBundleHolder::InForce& state) { last_ = std::exchange(inForce_, state); }
+void BundleParts::setInForce(const IBundleHolder::InForce& state) { previous_ = std::exchange(inForce_, state); }
 
-const BundleParts::Kept* BundleParts::find(const LogPosition& position, const LogPosition& base)
+const BundleParts::CompressedState* BundleParts::find(const LogPosition& position, const LogPosition& base)
 {
-    const auto found
-        = std::ranges::find_if(kept_, [&](const Kept& kept) { return kept.position == position && kept.base == base; });
-    if (found == kept_.end())
+    const auto found = std::ranges::find_if(
+        cached_, [&](const CompressedState& cached) { return cached.position == position && cached.base == base; });
+    if (found == cached_.end())
         return nullptr;
-    std::rotate(found, found + 1, kept_.end());
-    return &kept_.back();
+    std::rotate(found, found + 1, cached_.end());
+    return &cached_.back();
 }
 
-const BundleParts::Kept& BundleParts::compressedFor(const LogPosition& held)
+const BundleParts::CompressedState& BundleParts::compressedFor(const LogPosition& hostPosition)
 {
-    const bool hasBase = held != LogPosition {} && held == last_.position;
-    const LogPosition base = hasBase ? held : LogPosition {};
-    if (const Kept* kept = find(inForce_.position, base))
-        return *kept;
+    const bool hasBase = hostPosition != LogPosition {} && hostPosition == previous_.position;
+    const LogPosition base = hasBase ? hostPosition : LogPosition {};
+    if (const CompressedState* cached = find(inForce_.position, base))
+        return *cached;
     std::string bytes
-        = compressContent(*inForce_.content, hasBase ? std::string_view(*last_.content) : std::string_view());
+        = compressContent(*inForce_.content, hasBase ? std::string_view(*previous_.content) : std::string_view());
     const uint64_t checksum = XXH64(bytes.data(), bytes.size(), 0);
-    if (kept_.size() >= MostKept)
-        kept_.pop_front();
-    return kept_.emplace_back(Kept {.position = inForce_.position,
+    if (cached_.size() >= MaxCachedStates)
+        cached_.pop_front();
+    return cached_.emplace_back(CompressedState {.position = inForce_.position,
         .version = inForce_.version,
         .base = base,
         .bytes = std::move(bytes),
         .checksum = checksum});
 }
 
-model::BundlePart BundleParts::partOf(const Kept& kept, uint64_t offset, const Answer& answer)
+model::BundlePart BundleParts::partOf(const CompressedState& cached, uint64_t offset, const Answer& answer)
 {
-    return {.position = kept.position,
-        .version = kept.version,
-        .totalSize = kept.bytes.size(),
+    return {.position = cached.position,
+        .version = cached.version,
+        .totalSize = cached.bytes.size(),
         .offset = offset,
-        .checksum = kept.checksum,
-        .bytes = kept.bytes.substr(offset, PartBytes),
+        .checksum = cached.checksum,
+        .bytes = cached.bytes.substr(offset, PartBytes),
         .age = answer.age,
         .pull = answer.pull,
-        .base = kept.base};
+        .base = cached.base};
 }
 
-model::Message BundleParts::first(const LogPosition& held, const Answer& answer)
+model::Message BundleParts::firstMessage(const LogPosition& hostPosition, const Answer& answer)
 {
     if (inForce_.content->size() > PartBytes)
-        return partOf(compressedFor(held), 0, answer);
+        return partOf(compressedFor(hostPosition), 0, answer);
     return model::BundlePush {.position = inForce_.position,
         .version = inForce_.version,
         .content = *inForce_.content,
@@ -75,12 +75,12 @@
         .pull = answer.pull};
 }
 
-std::optional<model::Message> BundleParts::next(const model::BundlePull& pull, const Answer& answer)
+std::optional<model::Message> BundleParts::nextMessage(const model::BundlePull& pull, const Answer& answer)
 {
-    const Kept* kept = find(pull.partOf, pull.partBase);
-    if (kept == nullptr || pull.offset >= kept->bytes.size())
+    const CompressedState* cached = find(pull.partOf, pull.partBase);
+    if (cached == nullptr || pull.offset >= cached->bytes.size())
         return std::nullopt;
-    return partOf(*kept, pull.offset, answer);
+    return partOf(*cached, pull.offset, answer);
 }
 
 } // namespace saltvane::control
--- a/src/control/internal/bundleparts.h
+++ b/src/control/internal/bundleparts.h
@@ -13,45 +13,48 @@
 
 namespace saltvane::control {
 
-/// States in force as they go to hosts that lack them: as they are where they are small, else compressed and cut into
-/// parts. The newest is compressed against the one before for hosts that hold that, which makes some hundred bytes of a
-/// change of few routes in a plan of hundreds of kilobytes. The last few are kept, so that a host that has begun to
-/// fetch one can finish while newer ones come.
+/// Encodes the state in force for transfer: small states are sent unchanged, larger ones compressed and split into
+/// parts. For hosts that hold the previous state, the newest is compressed with it as the base: a change of a few
+/// routes in a plan of hundreds of kilobytes then takes some hundred bytes. The latest few encoded states are cached,
+/// so that a host can finish a transfer after a newer state has come into force.
 class BundleParts {
 public:
-    /// Bytes of a state sent at a time: 0.07 s of a network link of 4 Mbit/s, the narrowest that the users' gateways
-    /// had when plans grew over it. What is urgent waits so long at most behind a plan.
+    /// Bytes of a state in one message: 0.07 s on a network link of 4 Mbit/s, the slowest link of the users' gateways
+    /// when plans outgrew it. Urgent messages wait behind a plan no longer than this.
     static constexpr size_t PartBytes = 32 * 1024;
 
     struct Answer {
-        uint64_t pull = 0; ///< Number of the pull that is answered; 0: none.
+        uint64_t pull = 0; ///< Number of the answered pull; 0 for a push.
         Duration age {};
     };
 
     void setInForce(const IBundleHolder::InForce& state);
-    /// The state in force from its beginning, as far as one message goes, for a host that holds the one at `held`.
-    [[nodiscard]] model::Message first(const LogPosition& held, const Answer& answer);
-    /// As first, for a host that is believed to hold the state before.
-    [[nodiscard]] model::Message firstAfterLast(const Answer& answer) { return first(last_.position, answer); }
-    /// A further part; none where the state isn't kept any more or has no such offset.
-    [[nodiscard]] std::optional<model::Message> next(const model::BundlePull& pull, const Answer& answer);
+    /// First message of the state in force, for a host that has the state at `hostPosition`.
+    [[nodiscard]] model::Message firstMessage(const LogPosition& hostPosition, const Answer& answer);
+    /// As firstMessage, for a host that presumably holds the previous state.
+    [[nodiscard]] model::Message firstMessageAfterPrevious(const Answer& answer)
+    {
+        return firstMessage(previous_.position, answer);
+    }
+    /// The part at the requested offset; no value if the state is no longer cached or has no such offset.
+    [[nodiscard]] std::optional<model::Message> nextMessage(const model::BundlePull& pull, const Answer& answer);
 
 private:
-    struct Kept {
+    struct CompressedState {
         LogPosition position;
         BundleVersion version;
-        LogPosition base; ///< None: the bytes stand alone.
+        LogPosition base; ///< State that decompression needs; default: none.
         std::string bytes; ///< Compressed.
         uint64_t checksum = 0;
     };
 
-    [[nodiscard]] const Kept* find(const LogPosition& position, const LogPosition& base);
-    [[nodiscard]] const Kept& compressedFor(const LogPosition& held);
-    [[nodiscard]] static model::BundlePart partOf(const Kept& kept, uint64_t offset, const Answer& answer);
+    [[nodiscard]] const CompressedState* find(const LogPosition& position, const LogPosition& base);
+    [[nodiscard]] const CompressedState& compressedFor(const LogPosition& hostPosition);
+    [[nodiscard]] static model::BundlePart partOf(const CompressedState& cached, uint64_t offset, const Answer& answer);
 
     IBundleHolder::InForce inForce_;
-    IBundleHolder::InForce last_; ///< The one before.
-    std::deque<Kept> kept_; ///< Least lately asked for first.
+    IBundleHolder::InForce previous_;
+    std::deque<CompressedState> cached_; ///< Least recently requested first.
 };
 
 } // namespace saltvane::control
--- a/src/control/internal/bundletable.cpp
+++ b/src/control/internal/bundletable.cpp
@@ -19,11 +19,11 @@
 
 using Json = nlohmann::json;
 
-constexpr size_t MaximumRecords = 1024;
-/// Superseded bundles that a revert can still go back to.
-constexpr size_t KeptContents = 32;
-constexpr size_t MaximumOpenProposals = 64;
-constexpr size_t RecordFields = 13;
+constexpr size_t MaxRecords = 1024;
+/// Superseded bundles whose content is retained for a revert.
+constexpr size_t MaxRevertibleContents = 32;
+constexpr size_t MaxOpenProposals = 64;
+constexpr size_t RecordFieldCount = 13;
 
 std::string nameOf(BundleVersion version) { return "version " + std::to_string(version.value); }
 
@@ -54,7 +54,7 @@
     uint64_t state = 0;
     bool isRevert = false;
     BundleVersion revertOf;
-    FieldReader reader(json, RecordFields);
+    FieldReader reader(json, RecordFieldCount);
     reader.read("version", record.version).read("state", state).read("author", record.author);
     reader.read("approver", record.approver).read("digest", record.digest).read("content", record.content);
     reader.read("proposedTerm", record.proposed.term).read("proposedIndex", record.proposed.index);
@@ -90,13 +90,12 @@
 std::optional<BundleOutcome> BundleTable::answerForNew(BundleVersion version) const
 {
     if (inForce_ && version < *inForce_)
-        return errorOf(
-            ControlErrorKind::Conflict, nameOf(*inForce_) + " is in force; a new one must have a higher number");
+        return errorOf(ControlErrorKind::Conflict, nameOf(*inForce_) + " is in force; a new version must be higher");
     const auto isOpen = [this](const auto& item) {
         return item.second.state == BundleState::Proposed && (!inForce_ || item.first > *inForce_);
     };
-    if (static_cast<size_t>(std::ranges::count_if(records_, isOpen)) >= MaximumOpenProposals)
-        return errorOf(ControlErrorKind::Busy, "too many proposals wait for approval");
+    if (static_cast<size_t>(std::ranges::count_if(records_, isOpen)) >= MaxOpenProposals)
+        return errorOf(ControlErrorKind::Busy, "too many proposals are waiting for approval");
     return std::nullopt;
 }
 
@@ -114,15 +113,16 @@
 {
     const BundleRecord* known = find(command.version);
     if (!known)
-        return errorOf(ControlErrorKind::NotFound, nameOf(command.version) + " is not known");
+        return errorOf(ControlErrorKind::NotFound, nameOf(command.version) + " is unknown");
     if (known->digest != command.digest)
         return conflictWith(*known);
     if (known->author == command.approver)
-        return errorOf(ControlErrorKind::SelfApproval, "the author " + known->author.value() + " can not approve");
+        return errorOf(
+            ControlErrorKind::SelfApproval, "the author " + known->author.value() + " cannot approve their own bundle");
     if (known->state != BundleState::Proposed)
         return *known;
     if (inForce_ && command.version < *inForce_)
-        return errorOf(ControlErrorKind::Conflict, nameOf(*inForce_) + " has come into force since");
+        return errorOf(ControlErrorKind::Conflict, nameOf(*inForce_) + " is already in force");
     return std::nullopt;
 }
 
@@ -135,9 +135,9 @@
         return conflictWith(*known);
     const BundleRecord* target = find(command.to);
     if (!target || target->state == BundleState::Proposed)
-        return errorOf(ControlErrorKind::NotFound, nameOf(command.to) + " was never in force or is no longer known");
+        return errorOf(ControlErrorKind::NotFound, nameOf(command.to) + " was never in force or is no longer stored");
     if (target->content.empty())
-        return errorOf(ControlErrorKind::NotFound, "the content of " + nameOf(command.to) + " is no longer kept");
+        return errorOf(ControlErrorKind::NotFound, "the content of " + nameOf(command.to) + " is no longer stored");
     return answerForNew(command.version);
 }
 
@@ -195,7 +195,7 @@
 void BundleTable::prune()
 {
     pruneContents();
-    while (records_.size() > MaximumRecords && records_.begin()->first < *inForce_)
+    while (records_.size() > MaxRecords && records_.begin()->first < *inForce_)
         records_.erase(records_.begin());
 }
 
@@ -206,10 +206,10 @@
         if (record.state == BundleState::Superseded && !record.content.empty())
             superseded.push_back(&record);
         else if (record.state == BundleState::Proposed && version < *inForce_)
-            record.content.clear(); // Can not come into force any more.
+            record.content.clear(); // Can no longer come into force.
     }
     std::ranges::sort(superseded, std::greater {}, &BundleRecord::approved);
-    for (size_t row = KeptContents; row < superseded.size(); ++row)
+    for (size_t row = MaxRevertibleContents; row < superseded.size(); ++row)
         superseded[row]->content.clear();
 }
 
--- a/src/control/internal/bundletable.h
+++ b/src/control/internal/bundletable.h
@@ -18,22 +18,22 @@
 
 using BundleOutcome = Result<BundleRecord, ControlError>;
 
-/// The bundles' life cycle: proposed, in force by another operator's approval, superseded. The log's order decides
-/// every race. Signatures were checked before the command came into the log.
+/// Life cycle of bundles: proposed, in force after another operator's approval, superseded. The order of the log
+/// resolves all races. Signatures are checked before a command is appended to the log.
 class BundleTable {
 public:
     [[nodiscard]] BundleOutcome apply(const ProposeBundle& command, LogPosition position);
     [[nodiscard]] BundleOutcome apply(const ApproveBundle& command, LogPosition position);
     [[nodiscard]] BundleOutcome apply(const RevertBundle& command, LogPosition position);
 
-    /// The answer where the state alone gives it: a request taken before, or one that can not succeed.
+    /// The answer if it follows from the state alone: to a resent request, or to one that cannot succeed.
     [[nodiscard]] std::optional<BundleOutcome> answerFor(const ProposeBundle& command) const;
     [[nodiscard]] std::optional<BundleOutcome> answerFor(const ApproveBundle& command) const;
     [[nodiscard]] std::optional<BundleOutcome> answerFor(const RevertBundle& command) const;
 
     [[nodiscard]] const BundleRecord* find(BundleVersion version) const;
     [[nodiscard]] const BundleRecord* inForce() const;
-    /// By version.
+    /// Sorted by version.
     [[nodiscard]] std::vector<const BundleRecord*> all() const;
 
     [[nodiscard]] nlohmann::json toJson() const;
--- a/src/control/internal/bundletransfer.cpp
+++ b/src/control/internal/bundletransfer.cpp
@@ -14,18 +14,18 @@
 
 namespace {
 
-/// Over anything an operator may put in force (3.5 MiB): what claims to be larger is no state.
-constexpr uint64_t LargestState = 4 * 1024 * 1024;
+/// Above the limit for bundles and plans (3.5 MiB); a larger declared size is invalid.
+constexpr uint64_t MaxStateBytes = 4 * 1024 * 1024;
 
 } // namespace
 
-bool BundleTransfer::take(const model::BundlePart& part, bool isRestart)
+bool BundleTransfer::addPart(const model::BundlePart& part, bool isRestart)
 {
-    if (part.bytes.empty() || part.totalSize > LargestState)
+    if (part.bytes.empty() || part.totalSize > MaxStateBytes)
         return false;
-    const bool isOfThis = part.position == position_ && part.base == base_ && part.totalSize == totalSize_
+    const bool isSameState = part.position == position_ && part.base == base_ && part.totalSize == totalSize_
         && part.checksum == checksum_;
-    if (part.offset == 0 && (!isUnderWay() || (isRestart && !isOfThis))) {
+    if (part.offset == 0 && (!isInProgress() || (isRestart && !isSameState))) {
         position_ = part.position;
         base_ = part.base;
         totalSize_ = part.totalSize;
@@ -33,7 +33,7 @@
         bytes_ = part.bytes;
         return true;
     }
-    if (!isUnderWay() || !isOfThis || part.offset != offset())
+    if (!isInProgress() || !isSameState || part.offset != offset())
         return false;
     bytes_ += part.bytes;
     return true;
@@ -42,12 +42,12 @@
 std::optional<std::string> BundleTransfer::finish(std::string_view base)
 {
     const std::string bytes = std::exchange(bytes_, {});
-    const bool isWhole = XXH64(bytes.data(), bytes.size(), 0) == checksum_;
-    const bool isAlone = base_ == LogPosition {};
+    const bool isChecksumValid = XXH64(bytes.data(), bytes.size(), 0) == checksum_;
+    const bool isSelfContained = base_ == LogPosition {};
     reset();
-    if (!isWhole)
+    if (!isChecksumValid)
         return std::nullopt;
-    return decompressContent(bytes, isAlone ? std::string_view() : base, LargestState);
+    return decompressContent(bytes, isSelfContained ? std::string_view() : base, MaxStateBytes);
 }
 
 void BundleTransfer::reset()
--- a/src/control/internal/bundletransfer.h
+++ b/src/control/internal/bundletransfer.h
@@ -13,28 +13,28 @@
 
 namespace saltvane::control {
 
-/// A state that is being fetched part by part. It is finished before a newer one is begun: where changes come faster
-/// than a slow link carries one of them, the host would never hold any.
+/// Receiver's side of a state sent in parts. A transfer is completed before a newer one starts: otherwise a host on a
+/// link that is slower than the rate of changes would never complete any.
 class BundleTransfer {
 public:
-    [[nodiscard]] bool isUnderWay() const { return totalSize_ != 0; }
+    [[nodiscard]] bool isInProgress() const { return totalSize_ != 0; }
     [[nodiscard]] const LogPosition& position() const { return position_; }
     [[nodiscard]] const LogPosition& base() const { return base_; }
-    [[nodiscard]] uint64_t offset() const { return bytes_.size(); } ///< Of the part wanted next.
+    [[nodiscard]] uint64_t offset() const { return bytes_.size(); } ///< Of the next expected part.
 
-    /// False: not the part wanted next. `isRestart`: the source was asked for a further part; where it holds what is
-    /// under way no more, or compressed otherwise, it begins with what it holds.
-    [[nodiscard]] bool take(const model::BundlePart& part, bool isRestart);
-    [[nodiscard]] bool isComplete() const { return isUnderWay() && bytes_.size() == totalSize_; }
-    /// The state, from the parts and the state they were compressed against; none where these don't fit together. Ends
-    /// the transfer.
+    /// False if it is not the next expected part. `isRestart`: the part answers a request for a further part; a source
+    /// that no longer has the state of this transfer, or only with another base, starts over with its own state.
+    [[nodiscard]] bool addPart(const model::BundlePart& part, bool isRestart);
+    [[nodiscard]] bool isComplete() const { return isInProgress() && bytes_.size() == totalSize_; }
+    /// Decompresses the received parts with `base` and ends the transfer. No value if the checksum or base do not
+    /// match.
     [[nodiscard]] std::optional<std::string> finish(std::string_view base);
     void reset();
 
 private:
     LogPosition position_;
     LogPosition base_;
-    uint64_t totalSize_ = 0; ///< 0: none is under way.
+    uint64_t totalSize_ = 0; ///< 0: no transfer in progress.
     uint64_t checksum_ = 0;
     std::string bytes_;
 };
--- a/src/control/internal/cbordocument.cpp
+++ b/src/control/internal/cbordocument.cpp
@@ -13,8 +13,8 @@
 
 using Json = nlohmann::json;
 
-/// Walks a document without building it. The parser recurses and reserves by what the bytes announce, so hostile ones
-/// must be refused first.
+/// Validates a document without building it. The parser recurses and allocates by the declared nesting and sizes, so
+/// malicious input must be rejected first.
 class LimitChecker final : public nlohmann::json_sax<Json> {
 public:
     explicit LimitChecker(size_t inputSize)
@@ -42,13 +42,13 @@
     // NOLINTEND(readability-identifier-naming)
 
 private:
-    static constexpr size_t LargestDepth = 8;
+    static constexpr size_t MaxDepth = 8;
     static constexpr size_t UnknownSize = SIZE_MAX;
 
     bool enter(size_t size)
     {
         ++depth_;
-        return depth_ <= LargestDepth && (size == UnknownSize || size <= inputSize_);
+        return depth_ <= MaxDepth && (size == UnknownSize || size <= inputSize_);
     }
     bool leave()
     {
--- a/src/control/internal/cbordocument.h
+++ b/src/control/internal/cbordocument.h
@@ -14,7 +14,7 @@
 namespace saltvane::control {
 
 [[nodiscard]] std::string encodeCbor(const nlohmann::json& document);
-/// No value for bytes that are not exactly one document, nest too deeply or announce more items than they can hold.
+/// No value if the bytes are not exactly one document, are nested too deeply or declare more items than they can hold.
 [[nodiscard]] std::optional<nlohmann::json> decodeCbor(std::string_view bytes);
 
 } // namespace saltvane::control
--- a/src/control/internal/claimrequests.cpp
+++ b/src/control/internal/claimrequests.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-constexpr size_t MaximumPending = 16 * 1024;
+constexpr size_t MaxPendingClaims = 16 * 1024;
 
 int64_t toMilliseconds(Duration duration)
 {
@@ -33,7 +33,7 @@
 
 void ClaimRequests::handle(const model::Delivery& delivery, const model::ClaimRequest& request, Timestamp now)
 {
-    if (!consensus_.isLeader() || !consensus_.isCurrent(now) || pending_.size() >= MaximumPending)
+    if (!consensus_.isLeader() || !consensus_.isCurrent(now) || pending_.size() >= MaxPendingClaims)
         return reply(delivery.from, request.claim, {});
     const int64_t wallClock = std::max(options_.wallClockUnixMs(), state_.claims().clock());
     const ClaimKey command {.service = request.service,
@@ -50,7 +50,7 @@
     pending_[position.index] = {.term = position.term, .host = delivery.from, .claim = request.claim};
 }
 
-void ClaimRequests::noteApplied(const AppliedEntry& applied)
+void ClaimRequests::onApplied(const AppliedEntry& applied)
 {
     const auto found = pending_.find(applied.position.index);
     if (found == pending_.end())
--- a/src/control/internal/claimrequests.h
+++ b/src/control/internal/claimrequests.h
@@ -13,15 +13,15 @@
 
 namespace saltvane::control {
 
-/// Claims of keys by hosts. A current leader answers; what comes between two drains goes into one write and one
-/// message. Every other replica answers at once that there is no quorum here.
+/// Hosts' claims of idempotency keys. A current leader decides them; claims that arrive between two drains share one
+/// write and one message. All other replicas answer NoQuorum at once.
 class ClaimRequests {
 public:
     ClaimRequests(const ControlReplicaOptions& options, Consensus& consensus, const ControlState& state);
 
     void handle(const model::Delivery& delivery, const model::ClaimRequest& request, Timestamp now);
-    void noteApplied(const AppliedEntry& applied);
-    /// A leader that stopped leading answers what it holds: it can not know any more what became of it.
+    void onApplied(const AppliedEntry& applied);
+    /// After a loss of leadership, answers all pending claims with NoQuorum, because their outcome is unknown.
     void advance();
 
 private:
--- a/src/control/internal/claimtable.cpp
+++ b/src/control/internal/claimtable.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 using Json = nlohmann::json;
-constexpr size_t ClaimFields = 7;
+constexpr size_t ClaimFieldCount = 7;
 } // namespace
 
 std::optional<ClaimOutcome> ClaimTable::answerFor(const ClaimKey& command, int64_t nowUnixMs) const
@@ -21,11 +21,11 @@
     const auto found = claims_.find({command.service, command.key});
     if (found == claims_.end() || found->second.expiresAtUnixMs <= nowUnixMs)
         return std::nullopt;
-    const Claim& held = found->second;
-    ClaimOutcome outcome {.holder = held.holder, .holderIncarnation = held.holderIncarnation};
-    const bool isResend = held.holder == command.holder && held.holderIncarnation == command.holderIncarnation
-        && held.claim == command.claim;
-    if (held.fingerprint != command.fingerprint)
+    const Claim& existing = found->second;
+    ClaimOutcome outcome {.holder = existing.holder, .holderIncarnation = existing.holderIncarnation};
+    const bool isResend = existing.holder == command.holder && existing.holderIncarnation == command.holderIncarnation
+        && existing.claim == command.claim;
+    if (existing.fingerprint != command.fingerprint)
         outcome.result = model::ClaimResult::OtherFingerprint;
     else
         outcome.result = isResend ? model::ClaimResult::Granted : model::ClaimResult::HeldElsewhere;
@@ -81,7 +81,7 @@
     for (const Json& item : array) {
         Key key;
         Claim claim;
-        FieldReader reader(item, ClaimFields);
+        FieldReader reader(item, ClaimFieldCount);
         reader.read("service", key.first).read("key", key.second).read("fingerprint", claim.fingerprint);
         reader.read("holder", claim.holder).read("holderIncarnation", claim.holderIncarnation);
         reader.read("claim", claim.claim).read("expiresAtUnixMs", claim.expiresAtUnixMs);
--- a/src/control/internal/claimtable.h
+++ b/src/control/internal/claimtable.h
@@ -18,22 +18,22 @@
 
 namespace saltvane::control {
 
-/// What a claim came to, and who holds the key.
+/// Result of a claim and the holder of the key.
 struct ClaimOutcome {
     model::ClaimResult result = model::ClaimResult::NoQuorum;
     HostId holder;
     Incarnation holderIncarnation;
 };
 
-/// Keys of the callers' own making, each claimed by one host until it expires. Time is what the commands carry: it only
-/// moves forward, so that every replica forgets the same keys at the same entry.
+/// Idempotency keys chosen by callers, each claimed by one host until it expires. Time is taken from the commands and
+/// never goes back, so that every replica removes the same keys at the same entry.
 class ClaimTable {
 public:
     ClaimOutcome apply(const ClaimKey& command);
-    /// The answer where the key is held already, as of `nowUnixMs`.
+    /// The answer if the key is already claimed at `nowUnixMs`.
     [[nodiscard]] std::optional<ClaimOutcome> answerFor(const ClaimKey& command, int64_t nowUnixMs) const;
     [[nodiscard]] size_t size() const { return claims_.size(); }
-    /// Milliseconds since 1970, the latest that a command told.
+    /// Latest time of any command, in milliseconds since 1970.
     [[nodiscard]] int64_t clock() const { return clock_; }
 
     [[nodiscard]] nlohmann::json toJson() const;
--- a/src/control/internal/commandcodec.cpp
+++ b/src/control/internal/commandcodec.cpp
@@ -52,17 +52,17 @@
     return {{"kind", "replicas"}, {"replicas", replicasToJson(command.replicas)}};
 }
 
-/// A plan's content from here on is compressed. The leader's heartbeats wait behind an entry on the links to its
-/// followers: 824 kB over windows of 64 KiB in round trips of 70 ms took 0.9 s, twice the election timeout, so that the
-/// leader lost its quorum and such a plan was never committed. Compressed it takes 0.1 s.
-constexpr size_t LargestPlainContent = 32 * 1024;
-/// What an operator may put in force, and some.
-constexpr size_t LargestContent = 4 * 1024 * 1024;
+/// Larger plans are compressed. The leader's heartbeats queue behind an entry on the links to its followers: 824 kB
+/// with a window of 64 KiB and a round trip of 70 ms took 0.9 s, twice the election timeout, so that the leader
+/// lost its quorum and such a plan was never committed. Compressed it takes 0.1 s.
+constexpr size_t MaxUncompressedContentBytes = 32 * 1024;
+/// Above the limit for bundles and plans (3.5 MiB).
+constexpr size_t MaxContentBytes = 4 * 1024 * 1024;
 
 Json toJson(const ReplacePlan& command)
 {
     Json json {{"kind", "plan"}, {"base", command.base.value}, {"version", command.version.value}};
-    if (command.content.size() <= LargestPlainContent) {
+    if (command.content.size() <= MaxUncompressedContentBytes) {
         json["content"] = command.content;
     } else {
         const std::string compressed = compressContent(command.content, {});
@@ -146,7 +146,7 @@
         reader.read("content", command.content);
         return finish(reader, std::move(command));
     }
-    std::optional<std::string> content = decompressContent(reader.binary("compressed"), {}, LargestContent);
+    std::optional<std::string> content = decompressContent(reader.binary("compressed"), {}, MaxContentBytes);
     if (!content)
         return CodecError {"plan that can't be decompressed"};
     command.content = *std::move(content);
@@ -164,7 +164,7 @@
 Decoded decodeRetire(const Json& json)
 {
     RetireTarget command;
-    // Entries of earlier versions don't tell the start.
+    // Entries of earlier software versions do not contain the incarnation.
     const bool isStartTold = json.contains("incarnation");
     FieldReader reader(json, isStartTold ? 3 : 2);
     reader.read("target", command.target);
--- a/src/control/internal/commandcodec.h
+++ b/src/control/internal/commandcodec.h
@@ -14,15 +14,15 @@
 
 namespace saltvane::control {
 
-/// Why bytes are no command or snapshot.
+/// Why bytes could not be decoded as a command.
 struct CodecError {
     std::string message;
 };
 
-/// Commands as they stand in log entries: CBOR, one object with its kind and every field.
+/// Encodes a command as the payload of a log entry: one CBOR object with the kind and every field.
 [[nodiscard]] std::string encodeCommand(const Command& command);
 [[nodiscard]] Result<Command, CodecError> decodeCommand(std::string_view payload);
-/// Only where it is a change of replicas; any other command is not decoded further.
+/// No value for any other kind of command; those are not decoded further.
 [[nodiscard]] std::optional<ChangeReplicas> decodeReplicaChange(std::string_view payload);
 
 } // namespace saltvane::control
--- a/src/control/internal/commonstart.cpp
+++ b/src/control/internal/commonstart.cpp
@@ -12,25 +12,25 @@
 
 namespace {
 
-/// Of the notices to voters that have not answered: their processes or links may not stand yet. Under a round trip
-/// between regions, and five messages of some 80 bytes each time, only until a leader is heard.
-constexpr Duration NoticePeriod = 40ms;
+/// Interval of notices to voters that have not answered because their process or link is not up yet. Shorter than a
+/// round trip between regions; costs five messages of about 80 bytes each time, until contact to a leader.
+constexpr Duration NoticeInterval = 40ms;
 
 } // namespace
 
-CommonStart::CommonStart(ReplicaContext& context)
+CommonRestartDetector::CommonRestartDetector(ReplicaContext& context)
     : context_(context)
     , hasRecovered_(!context.options.recovered.entries.empty() || !context.options.recovered.snapshot.empty())
 {
 }
 
-void CommonStart::noteLeader()
+void CommonRestartDetector::onLeaderContact()
 {
-    hasHeardLeader_ = true;
+    hasLeaderContact_ = true;
     notices_.clear();
 }
 
-model::StartNotice CommonStart::makeNotice(bool isAnswer) const
+model::StartNotice CommonRestartDetector::makeNotice(bool isAnswer) const
 {
     return {.replica = context_.self,
         .start = context_.options.incarnation.value,
@@ -39,34 +39,34 @@
         .isAnswer = isAnswer};
 }
 
-void CommonStart::tick()
+void CommonRestartDetector::tick()
 {
-    if (!hasRecovered_ || hasHeardLeader_ || context_.now < nextNoticeAt_)
+    if (!hasRecovered_ || hasLeaderContact_ || context_.now < nextNoticeAt_)
         return;
-    nextNoticeAt_ = context_.now + NoticePeriod;
+    nextNoticeAt_ = context_.now + NoticeInterval;
     for (const ReplicaInfo& info : context_.configurations.latest().replicas) {
         if (info.isVoter && info.replica != context_.self && !notices_.contains(info.host))
             context_.send(info.host, makeNotice(false));
     }
 }
 
-void CommonStart::handle(const HostId& from, const model::StartNotice& notice)
+void CommonRestartDetector::handle(const HostId& from, const model::StartNotice& notice)
 {
-    if (hasHeardLeader_)
+    if (hasLeaderContact_)
         return;
     notices_.insert_or_assign(from, notice);
     if (!notice.isAnswer)
         context_.send(from, makeNotice(true));
 }
 
-bool CommonStart::haveAllTold() const
+bool CommonRestartDetector::haveAllReported() const
 {
     return std::ranges::all_of(context_.configurations.latest().replicas, [this](const ReplicaInfo& info) {
         return !info.isVoter || info.replica == context_.self || notices_.contains(info.host);
     });
 }
 
-bool CommonStart::isFirstOfAll() const
+bool CommonRestartDetector::isPreferredCandidate() const
 {
     const auto completeness
         = [](const model::StartNotice& notice) { return std::tuple(notice.lastTerm, notice.lastIndex); };
@@ -75,30 +75,32 @@
         if (!info.isVoter || info.replica == context_.self)
             return true;
         const model::StartNotice& other = notices_.at(info.host);
-        // A voter whose disk was lost is another replica now: its process is gone too, but it can't stand.
+        // A host that lost its disk has a new replica id. Its earlier process has ended as well, but it cannot be a
+        // candidate.
         if (other.replica != info.replica || completeness(own) > completeness(other))
             return true;
         return completeness(own) == completeness(other) && context_.self < info.replica;
     });
 }
 
-bool CommonStart::takeCandidacy()
+bool CommonRestartDetector::popCandidacy()
 {
     const bool isVoter = context_.configurations.latest().isVoter(context_.self);
-    const bool mayStand = hasRecovered_ && !hasHeardLeader_ && !hasStood_ && isVoter && haveAllTold() && isFirstOfAll();
-    hasStood_ = hasStood_ || mayStand;
-    return mayStand;
+    const bool mayCampaign = hasRecovered_ && !hasLeaderContact_ && !hasCampaigned_ && isVoter && haveAllReported()
+        && isPreferredCandidate();
+    hasCampaigned_ = hasCampaigned_ || mayCampaign;
+    return mayCampaign;
 }
 
-uint64_t CommonStart::startOf(const HostId& host) const
+uint64_t CommonRestartDetector::voterStartOf(const HostId& host) const
 {
-    const auto told = notices_.find(host);
-    return told == notices_.end() || !haveAllTold() ? 0 : told->second.start;
+    const auto known = notices_.find(host);
+    return known == notices_.end() || !haveAllReported() ? 0 : known->second.start;
 }
 
-bool CommonStart::isOwnStart(uint64_t start) const
+bool CommonRestartDetector::isOwnStart(uint64_t start) const
 {
-    return !hasHeardLeader_ && start != 0 && start == context_.options.incarnation.value;
+    return !hasLeaderContact_ && start != 0 && start == context_.options.incarnation.value;
 }
 
 } // namespace saltvane::control
--- a/src/control/internal/commonstart.h
+++ b/src/control/internal/commonstart.h
@@ -11,41 +11,39 @@
 
 namespace saltvane::control {
 
-/// Finds out whether the processes of all voters have started anew, so that nobody can be leading: a voter that starts
-/// alone waits an election timeout before it votes, since it may have acknowledged a leader that still holds its
-/// lease. Where no process of before is left that wait guards nothing. docs/design/0011-common-restart.md
-///
-/// Buys: after a loss of all hosts a leader stands two round trips after the last start, not one to three election
-/// timeouts.
-class CommonStart {
+/// Detects that the processes of all voters have restarted, so that no leader can exist. A voter that restarts alone
+/// waits an election timeout before it votes, since its previous process may have acknowledged a leader that still
+/// holds its lease. After a restart of all voters this wait is unnecessary: a leader is elected two round trips after
+/// the last start, instead of one to three election timeouts. docs/design/0011-common-restart.md
+class CommonRestartDetector {
 public:
-    explicit CommonStart(ReplicaContext& context);
+    explicit CommonRestartDetector(ReplicaContext& context);
 
-    /// From now on another host's process may rely on what this one acknowledged.
-    void noteLeader();
-    /// Asks the voters that have not told yet.
+    /// From now on a leader may rely on this process's acknowledgements.
+    void onLeaderContact();
+    /// Sends notices to the voters that have not reported their start.
     void tick();
     void handle(const HostId& from, const model::StartNotice& notice);
-    /// All voters' processes have started and have heard of no leader since, and of all of them this one has the most
-    /// complete log (the lowest id among equals): it shall stand, and nobody else will. True once.
-    [[nodiscard]] bool takeCandidacy();
-    /// The start that a voter told of, once all voters have told; else 0.
-    [[nodiscard]] uint64_t startOf(const HostId& host) const;
-    /// Whether a request for a vote names this very start, which has heard of no leader.
+    /// Whether this replica shall start an election: all voters have restarted without contact to a leader since, and
+    /// this one has the most complete log (lowest id among equals). No other voter does so. True only once.
+    [[nodiscard]] bool popCandidacy();
+    /// Start number that the voter on this host reported; 0 until all voters have reported.
+    [[nodiscard]] uint64_t voterStartOf(const HostId& host) const;
+    /// Whether a vote request names this process's start number, and the process has had no contact to a leader.
     [[nodiscard]] bool isOwnStart(uint64_t start) const;
 
 private:
     [[nodiscard]] model::StartNotice makeNotice(bool isAnswer) const;
-    [[nodiscard]] bool haveAllTold() const;
-    [[nodiscard]] bool isFirstOfAll() const;
+    [[nodiscard]] bool haveAllReported() const;
+    [[nodiscard]] bool isPreferredCandidate() const;
 
     ReplicaContext& context_;
-    /// A group that is being founded has had no leader: its founder stands, and nobody has to be waited for.
+    /// False in a new group: it has had no leader, and its bootstrapping replica campaigns without waiting.
     const bool hasRecovered_;
-    bool hasHeardLeader_ = false;
-    bool hasStood_ = false;
+    bool hasLeaderContact_ = false;
+    bool hasCampaigned_ = false;
     Timestamp nextNoticeAt_ {};
-    std::map<HostId, model::StartNotice> notices_; ///< The latest of each host.
+    std::map<HostId, model::StartNotice> notices_; ///< Latest notice of each host.
 };
 
 } // namespace saltvane::control
--- a/src/control/internal/configurationhistory.h
+++ b/src/control/internal/configurationhistory.h
@@ -20,27 +20,27 @@
     [[nodiscard]] const ReplicaInfo* find(const model::ReplicaId& replica) const;
     [[nodiscard]] const ReplicaInfo* findHost(const HostId& host) const;
     [[nodiscard]] bool isVoter(const model::ReplicaId& replica) const;
-    /// Votes or acknowledgements that make a majority of the voters.
+    /// Number of votes or acknowledgements that form a majority of the voters.
     [[nodiscard]] size_t quorum() const;
 };
 
-/// The configurations in the log. The latest rules from the moment it is appended, committed or not.
+/// The configurations in the log. The latest applies as soon as it is appended, committed or not.
 class ConfigurationHistory {
 public:
     ConfigurationHistory();
 
     [[nodiscard]] const Configuration& latest() const { return configurations_.back(); }
-    /// The latest up to `index`; empty where none is known.
+    /// The latest configuration up to `index`; empty if none is known.
     [[nodiscard]] const Configuration& asOf(LogIndex index) const;
     void add(Configuration configuration);
     void truncateFrom(LogIndex index);
-    /// Forgets those that a later one up to `index` has replaced.
+    /// Removes configurations that a later one up to `index` has replaced.
     void compactTo(LogIndex index);
-    /// Starts again from a snapshot's configuration.
+    /// Replaces the history by a snapshot's configuration.
     void reset(const Configuration& configuration);
 
 private:
-    std::vector<Configuration> configurations_; ///< By index; the first is the base.
+    std::vector<Configuration> configurations_; ///< By index; the first is that of the snapshot, or empty.
 };
 
 } // namespace saltvane::control
--- a/src/control/internal/consensus.cpp
+++ b/src/control/internal/consensus.cpp
@@ -15,14 +15,14 @@
 
 namespace {
 constexpr size_t BytesPerSnapshot = 16 * 1024 * 1024;
-/// Entries below the snapshot that stay in memory for followers that lag a little.
-constexpr size_t KeptBytes = 4 * 1024 * 1024;
+/// Entries covered by the snapshot that stay in memory for followers that lag slightly behind.
+constexpr size_t RetainedLogBytes = 4 * 1024 * 1024;
 /// A follower's proof is up to three messages older than the leader's.
 constexpr int FollowerLeaseFactor = 2;
 constexpr LogTerm FirstTerm {1};
 
-/// The process ended in the middle of the write that starts a deployment: its vote is there, the entry is not.
-bool isTornStart(const RecoveredState& recovered)
+/// The process stopped during the write that bootstraps a deployment: its vote was written, the entry was not.
+bool isIncompleteBootstrap(const RecoveredState& recovered)
 {
     return recovered.entries.empty() && recovered.snapshot.empty() && recovered.hardState.term == FirstTerm
         && recovered.hardState.votedFor == recovered.replica;
@@ -35,7 +35,7 @@
     , receiver_(context_)
     , snapshotReceiver_(context_)
     , replicator_(context_)
-    , isStartable_(options.recovered.isNewDisk || isTornStart(options.recovered))
+    , isStartable_(options.recovered.isNewDisk || isIncompleteBootstrap(options.recovered))
     , applied_(context_.commit)
 {
 }
@@ -52,19 +52,19 @@
 void Consensus::handle(const HostId& from, const model::VoteRequest& request)
 {
     election_.handle(from, request);
-    settle();
+    updateAfterEvent();
 }
 
 void Consensus::handle(const HostId& /*from*/, const model::VoteReply& reply)
 {
     election_.handle(reply);
-    settle();
+    updateAfterEvent();
 }
 
 void Consensus::handle(const HostId& from, const model::StartNotice& notice)
 {
     election_.handle(from, notice);
-    settle();
+    updateAfterEvent();
 }
 
 bool Consensus::acceptLeader(const HostId& from, LogTerm term, const model::ReplicaId& leader)
@@ -78,7 +78,7 @@
         receiver_.startTerm();
     }
     context_.leaderHost = from;
-    election_.noteLeader();
+    election_.onLeaderContact();
     return true;
 }
 
@@ -89,12 +89,12 @@
         context_.send(from,
             model::AppendReply {
                 .term = context_.hardState.term, .replica = context_.self, .match = {}, .round = request.round});
-        return settle();
+        return updateAfterEvent();
     }
     const bool mayAppend = !snapshotReceiver_.isInstalling() && !context_.storage.isFailing();
     receiver_.handle(request, mayAppend);
-    settle();
-    context_.proof.noteRequest(request, context_.commit);
+    updateAfterEvent();
+    context_.proof.recordRequest(request, context_.commit);
 }
 
 void Consensus::handle(const HostId& /*from*/, const model::AppendReply& reply)
@@ -105,7 +105,7 @@
         context_.follow(reply.term);
     else if (isLeader() && reply.term == context_.hardState.term)
         replicator_.handle(reply);
-    settle();
+    updateAfterEvent();
 }
 
 void Consensus::handle(const HostId& from, const model::SnapshotChunk& chunk)
@@ -114,14 +114,14 @@
         return context_.count(model::Counter::StaleMessages);
     if (!context_.storage.isFailing())
         snapshotReceiver_.handle(chunk);
-    settle();
+    updateAfterEvent();
 }
 
 void Consensus::handle(const HostId& /*from*/, const model::SnapshotReply& reply)
 {
     if (isLeader() && reply.term == context_.hardState.term)
         replicator_.handle(reply);
-    settle();
+    updateAfterEvent();
 }
 
 void Consensus::complete(const StorageDone& done)
@@ -129,39 +129,39 @@
     if (!context_.storage.complete(done.sequence))
         return;
     context_.releaseDurable();
-    noteSnapshotDurable();
+    onSnapshotDurable();
     installSnapshot();
-    election_.noteDurable();
-    receiver_.noteDurable();
-    settle();
+    election_.onDurable();
+    receiver_.onDurable();
+    updateAfterEvent();
 }
 
 void Consensus::fail(const StorageFailed& failed)
 {
     context_.storage.fail(failed.sequence, context_.now);
-    // Another replica, whose disk takes writes, shall lead.
+    // Steps down, so that a replica whose disk accepts writes can become the leader.
     if (isLeader())
         context_.follow(context_.hardState.term);
-    settle();
+    updateAfterEvent();
 }
 
 void Consensus::tick()
 {
     stopWithoutQuorum();
     election_.tick();
-    settle();
+    updateAfterEvent();
 }
 
 void Consensus::stopWithoutQuorum()
 {
     if (!isLeader())
         return;
-    const Timestamp heard = std::max(replicator_.quorumHeardAt().value_or(leadingSince_), leadingSince_);
-    if (context_.now - heard > context_.options.electionTimeout)
+    const Timestamp lastContactAt = std::max(replicator_.quorumContactAt().value_or(leadingSince_), leadingSince_);
+    if (context_.now - lastContactAt > context_.options.electionTimeout)
         context_.follow(context_.hardState.term);
 }
 
-void Consensus::settle()
+void Consensus::updateAfterEvent()
 {
     if (isLeader() && !isLeading_)
         startLeading();
@@ -170,10 +170,10 @@
     advanceCommit();
     applyCommitted();
     if (isEstablished())
-        replicator_.setProof(replicator_.quorumHeardAt());
+        replicator_.setProof(replicator_.quorumContactAt());
     if (const std::optional<Timestamp> proven = provenAt(context_.now); isLeader() && proven)
         context_.proof.adopt(*proven);
-    context_.proof.noteCommit(context_.commit);
+    context_.proof.recordCommit(context_.commit);
 }
 
 void Consensus::startLeading()
@@ -197,7 +197,7 @@
 {
     context_.setHardState({.term = FirstTerm, .votedFor = context_.self});
     propose(std::move(payload));
-    election_.hurry();
+    election_.campaignAtNextTick();
 }
 
 void Consensus::advanceCommit()
@@ -205,7 +205,7 @@
     LogIndex commit = receiver_.committable();
     if (isLeader()) {
         const LogIndex match = replicator_.quorumMatch();
-        // Entries of earlier terms are committed by one of the own term that follows them.
+        // Entries of earlier terms are committed only through a later entry of the leader's own term.
         commit = match >= termStart_ ? match : context_.commit;
     }
     context_.commit = std::max(context_.commit, commit);
@@ -239,12 +239,12 @@
     bytesSinceSnapshot_ = 0;
 }
 
-void Consensus::noteSnapshotDurable()
+void Consensus::onSnapshotDurable()
 {
     if (!snapshotInWriting_ || snapshotSequence_ > context_.storage.completed())
         return;
     context_.snapshot = std::exchange(snapshotInWriting_, nullptr);
-    context_.log.compactTo(context_.snapshot->index, context_.options.entriesPerSnapshot, KeptBytes);
+    context_.log.compactTo(context_.snapshot->index, context_.options.entriesPerSnapshot, RetainedLogBytes);
     context_.configurations.compactTo(context_.snapshot->index);
     context_.count(model::Counter::SnapshotsTaken);
 }
@@ -270,12 +270,12 @@
     context_.commit = installed->index;
     applied_ = installed->index;
     bytesSinceSnapshot_ = 0;
-    receiver_.noteInstalled(installed->index);
+    receiver_.onSnapshotInstalled(installed->index);
 }
 
 std::optional<Timestamp> Consensus::provenAt(Timestamp now) const
 {
-    std::optional<Timestamp> proven = isEstablished() ? replicator_.quorumHeardAt() : context_.proof.provenAt();
+    std::optional<Timestamp> proven = isEstablished() ? replicator_.quorumContactAt() : context_.proof.provenAt();
     if (proven)
         proven = std::min(*proven, now);
     return proven;
--- a/src/control/internal/consensus.h
+++ b/src/control/internal/consensus.h
@@ -23,7 +23,7 @@
 public:
     Consensus(const ControlReplicaOptions& options, IStateMachine& machine);
 
-    /// Every event starts with it: the time, and at the first event the start.
+    /// Must be called before each event: sets the time, and starts the replica at the first event.
     void begin(Timestamp now);
     void handle(const HostId& from, const model::VoteRequest& request);
     void handle(const HostId& from, const model::VoteReply& reply);
@@ -36,34 +36,34 @@
     void fail(const StorageFailed& failed);
     void tick();
 
-    /// Writes the first entry of an empty log, which sets its replicas.
+    /// Writes the first entry of an empty log, which contains the initial configuration.
     void bootstrap(std::string payload);
-    /// Appends to the leader's log; its entry may still be lost until it is applied.
+    /// Appends an entry to the leader's log. The entry may be lost until it is committed.
     LogPosition propose(std::string payload);
     void send(const HostId& to, model::Message message) { context_.send(to, std::move(message)); }
     [[nodiscard]] std::vector<model::Outgoing> takeOutgoing();
     [[nodiscard]] std::vector<StorageWrite> takeWrites();
 
     [[nodiscard]] bool isLeader() const { return context_.role == Role::Leader; }
-    /// Leader whose own term's first entry is committed.
+    /// A leader that has committed the first entry of its term.
     [[nodiscard]] bool isEstablished() const { return isLeader() && context_.commit >= termStart_; }
     [[nodiscard]] bool isCurrent(Timestamp now) const;
     [[nodiscard]] Duration proofAge(Timestamp now) const;
     [[nodiscard]] const ReplicaContext& context() const { return context_; }
     [[nodiscard]] const Replicator& replicator() const { return replicator_; }
-    /// The disk holds nothing of a deployment, and this start has not asked for a write yet.
+    /// The disk has no data of a deployment, and no write has been requested since the start.
     [[nodiscard]] bool isUnwritten() const;
 
 private:
     [[nodiscard]] std::optional<Timestamp> provenAt(Timestamp now) const;
     bool acceptLeader(const HostId& from, LogTerm term, const model::ReplicaId& leader);
-    void settle();
+    void updateAfterEvent();
     void startLeading();
     void stopWithoutQuorum();
     void advanceCommit();
     void applyCommitted();
     void takeSnapshot();
-    void noteSnapshotDurable();
+    void onSnapshotDurable();
     void installSnapshot();
 
     ReplicaContext context_;
@@ -71,11 +71,11 @@
     EntryReceiver receiver_;
     SnapshotReceiver snapshotReceiver_;
     Replicator replicator_;
-    const bool isStartable_; ///< The disk holds nothing of a deployment.
+    const bool isStartable_; ///< The disk had no data of a deployment at start.
     bool hasStarted_ = false;
     bool isLeading_ = false;
     Timestamp leadingSince_ {};
-    LogIndex termStart_; ///< Of the first entry of the own leadership.
+    LogIndex termStart_; ///< First entry of this replica's latest term as leader.
     LogIndex applied_;
     size_t bytesSinceSnapshot_ = 0;
     std::shared_ptr<const Snapshot> snapshotInWriting_;
--- a/src/control/internal/contentcodec.cpp
+++ b/src/control/internal/contentcodec.cpp
@@ -14,10 +14,10 @@
 
 namespace {
 
-/// Higher levels gain nothing on plans: their names are random, and what repeats is found by the first one.
-constexpr int Level = 1;
-constexpr int SmallestWindow = 17; ///< Binary logarithm of bytes.
-constexpr int LargestWindow = 23; ///< Holds two of the largest contents.
+/// Higher levels do not compress plans further: names are random, and level 1 finds all repetitions.
+constexpr int CompressionLevel = 1;
+constexpr int MinWindowLog = 17; ///< Binary logarithm of bytes.
+constexpr int MaxWindowLog = 23; ///< Binary logarithm of bytes; spans two contents of the maximum size.
 
 using Compressor = std::unique_ptr<ZSTD_CCtx, decltype(&ZSTD_freeCCtx)>;
 using Decompressor = std::unique_ptr<ZSTD_DCtx, decltype(&ZSTD_freeDCtx)>;
@@ -28,23 +28,23 @@
 {
     const Compressor context(ZSTD_createCCtx(), &ZSTD_freeCCtx);
     const int window
-        = std::clamp(static_cast<int>(std::bit_width(content.size() + base.size())), SmallestWindow, LargestWindow);
-    ZSTD_CCtx_setParameter(context.get(), ZSTD_c_compressionLevel, Level);
+        = std::clamp(static_cast<int>(std::bit_width(content.size() + base.size())), MinWindowLog, MaxWindowLog);
+    ZSTD_CCtx_setParameter(context.get(), ZSTD_c_compressionLevel, CompressionLevel);
     ZSTD_CCtx_setParameter(context.get(), ZSTD_c_windowLog, window);
-    ZSTD_CCtx_setParameter(context.get(), ZSTD_c_checksumFlag, 1); // Tells a decoder that its base is another one.
+    ZSTD_CCtx_setParameter(context.get(), ZSTD_c_checksumFlag, 1); // Lets the decoder detect a wrong base.
     ZSTD_CCtx_refPrefix(context.get(), base.data(), base.size());
     std::string compressed(ZSTD_compressBound(content.size()), '\0');
-    // Can't fail: the room is enough and the parameters are within their bounds.
+    // Cannot fail: the buffer is large enough and the parameters are valid.
     const size_t size
         = ZSTD_compress2(context.get(), compressed.data(), compressed.size(), content.data(), content.size());
     compressed.resize(size);
     return compressed;
 }
 
-std::optional<std::string> decompressContent(std::string_view compressed, std::string_view base, size_t largest)
+std::optional<std::string> decompressContent(std::string_view compressed, std::string_view base, size_t maxBytes)
 {
     const unsigned long long size = ZSTD_getFrameContentSize(compressed.data(), compressed.size());
-    if (size == ZSTD_CONTENTSIZE_ERROR || size == ZSTD_CONTENTSIZE_UNKNOWN || size > largest)
+    if (size == ZSTD_CONTENTSIZE_ERROR || size == ZSTD_CONTENTSIZE_UNKNOWN || size > maxBytes)
         return std::nullopt;
     const Decompressor context(ZSTD_createDCtx(), &ZSTD_freeDCtx);
     ZSTD_DCtx_refPrefix(context.get(), base.data(), base.size());
--- a/src/control/internal/controlreplica.cpp
+++ b/src/control/internal/controlreplica.cpp
@@ -29,7 +29,7 @@
     , operatorRequests_(options_, consensus_, state_)
     , claimRequests_(options_, consensus_, state_)
 {
-    // The log holds them now.
+    // Already copied into the log and the state.
     options_.recovered.entries = {};
     options_.recovered.snapshot = {};
 }
@@ -97,9 +97,9 @@
 
 void ControlReplica::finishEvent(Timestamp now)
 {
-    for (const AppliedEntry& applied : state_.takeApplied()) {
-        operatorRequests_.noteApplied(applied);
-        claimRequests_.noteApplied(applied);
+    for (const AppliedEntry& applied : state_.drainApplied()) {
+        operatorRequests_.onApplied(applied);
+        claimRequests_.onApplied(applied);
     }
     operatorRequests_.advance(now);
     claimRequests_.advance();
--- a/src/control/internal/controlreplica.h
+++ b/src/control/internal/controlreplica.h
@@ -17,7 +17,7 @@
 
 namespace saltvane::control {
 
-/// Puts the parts of one control replica together.
+/// Connects the components of one control replica and dispatches events to them.
 class ControlReplica final : public IControlReplica {
 public:
     explicit ControlReplica(const ControlReplicaOptions& options);
@@ -58,7 +58,7 @@
     ReplicaChanges replicaChanges_;
     OperatorRequests operatorRequests_;
     ClaimRequests claimRequests_;
-    std::map<HostId, Incarnation> incarnations_; ///< Latest heard of each host.
+    std::map<HostId, Incarnation> incarnations_; ///< Latest known incarnation of each host.
 };
 
 } // namespace saltvane::control
--- a/src/control/internal/controlstate.cpp
+++ b/src/control/internal/controlstate.cpp
@@ -17,10 +17,10 @@
 
 namespace {
 constexpr uint64_t SnapshotFormat = 2;
-constexpr size_t SnapshotFields = 7;
-/// Without routing orders; still read.
-constexpr uint64_t OlderSnapshotFormat = 1;
-constexpr size_t OlderSnapshotFields = 6;
+constexpr size_t SnapshotFieldCount = 7;
+/// Written by earlier software versions, without routing state; still readable.
+constexpr uint64_t LegacySnapshotFormat = 1;
+constexpr size_t LegacySnapshotFieldCount = 6;
 } // namespace
 
 void ControlState::apply(const model::LogEntry& entry)
@@ -45,7 +45,7 @@
     applied_.push_back(std::move(applied));
 }
 
-std::vector<AppliedEntry> ControlState::takeApplied() { return std::exchange(applied_, {}); }
+std::vector<AppliedEntry> ControlState::drainApplied() { return std::exchange(applied_, {}); }
 
 std::optional<std::vector<ReplicaInfo>> ControlState::replicasIn(const model::LogEntry& entry) const
 {
@@ -71,13 +71,13 @@
     int64_t clock = 0;
     ControlState state;
     const bool hasRouting = json->is_object() && json->contains("routing");
-    FieldReader reader(*json, hasRouting ? SnapshotFields : OlderSnapshotFields);
+    FieldReader reader(*json, hasRouting ? SnapshotFieldCount : LegacySnapshotFieldCount);
     reader.read("format", format).read("claimClock", clock).read("replicasIndex", state.configuration_.index);
     std::optional<BundleTable> bundles = BundleTable::fromJson(reader.array("bundles"));
     std::optional<ClaimTable> claims = ClaimTable::fromJson(reader.array("claims"), clock);
     std::optional<std::vector<ReplicaInfo>> replicas = replicasFromJson(reader.array("replicas"));
     std::optional<RoutingTable> routing = hasRouting ? RoutingTable::fromJson(json->at("routing")) : RoutingTable {};
-    if (!reader.isOk() || format != (hasRouting ? SnapshotFormat : OlderSnapshotFormat))
+    if (!reader.isOk() || format != (hasRouting ? SnapshotFormat : LegacySnapshotFormat))
         return std::nullopt;
     if (!bundles || !claims || !replicas || !routing)
         return std::nullopt;
--- a/src/control/internal/controlstate.h
+++ b/src/control/internal/controlstate.h
@@ -15,7 +15,7 @@
 
 namespace saltvane::control {
 
-/// What one applied entry came to; nothing for entries that answer nobody.
+/// Outcome of an applied entry; empty for entries that answer no request.
 struct AppliedEntry {
     LogPosition position;
     std::variant<std::monostate, BundleOutcome, ClaimOutcome> outcome;
@@ -33,8 +33,8 @@
     [[nodiscard]] const BundleTable& bundles() const { return bundles_; }
     [[nodiscard]] const ClaimTable& claims() const { return claims_; }
     [[nodiscard]] const RoutingTable& routing() const { return routing_; }
-    /// Entries applied since the last call, in order; those that a snapshot brought are not among them.
-    [[nodiscard]] std::vector<AppliedEntry> takeApplied();
+    /// Entries applied since the last call, in log order, without those contained in an installed snapshot.
+    [[nodiscard]] std::vector<AppliedEntry> drainApplied();
 
 private:
     [[nodiscard]] static std::optional<ControlState> decode(std::string_view snapshot);
--- a/src/control/internal/election.cpp
+++ b/src/control/internal/election.cpp
@@ -14,7 +14,7 @@
 
 Election::Election(ReplicaContext& context)
     : context_(context)
-    , commonStart_(context)
+    , commonRestart_(context)
     , random_(context.options.seed)
 {
 }
@@ -22,19 +22,19 @@
 void Election::start()
 {
     noVoteBefore_ = context_.now + context_.options.electionTimeout;
-    waitAnew();
+    resetElectionTimeout();
 }
 
-void Election::noteLeader()
+void Election::onLeaderContact()
 {
-    commonStart_.noteLeader();
+    commonRestart_.onLeaderContact();
     noVoteBefore_ = context_.now + context_.options.electionTimeout;
-    waitAnew();
+    resetElectionTimeout();
 }
 
-void Election::hurry() { deadline_ = context_.now; }
+void Election::campaignAtNextTick() { deadline_ = context_.now; }
 
-void Election::waitAnew()
+void Election::resetElectionTimeout()
 {
     const Duration timeout = context_.options.electionTimeout;
     boost::random::uniform_int_distribution<Duration::rep> jitter(0, timeout.count());
@@ -44,7 +44,7 @@
 void Election::tick()
 {
     if (context_.role != Role::Leader)
-        commonStart_.tick();
+        commonRestart_.tick();
     if (context_.role == Role::Leader || context_.now < deadline_)
         return;
     if (!context_.configurations.latest().isVoter(context_.self) || context_.storage.isFailing())
@@ -56,13 +56,13 @@
 {
     if (context_.role == Role::Leader)
         return;
-    commonStart_.handle(from, notice);
-    standAfterCommonStart();
+    commonRestart_.handle(from, notice);
+    campaignAfterCommonRestart();
 }
 
-void Election::standAfterCommonStart()
+void Election::campaignAfterCommonRestart()
 {
-    if (context_.storage.isFailing() || context_.role == Role::Leader || !commonStart_.takeCandidacy())
+    if (context_.storage.isFailing() || context_.role == Role::Leader || !commonRestart_.popCandidacy())
         return;
     context_.follow(context_.hardState.term);
     startCandidacy();
@@ -73,7 +73,7 @@
     context_.follow(context_.hardState.term);
     context_.role = Role::PreCandidate;
     votes_ = {context_.self};
-    waitAnew();
+    resetElectionTimeout();
     requestVotes(true);
     countVotes();
 }
@@ -86,10 +86,10 @@
     hasRequestedVotes_ = false;
     const LogTerm term {context_.hardState.term.value + 1};
     voteSequence_ = context_.setHardState({.term = term, .votedFor = context_.self});
-    waitAnew();
+    resetElectionTimeout();
 }
 
-void Election::noteDurable()
+void Election::onDurable()
 {
     const bool isOwnVoteDurable = context_.role == Role::Candidate && voteSequence_ <= context_.storage.completed();
     if (!isOwnVoteDurable || hasRequestedVotes_)
@@ -112,7 +112,7 @@
                 .lastIndex = context_.log.lastIndex(),
                 .lastTerm = context_.log.lastTerm(),
                 .isPreVote = isPreVote,
-                .voterStart = commonStart_.startOf(info.host)});
+                .voterStart = commonRestart_.voterStartOf(info.host)});
     }
 }
 
@@ -131,7 +131,8 @@
 
 bool Election::mayVote() const
 {
-    // An empty replica may be a voter that has received nothing yet; the vote of any other is not counted.
+    // A replica without a configuration may be a voter that has received no entries yet. The vote of any other
+    // non-member would not be counted.
     const Configuration& configuration = context_.configurations.latest();
     return configuration.replicas.empty() || configuration.find(context_.self);
 }
@@ -146,7 +147,7 @@
 {
     if (context_.role == Role::Leader)
         return true;
-    return context_.now < noVoteBefore_ && !commonStart_.isOwnStart(request.voterStart);
+    return context_.now < noVoteBefore_ && !commonRestart_.isOwnStart(request.voterStart);
 }
 
 void Election::handle(const HostId& from, const model::VoteRequest& request)
@@ -169,7 +170,7 @@
 {
     const bool isGranted = request.term > context_.hardState.term && isUpToDate(request);
     if (isGranted)
-        waitAnew(); // Its candidacy goes first: two at once would split the votes.
+        resetElectionTimeout(); // Yields to the candidate: two candidates at once would split the votes.
     context_.send(from,
         model::VoteReply {.term = isGranted ? request.term : context_.hardState.term,
             .voter = context_.self,
@@ -186,7 +187,7 @@
     const bool isGranted = request.term == context_.hardState.term && isFree && isUpToDate(request);
     if (isGranted && votedFor.isEmpty()) {
         voteSequence_ = context_.setHardState({.term = request.term, .votedFor = request.candidate});
-        waitAnew();
+        resetElectionTimeout();
     }
     const model::VoteReply reply {.term = context_.hardState.term, .voter = context_.self, .isGranted = isGranted};
     context_.sendWhenDurable(isGranted ? voteSequence_ : 0, from, reply);
--- a/src/control/internal/election.h
+++ b/src/control/internal/election.h
@@ -13,32 +13,32 @@
 
 namespace saltvane::control {
 
-/// Elections: a pre-vote asks whether a candidacy could win before it raises the term; the vote itself counts only
-/// once it is on the disk. Whoever heard from a leader within the election timeout refuses to vote: a leader's lease,
-/// which is shorter, can not outlive its leadership. Where all voters' processes are new nobody has such a lease.
+/// Leader election. A pre-vote checks that a candidacy could succeed before the term is raised. A vote counts only once
+/// it is durable. A replica that had contact to a leader within the election timeout does not vote, so that a leader's
+/// lease, which is shorter, cannot outlast its leadership. After a restart of all voters no such lease exists.
 class Election {
 public:
     explicit Election(ReplicaContext& context);
 
-    /// The process has just started: it may have acknowledged a leader shortly before.
+    /// Called at process start. The previous process may have acknowledged a leader shortly before.
     void start();
-    void noteLeader();
+    void onLeaderContact();
     void tick();
     void handle(const HostId& from, const model::VoteRequest& request);
     void handle(const model::VoteReply& reply);
     void handle(const HostId& from, const model::StartNotice& notice);
-    void noteDurable();
-    /// Campaign at the next tick.
-    void hurry();
+    void onDurable();
+    /// Lets the election timeout expire at the next tick.
+    void campaignAtNextTick();
 
 private:
-    void waitAnew();
+    void resetElectionTimeout();
     void startPreVote();
     void startCandidacy();
     void requestVotes(bool isPreVote);
     void countVotes();
-    void standAfterCommonStart();
-    /// Somebody may hold a leader's lease that this process, or the one before it, has acknowledged.
+    void campaignAfterCommonRestart();
+    /// A leader may hold a lease that this process or its predecessor has acknowledged.
     [[nodiscard]] bool mayHaveLeader(const model::VoteRequest& request) const;
     [[nodiscard]] bool mayVote() const;
     [[nodiscard]] bool isUpToDate(const model::VoteRequest& request) const;
@@ -46,12 +46,12 @@
     void answerVote(const HostId& from, const model::VoteRequest& request);
 
     ReplicaContext& context_;
-    CommonStart commonStart_;
+    CommonRestartDetector commonRestart_;
     boost::random::mt19937_64 random_;
     Timestamp deadline_ {};
     Timestamp noVoteBefore_ {};
     std::set<model::ReplicaId> votes_;
-    uint64_t voteSequence_ = 0; ///< Write of the own latest vote.
+    uint64_t voteSequence_ = 0; ///< Storage write of this replica's latest vote.
     bool hasRequestedVotes_ = false;
 };
 
--- a/src/control/internal/entryreceiver.cpp
+++ b/src/control/internal/entryreceiver.cpp
@@ -31,7 +31,7 @@
 
 bool EntryReceiver::matches(const model::AppendRequest& request) const
 {
-    // What lies below the base is committed: it equals every leader's.
+    // Entries below the base are committed, so they match every leader's log.
     if (request.previousIndex < context_.log.baseIndex())
         return true;
     return context_.log.termAt(request.previousIndex) == request.previousTerm;
@@ -63,7 +63,7 @@
         if (own == entry.term)
             continue;
         if (own && index <= context_.commit)
-            return; // A leader never contradicts what is committed: not a message to act on.
+            return; // A valid leader never conflicts with committed entries; ignores the message.
         if (own)
             context_.truncateFrom(index);
         context_.append(entry);
@@ -83,7 +83,7 @@
             .isAccepted = false,
             .match = hint,
             .round = request.round});
-    context_.proof.noteReply(request.round, context_.now);
+    context_.proof.recordReply(request.round, context_.now);
 }
 
 void EntryReceiver::acknowledge()
@@ -95,17 +95,17 @@
             .isAccepted = true,
             .match = acknowledged_,
             .round = lastRound_});
-    context_.proof.noteReply(lastRound_, context_.now);
+    context_.proof.recordReply(lastRound_, context_.now);
 }
 
-void EntryReceiver::noteDurable()
+void EntryReceiver::onDurable()
 {
     const bool follows = context_.role == Role::Follower && !context_.leader.isEmpty();
     if (follows && std::min(verified_, context_.storage.durableIndex()) > acknowledged_)
         acknowledge();
 }
 
-void EntryReceiver::noteInstalled(LogIndex index)
+void EntryReceiver::onSnapshotInstalled(LogIndex index)
 {
     verified_ = std::max(verified_, index);
     leaderCommit_ = std::max(leaderCommit_, index);
--- a/src/control/internal/entryreceiver.h
+++ b/src/control/internal/entryreceiver.h
@@ -9,20 +9,20 @@
 
 namespace saltvane::control {
 
-/// A follower's side of the log: takes the leader's entries and acknowledges what is on the disk.
+/// A follower's side of log replication: appends the leader's entries and acknowledges those that are durable.
 class EntryReceiver {
 public:
     explicit EntryReceiver(ReplicaContext& context);
 
-    /// The request is of the current term, its sender is known as the leader.
+    /// The request must be of the current term, and its sender the leader.
     void handle(const model::AppendRequest& request, bool mayAppend);
-    /// A new term or leader: nothing of the log is known to match it.
+    /// Called for a new term or leader: uncommitted entries are not yet known to match its log.
     void startTerm();
-    /// Acknowledges what has become durable since.
-    void noteDurable();
-    /// A snapshot of the leader's up to `index` was installed.
-    void noteInstalled(LogIndex index);
-    /// Known as committed, matching the leader and durable.
+    /// Acknowledges entries that have become durable since the last acknowledgement.
+    void onDurable();
+    /// The leader's snapshot up to `index` was installed.
+    void onSnapshotInstalled(LogIndex index);
+    /// Highest index that is committed, matches the leader's log and is durable here.
     [[nodiscard]] LogIndex committable() const;
 
 private:
@@ -32,7 +32,7 @@
     void acknowledge();
 
     ReplicaContext& context_;
-    LogIndex verified_; ///< The log equals the leader's up to here.
+    LogIndex verified_; ///< The log matches the leader's up to this index.
     LogIndex leaderCommit_;
     LogIndex acknowledged_;
     uint64_t lastRound_ = 0;
--- a/src/control/internal/fieldreader.h
+++ b/src/control/internal/fieldreader.h
@@ -16,7 +16,7 @@
 
 namespace saltvane::control {
 
-/// Reads the fields of an object by name and exact type. Once one does not fit, nothing is read any more.
+/// Reads the fields of a JSON object by name and exact type. After the first mismatch nothing more is read.
 class FieldReader {
 public:
     FieldReader(const nlohmann::json& object, size_t fieldCount)
@@ -39,9 +39,9 @@
         return *this;
     }
     template <typename Tag> FieldReader& read(const char* name, Number<Tag>& value) { return read(name, value.value); }
-    /// The bytes of that name, in the object; empty where they do not fit.
+    /// View of a binary field, valid as long as the object; empty if the field is missing or of another type.
     [[nodiscard]] std::string_view binary(const char* name);
-    /// The array of that name; an empty one where it does not fit.
+    /// An array field; an empty array if the field is missing or of another type.
     [[nodiscard]] const nlohmann::json& array(const char* name);
 
 private:
--- a/src/control/internal/followerprogress.cpp
+++ b/src/control/internal/followerprogress.cpp
@@ -12,11 +12,11 @@
 namespace saltvane::control {
 
 namespace {
-constexpr size_t MaximumInFlight = 16; ///< Messages.
-/// Unacknowledged bytes after which the next message waits. Heartbeats wait behind them, and messages that take longer
-/// than the election timeout (450 ms) count as lost: 256 KiB take 0.28 s over windows of 64 KiB in round trips of 70
-/// ms. A host that had missed forty plans of 23 kB was sent 3.1 MB when only the number of messages was bounded.
-constexpr size_t LargestInFlight = 256 * 1024;
+constexpr size_t MaxInFlightMessages = 16;
+/// Limit of unacknowledged bytes. Heartbeats queue behind them, and messages that take longer than the election timeout
+/// (450 ms) are treated as lost: 256 KiB take 0.28 s with a window of 64 KiB and a round trip of 70 ms. Without
+/// this limit a host that had missed forty plans of 23 kB was sent 3.1 MB at once.
+constexpr size_t MaxInFlightBytes = 256 * 1024;
 } // namespace
 
 FollowerProgress::FollowerProgress(LogIndex lastIndex)
@@ -31,10 +31,10 @@
     size_t bytes = 0;
     for (const Sent& sent : inFlight_)
         bytes += sent.bytes;
-    return inFlight_.size() < MaximumInFlight && bytes < LargestInFlight;
+    return inFlight_.size() < MaxInFlightMessages && bytes < MaxInFlightBytes;
 }
 
-void FollowerProgress::noteAppend(LogIndex last, size_t bytes, Timestamp now)
+void FollowerProgress::recordAppend(LogIndex last, size_t bytes, Timestamp now)
 {
     inFlight_.push_back({.last = last, .bytes = bytes, .at = now});
     if (!isProbing_)
@@ -56,7 +56,7 @@
 void FollowerProgress::reject(LogIndex hint)
 {
     if (hint < match_)
-        return; // Late: more is known to match.
+        return; // An outdated reply: more entries are known to match since.
     next_ = std::clamp(indexAfter(hint), indexAfter(match_), next_);
     probe();
 }
--- a/src/control/internal/followerprogress.h
+++ b/src/control/internal/followerprogress.h
@@ -12,8 +12,8 @@
 
 namespace saltvane::control {
 
-/// What a leader knows of one follower, and how much it may send it: one message at a time until the logs are known to
-/// meet, then a bounded number of bytes ahead.
+/// A leader's replication state and flow control for one follower: one message at a time until a matching entry is
+/// found, then a bounded number of messages and bytes in flight.
 class FollowerProgress {
 public:
     FollowerProgress() = default;
@@ -22,17 +22,17 @@
     [[nodiscard]] LogIndex match() const { return match_; }
     [[nodiscard]] LogIndex next() const { return next_; }
     [[nodiscard]] bool mayAppend() const;
-    void noteAppend(LogIndex last, size_t bytes, Timestamp now);
+    void recordAppend(LogIndex last, size_t bytes, Timestamp now);
     void accept(LogIndex match);
     void reject(LogIndex hint);
-    /// Messages unanswered for `timeout` count as lost.
+    /// Treats messages without an answer for `timeout` as lost.
     void expire(Duration timeout, Timestamp now);
 
     [[nodiscard]] std::optional<SnapshotTransfer>& transfer() { return transfer_; }
     void finishTransfer();
 
-    Timestamp lastSentAt {}; ///< Of any message.
-    LogIndex toldCommit;
+    Timestamp lastSentAt {}; ///< Time of the latest append request.
+    LogIndex sentCommit; ///< Commit index in that request.
 
 private:
     void probe();
--- a/src/control/internal/followerproof.cpp
+++ b/src/control/internal/followerproof.cpp
@@ -10,25 +10,25 @@
 namespace saltvane::control {
 
 namespace {
-constexpr size_t MaximumReplies = 4096;
+constexpr size_t MaxStoredReplies = 4096;
 } // namespace
 
 void FollowerProof::startTerm()
 {
     replies_.clear();
-    waiting_.reset();
+    candidate_.reset();
 }
 
-void FollowerProof::noteReply(uint64_t round, Timestamp now)
+void FollowerProof::recordReply(uint64_t round, Timestamp now)
 {
     if (!replies_.empty() && replies_.back().round >= round)
         return;
     replies_.push_back({.round = round, .sentAt = now});
-    if (replies_.size() > MaximumReplies)
+    if (replies_.size() > MaxStoredReplies)
         replies_.pop_front();
 }
 
-void FollowerProof::noteRequest(const model::AppendRequest& request, LogIndex commit)
+void FollowerProof::recordRequest(const model::AppendRequest& request, LogIndex commit)
 {
     if (request.proofAge == Duration::max())
         return;
@@ -39,16 +39,16 @@
     replies_.erase(replies_.begin(), reply);
     if (commit >= request.commit)
         adopt(provenAt);
-    else if (!waiting_)
-        waiting_ = Candidate {.commit = request.commit, .provenAt = provenAt};
+    else if (!candidate_)
+        candidate_ = Candidate {.commit = request.commit, .provenAt = provenAt};
 }
 
-void FollowerProof::noteCommit(LogIndex commit)
+void FollowerProof::recordCommit(LogIndex commit)
 {
-    if (!waiting_ || commit < waiting_->commit)
+    if (!candidate_ || commit < candidate_->commit)
         return;
-    adopt(waiting_->provenAt);
-    waiting_.reset();
+    adopt(candidate_->provenAt);
+    candidate_.reset();
 }
 
 void FollowerProof::adopt(Timestamp provenAt) { provenAt_ = provenAt_ ? std::max(*provenAt_, provenAt) : provenAt; }
--- a/src/control/internal/followerproof.h
+++ b/src/control/internal/followerproof.h
@@ -14,18 +14,19 @@
 
 namespace saltvane::control {
 
-/// A follower's evidence that its state is current: the leader's quorum proof, dated by the follower's own clock.
-/// The leader says the highest round whose reply it heard before it sent; the follower knows when it gave that reply,
-/// so the leader's proof age counts from then and a message that was long on its way looks as old as it is.
+/// A follower's evidence that its state is current: the leader's quorum proof, dated by the follower's own clock. Each
+/// request contains the highest round to which the leader had received this follower's reply. The follower knows when
+/// it sent that reply and counts the leader's proof age from then, so that a delayed request does not look more recent
+/// than it is.
 class FollowerProof {
 public:
-    /// Rounds count per leader and term.
+    /// Discards the replies of the previous term: rounds are numbered per leader and term.
     void startTerm();
-    void noteReply(uint64_t round, Timestamp now);
-    void noteRequest(const model::AppendRequest& request, LogIndex commit);
-    /// A proof counts only once everything committed as of it is held.
-    void noteCommit(LogIndex commit);
-    /// A leader's own last proof outlives its term.
+    void recordReply(uint64_t round, Timestamp now);
+    void recordRequest(const model::AppendRequest& request, LogIndex commit);
+    /// A proof becomes valid once this replica has everything that was committed when it was made.
+    void recordCommit(LogIndex commit);
+    /// Takes over a leader's own proof, which stays valid after its term.
     void adopt(Timestamp provenAt);
 
     [[nodiscard]] std::optional<Timestamp> provenAt() const { return provenAt_; }
@@ -35,12 +36,13 @@
         uint64_t round = 0;
         Timestamp sentAt;
     };
+    /// A proof whose commit index this replica has not reached yet.
     struct Candidate {
         LogIndex commit;
         Timestamp provenAt;
     };
     std::deque<Reply> replies_;
-    std::optional<Candidate> waiting_;
+    std::optional<Candidate> candidate_;
     std::optional<Timestamp> provenAt_;
 };
 
--- a/src/control/internal/istatemachine.h
+++ b/src/control/internal/istatemachine.h
@@ -15,19 +15,20 @@
 
 namespace saltvane::control {
 
-/// What the log's entries act on. Deterministic: the same entries give the same state and the same snapshot bytes.
+/// State to which the entries of the log are applied. Must be deterministic: the same entries give the same state and
+/// the same snapshot bytes.
 class IStateMachine {
 public:
     virtual ~IStateMachine() = default;
 
-    /// Entries come in order, each once.
+    /// Called once for each entry, in log order.
     virtual void apply(const model::LogEntry& entry) = 0;
     [[nodiscard]] virtual std::string encodeSnapshot() const = 0;
-    /// The configuration a snapshot holds; no value when the bytes are no snapshot.
+    /// The configuration in a snapshot; no value if the bytes are not a valid snapshot.
     [[nodiscard]] virtual std::optional<Configuration> configurationIn(std::string_view snapshot) const = 0;
-    /// Replaces the state by a snapshot that configurationIn has accepted.
+    /// Replaces the state by a snapshot for which configurationIn returned a value.
     virtual void install(std::string_view snapshot) = 0;
-    /// The replicas an entry sets; no value for every other entry.
+    /// The replicas that a configuration change sets; no value for any other entry.
     [[nodiscard]] virtual std::optional<std::vector<ReplicaInfo>> replicasIn(const model::LogEntry& entry) const = 0;
 };
 
--- a/src/control/internal/joining.cpp
+++ b/src/control/internal/joining.cpp
@@ -13,8 +13,8 @@
 namespace saltvane::control {
 
 namespace {
-constexpr Duration AskPeriod = 200ms;
-constexpr Duration AnswerMemory = 2s;
+constexpr Duration JoinRequestInterval = 200ms;
+constexpr Duration JoinAnswerTimeout = 2s;
 } // namespace
 
 Joining::Joining(const ControlReplicaOptions& options, Consensus& consensus)
@@ -32,17 +32,17 @@
 void Joining::tick(Timestamp now)
 {
     const ReplicaContext& context = consensus_.context();
-    // A leader that let it in may be lost before that is committed.
-    const bool isLetIn = context.configurations.asOf(context.commit).find(context.self);
-    if (isLetIn || (hasAsked_ && now < nextAskAt_))
+    // Until then the leader that added this replica may fail and the change be lost.
+    const bool isCommittedMember = context.configurations.asOf(context.commit).find(context.self);
+    if (isCommittedMember || (hasRequested_ && now < nextRequestAt_))
         return;
-    hasAsked_ = true;
-    nextAskAt_ = now + AskPeriod;
+    hasRequested_ = true;
+    nextRequestAt_ = now + JoinRequestInterval;
     startDeployment(now);
-    askAll();
+    sendJoinRequests();
 }
 
-void Joining::askAll()
+void Joining::sendJoinRequests()
 {
     std::set<HostId> hosts(options_.bootstrapHosts.begin(), options_.bootstrapHosts.end());
     for (const ReplicaInfo& info : consensus_.context().configurations.latest().replicas)
@@ -50,10 +50,10 @@
     hosts.insert(otherHosts_.begin(), otherHosts_.end());
     hosts.erase(options_.self);
     for (const HostId& host : hosts)
-        ask(host, {});
+        sendJoinRequest(host, {});
 }
 
-void Joining::ask(const HostId& host, const model::ReplicaId& inviter)
+void Joining::sendJoinRequest(const HostId& host, const model::ReplicaId& inviter)
 {
     consensus_.send(host,
         model::JoinRequest {.replica = consensus_.context().self,
@@ -68,7 +68,7 @@
         return;
     const bool isInvitation = request.inviter.isEmpty() && from == coordinator();
     if (isInvitation && from != options_.self)
-        return ask(from, request.replica);
+        return sendJoinRequest(from, request.replica);
     if (coordinator() != options_.self || request.inviter != consensus_.context().self)
         return;
     answers_[from] = {.replica = request.replica, .at = now};
@@ -87,7 +87,7 @@
             continue;
         }
         const auto answer = answers_.find(host);
-        if (answer == answers_.end() || now - answer->second.at > AnswerMemory)
+        if (answer == answers_.end() || now - answer->second.at > JoinAnswerTimeout)
             return;
         first.replicas.push_back({.replica = answer->second.replica, .host = host});
     }
--- a/src/control/internal/joining.h
+++ b/src/control/internal/joining.h
@@ -12,16 +12,16 @@
 
 namespace saltvane::control {
 
-/// A replica that is in no configuration it knows as committed. It asks to be let in; and when every control host of
-/// the settings has a new disk, the one with the lowest id gathers them and writes the first configuration. One disk
-/// that holds anything stops that: an empty deployment starts once only.
+/// Joining of a replica that is in no configuration it knows to be committed: it sends join requests. If every control
+/// host of the settings has a new disk, the one with the lowest id collects their replica ids and writes the initial
+/// configuration. A single disk with data prevents this, so that a deployment is bootstrapped only once.
 class Joining {
 public:
     Joining(const ControlReplicaOptions& options, Consensus& consensus);
 
     void handle(const HostId& from, const model::JoinRequest& request, Timestamp now);
     void tick(Timestamp now);
-    /// Other control hosts to ask, beside those of the settings.
+    /// Control hosts to send join requests to, in addition to those of the settings.
     void setHosts(std::vector<HostId> hosts) { otherHosts_ = std::move(hosts); }
 
 private:
@@ -30,15 +30,15 @@
         Timestamp at;
     };
 
-    void askAll();
-    void ask(const HostId& host, const model::ReplicaId& inviter);
+    void sendJoinRequests();
+    void sendJoinRequest(const HostId& host, const model::ReplicaId& inviter);
     void startDeployment(Timestamp now);
     [[nodiscard]] HostId coordinator() const;
 
     const ControlReplicaOptions& options_;
     Consensus& consensus_;
-    Timestamp nextAskAt_ {};
-    bool hasAsked_ = false;
+    Timestamp nextRequestAt_ {};
+    bool hasRequested_ = false;
     std::map<HostId, Answer> answers_;
     std::vector<HostId> otherHosts_;
 };
--- a/src/control/internal/operatorrequests.cpp
+++ b/src/control/internal/operatorrequests.cpp
@@ -17,9 +17,9 @@
 
 namespace {
 
-/// A bundle must fit into one frame between hosts, which holds 4 MiB.
-constexpr size_t LargestContent = 3 * 1024 * 1024 + 512 * 1024;
-constexpr size_t MaximumWaiting = 256;
+/// A bundle must fit into one frame between hosts, which is limited to 4 MiB.
+constexpr size_t MaxContentBytes = 3 * 1024 * 1024 + 512 * 1024;
+constexpr size_t MaxQueuedRequests = 256;
 constexpr Duration AnswerTimeout = 5s;
 
 ControlError errorOf(ControlErrorKind kind, std::string message)
@@ -27,9 +27,10 @@
     return {.kind = kind, .message = std::move(message), .leader = {}, .findings = {}};
 }
 
-ControlError unknownAnswer()
+ControlError unknownOutcome()
 {
-    return errorOf(ControlErrorKind::NotCurrent, "the quorum was lost before the answer: send the same request again");
+    return errorOf(
+        ControlErrorKind::NotCurrent, "the quorum was lost before the outcome was known; send the same request again");
 }
 
 template <typename Kind>
@@ -58,8 +59,8 @@
 SubmissionId OperatorRequests::submit(Command command, Timestamp now)
 {
     const SubmissionId submission {++lastSubmission_};
-    if (waiting_.size() >= MaximumWaiting)
-        answer(submission, errorOf(ControlErrorKind::Busy, "too many requests wait"));
+    if (waiting_.size() >= MaxQueuedRequests)
+        answer(submission, errorOf(ControlErrorKind::Busy, "too many pending requests"));
     else if (isApprovalPending() || !waiting_.empty())
         waiting_.push_back({.submission = submission, .command = std::move(command)});
     else
@@ -71,17 +72,17 @@
 {
     const ReplicaContext& context = consensus_.context();
     if (context.storage.isFailing())
-        return errorOf(ControlErrorKind::StorageFull, "the disk of this control host takes no writes");
+        return errorOf(ControlErrorKind::StorageFull, "the disk of this control host does not accept writes");
     const bool isCurrent = consensus_.isCurrent(now);
     if (consensus_.isLeader() && isCurrent)
         return std::nullopt;
     if (isCurrent && !consensus_.isLeader() && !context.leaderHost.isEmpty()) {
-        ControlError error = errorOf(ControlErrorKind::NotLeader, "another control host leads");
+        ControlError error = errorOf(ControlErrorKind::NotLeader, "another control host is the leader");
         error.leader = context.leaderHost;
         return error;
     }
     context.count(model::Counter::NotCurrentAnswers);
-    return errorOf(ControlErrorKind::NotCurrent, "no proof from a quorum: this control host may be cut off");
+    return errorOf(ControlErrorKind::NotCurrent, "no recent proof from a quorum; this control host may be cut off");
 }
 
 void OperatorRequests::process(Waiting waiting, Timestamp now)
@@ -96,8 +97,8 @@
             } else {
                 if (std::optional<BundleOutcome> known = knownAnswer(state_, command))
                     return answer(waiting.submission, *std::move(known));
-                if (std::optional<ControlError> fault = faultOf(command))
-                    return answer(waiting.submission, *std::move(fault));
+                if (std::optional<ControlError> invalid = findError(command))
+                    return answer(waiting.submission, *std::move(invalid));
                 const LogPosition position = consensus_.propose(encodeCommand(command));
                 pending_[position.index] = {.submission = waiting.submission,
                     .term = position.term,
@@ -108,12 +109,12 @@
         waiting.command);
 }
 
-std::optional<ControlError> OperatorRequests::faultOf(const ProposeBundle& command)
+std::optional<ControlError> OperatorRequests::findError(const ProposeBundle& command)
 {
-    if (command.content.size() > LargestContent)
+    if (command.content.size() > MaxContentBytes)
         return errorOf(ControlErrorKind::Invalid, "the bundle is larger than 3.5 MiB");
-    if (std::optional<ControlError> fault = signatureFault(command.author, proposalText(command), command.signature))
-        return fault;
+    if (std::optional<ControlError> invalid = signatureError(command.author, proposalText(command), command.signature))
+        return invalid;
     const Result<model::Bundle, Findings> bundle = options_.parseBundle(command.content);
     if (!bundle) {
         ControlError error = errorOf(ControlErrorKind::Invalid, "the bundle has findings");
@@ -122,27 +123,27 @@
     }
     if (bundle.value().version != command.version)
         return errorOf(ControlErrorKind::Invalid,
-            "the bundle states version " + std::to_string(bundle.value().version.value) + ", the request "
+            "the version of the bundle is " + std::to_string(bundle.value().version.value) + ", that of the request "
                 + std::to_string(command.version.value));
     return std::nullopt;
 }
 
-std::optional<ControlError> OperatorRequests::faultOf(const ApproveBundle& command)
+std::optional<ControlError> OperatorRequests::findError(const ApproveBundle& command)
 {
-    return signatureFault(command.approver, approvalText(command), command.signature);
+    return signatureError(command.approver, approvalText(command), command.signature);
 }
 
-std::optional<ControlError> OperatorRequests::faultOf(const RevertBundle& command)
+std::optional<ControlError> OperatorRequests::findError(const RevertBundle& command)
 {
-    return signatureFault(command.author, revertText(command), command.signature);
+    return signatureError(command.author, revertText(command), command.signature);
 }
 
-std::optional<ControlError> OperatorRequests::faultOf(const ReplacePlan& command)
+std::optional<ControlError> OperatorRequests::findError(const ReplacePlan& command)
 {
-    if (command.content.size() > LargestContent)
+    if (command.content.size() > MaxContentBytes)
         return errorOf(ControlErrorKind::Invalid, "the plan is larger than 3.5 MiB");
     if (!options_.checkPlan)
-        return errorOf(ControlErrorKind::Invalid, "this deployment takes signed bundles, not plans");
+        return errorOf(ControlErrorKind::Invalid, "this deployment accepts signed bundles, not plans");
     const Result<BundleVersion, Findings> version = options_.checkPlan(command.content);
     if (!version) {
         ControlError error = errorOf(ControlErrorKind::Invalid, "the plan has findings");
@@ -150,18 +151,19 @@
         return error;
     }
     if (version.value() != command.version)
-        return errorOf(ControlErrorKind::Invalid, "the plan states another version than the request");
+        return errorOf(ControlErrorKind::Invalid, "the version of the plan differs from that of the request");
     return std::nullopt;
 }
 
-std::optional<ControlError> OperatorRequests::signatureFault(
+std::optional<ControlError> OperatorRequests::signatureError(
     const OperatorName& signer, std::string_view text, std::string_view signature)
 {
     const model::Operator* known = findOperator(operators(), signer);
     if (!known)
-        return errorOf(ControlErrorKind::UnknownOperator, signer.value() + " is no operator of the bundle in force");
+        return errorOf(
+            ControlErrorKind::UnknownOperator, signer.value() + " is not an operator of the bundle in force");
     if (!isSignatureOf(text, signature, known->publicKey))
-        return errorOf(ControlErrorKind::BadSignature, "the signature is not by " + signer.value());
+        return errorOf(ControlErrorKind::BadSignature, "the signature does not match the key of " + signer.value());
     return std::nullopt;
 }
 
@@ -183,7 +185,7 @@
     return std::ranges::any_of(pending_, [](const auto& item) { return item.second.isApproval; });
 }
 
-void OperatorRequests::noteApplied(const AppliedEntry& applied)
+void OperatorRequests::onApplied(const AppliedEntry& applied)
 {
     const auto found = pending_.find(applied.position.index);
     if (found == pending_.end())
@@ -194,7 +196,7 @@
     if (outcome && pending.term == applied.position.term)
         answer(pending.submission, *outcome);
     else
-        answer(pending.submission, unknownAnswer());
+        answer(pending.submission, unknownOutcome());
 }
 
 void OperatorRequests::advance(Timestamp now)
@@ -215,7 +217,7 @@
 void OperatorRequests::abandonAll()
 {
     for (const auto& [index, pending] : std::exchange(pending_, {}))
-        answer(pending.submission, unknownAnswer());
+        answer(pending.submission, unknownOutcome());
 }
 
 void OperatorRequests::answer(SubmissionId submission, BundleOutcome outcome)
--- a/src/control/internal/operatorrequests.h
+++ b/src/control/internal/operatorrequests.h
@@ -16,15 +16,16 @@
 
 namespace saltvane::control {
 
-/// Operators' requests at this replica: checked against the bundle and the signatures, put into the log by a current
-/// leader, answered once applied. A request that waits behind an approval sees the operators that it brings.
+/// Operators' requests at this replica. A current leader validates their content and signatures, appends them to the
+/// log and answers them once applied. Requests after an approval wait for its outcome, because it may change the
+/// operators.
 class OperatorRequests {
 public:
     OperatorRequests(const ControlReplicaOptions& options, Consensus& consensus, const ControlState& state);
 
     [[nodiscard]] SubmissionId submit(Command command, Timestamp now);
-    void noteApplied(const AppliedEntry& applied);
-    /// Answers what can not be answered from the log any more, and goes on with what waits.
+    void onApplied(const AppliedEntry& applied);
+    /// Answers requests whose outcome can no longer be determined, and processes the queue.
     void advance(Timestamp now);
     [[nodiscard]] std::vector<SubmissionAnswer> takeAnswers();
 
@@ -45,13 +46,13 @@
     void abandonAll();
     [[nodiscard]] bool isApprovalPending() const;
     [[nodiscard]] std::optional<ControlError> refusal(Timestamp now) const;
-    [[nodiscard]] std::optional<ControlError> faultOf(const ProposeBundle& command);
-    [[nodiscard]] std::optional<ControlError> faultOf(const ApproveBundle& command);
-    [[nodiscard]] std::optional<ControlError> faultOf(const RevertBundle& command);
-    [[nodiscard]] std::optional<ControlError> faultOf(const ReplacePlan& command);
-    [[nodiscard]] static std::optional<ControlError> faultOf(const SetEvacuation& /*command*/) { return {}; }
-    [[nodiscard]] static std::optional<ControlError> faultOf(const RetireTarget& /*command*/) { return {}; }
-    [[nodiscard]] std::optional<ControlError> signatureFault(
+    [[nodiscard]] std::optional<ControlError> findError(const ProposeBundle& command);
+    [[nodiscard]] std::optional<ControlError> findError(const ApproveBundle& command);
+    [[nodiscard]] std::optional<ControlError> findError(const RevertBundle& command);
+    [[nodiscard]] std::optional<ControlError> findError(const ReplacePlan& command);
+    [[nodiscard]] static std::optional<ControlError> findError(const SetEvacuation& /*command*/) { return {}; }
+    [[nodiscard]] static std::optional<ControlError> findError(const RetireTarget& /*command*/) { return {}; }
+    [[nodiscard]] std::optional<ControlError> signatureError(
         const OperatorName& signer, std::string_view text, std::string_view signature);
     [[nodiscard]] const std::vector<model::Operator>& operators();
 
@@ -62,7 +63,7 @@
     std::deque<Waiting> waiting_;
     std::map<LogIndex, Pending> pending_;
     std::vector<SubmissionAnswer> answers_;
-    std::vector<model::Operator> operators_; ///< Of the bundle in force at operatorsPosition_.
+    std::vector<model::Operator> operators_; ///< Operators of the bundle approved at operatorsPosition_.
     LogPosition operatorsPosition_;
 };
 
--- a/src/control/internal/quorumproof.cpp
+++ b/src/control/internal/quorumproof.cpp
@@ -40,7 +40,7 @@
     return found == acknowledged_.end() ? 0 : found->second.round;
 }
 
-std::optional<Timestamp> QuorumProof::lastHeard(const model::ReplicaId& replica) const
+std::optional<Timestamp> QuorumProof::lastContactAt(const model::ReplicaId& replica) const
 {
     const auto found = acknowledged_.find(replica);
     if (found == acknowledged_.end())
@@ -55,7 +55,7 @@
     for (const ReplicaInfo& info : configuration.replicas) {
         if (!info.isVoter)
             continue;
-        const std::optional<Timestamp> time = info.replica == self ? now : lastHeard(info.replica);
+        const std::optional<Timestamp> time = info.replica == self ? now : lastContactAt(info.replica);
         if (time)
             times.push_back(*time);
     }
--- a/src/control/internal/quorumproof.h
+++ b/src/control/internal/quorumproof.h
@@ -16,20 +16,20 @@
 
 namespace saltvane::control {
 
-/// A leader's evidence that a quorum still follows it: for each voter the time the leader SENT the latest round that
-/// the voter acknowledged.
+/// A leader's evidence that a quorum still follows it: for each voter, the time at which the leader sent (not received
+/// the reply to) the latest round that the voter acknowledged.
 class QuorumProof {
 public:
-    /// At the start of a leader's term: nothing is proven yet.
+    /// Discards all evidence; called at the start of a leader's term.
     void reset();
     [[nodiscard]] uint64_t startRound(Timestamp now);
     void acknowledge(const model::ReplicaId& replica, uint64_t round);
     [[nodiscard]] uint64_t heardRound(const model::ReplicaId& replica) const;
-    [[nodiscard]] std::optional<Timestamp> lastHeard(const model::ReplicaId& replica) const;
-    /// The latest time at which a quorum, `self` among it, provably still followed.
+    [[nodiscard]] std::optional<Timestamp> lastContactAt(const model::ReplicaId& replica) const;
+    /// The latest time at which a quorum that includes `self` provably still followed this leader.
     [[nodiscard]] std::optional<Timestamp> provenAt(
         const Configuration& configuration, const model::ReplicaId& self, Timestamp now) const;
-    /// Forgets rounds sent before `time`.
+    /// Discards rounds sent before `time`; acknowledgements of them are ignored.
     void forgetBefore(Timestamp time);
 
 private:
--- a/src/control/internal/replicachanges.cpp
+++ b/src/control/internal/replicachanges.cpp
@@ -13,16 +13,16 @@
 namespace saltvane::control {
 
 namespace {
-/// A joiner asks several times a second; one that fell silent is not added.
-constexpr Duration JoinerMemory = 2s;
-/// With another host waiting to take its place: longer than a restart of the process takes.
-constexpr Duration ReplaceAfter = 3s;
-/// Without one: longer than outages that the host comes back from with its disk.
-constexpr Duration RemoveAfter = 20s;
-/// In a planned replacement the new host joins so long before the old one stops, at most.
-constexpr Duration PlannedReplacement = 10s;
-/// A group is never made smaller than what survives the loss of one.
-constexpr size_t LeastReplicas = 3;
+/// A joining host sends several requests a second; it is not added once they stop for this time.
+constexpr Duration JoinRequestTimeout = 2s;
+/// Until an unresponsive replica is removed while another host waits to join: longer than a restart of its process.
+constexpr Duration ReplacementDelay = 3s;
+/// Until it is removed otherwise: longer than outages after which the host returns with its disk.
+constexpr Duration RemovalDelay = 20s;
+/// Maximum time from the join of a new host to the stop of the old one in a planned replacement.
+constexpr Duration PlannedReplacementTimeout = 10s;
+/// Smallest group that tolerates the loss of one replica; removals never go below it.
+constexpr size_t MinReplicas = 3;
 } // namespace
 
 ReplicaChanges::ReplicaChanges(const ControlReplicaOptions& options, Consensus& consensus)
@@ -37,13 +37,13 @@
         || std::ranges::find(options_.bootstrapHosts, from) != options_.bootstrapHosts.end();
     if (!consensus_.isLeader() || !isControlHost || request.host != from || from == options_.self)
         return;
-    joiners_[from] = {.replica = request.replica, .askedAt = now};
+    joiners_[from] = {.replica = request.replica, .requestedAt = now};
 }
 
 void ReplicaChanges::tick(Timestamp now)
 {
-    std::erase_if(joiners_, [&](const auto& item) { return now - item.second.askedAt > JoinerMemory; });
-    noteSilence(now);
+    std::erase_if(joiners_, [&](const auto& item) { return now - item.second.requestedAt > JoinRequestTimeout; });
+    recordUnresponsive(now);
     const Configuration& latest = consensus_.context().configurations.latest();
     const bool isChanging = latest.index > consensus_.context().commit;
     if (!consensus_.isEstablished() || isChanging)
@@ -59,43 +59,43 @@
         return promotion;
     if (std::optional<std::vector<ReplicaInfo>> join = nextJoin(configuration, now))
         return join;
-    return withoutSilent(configuration, false, now);
+    return withoutUnresponsive(configuration, false, now);
 }
 
-void ReplicaChanges::noteSilence(Timestamp now)
+void ReplicaChanges::recordUnresponsive(Timestamp now)
 {
     if (!options_.isMembershipOpen || !consensus_.isEstablished())
-        return silentSince_.clear();
+        return unresponsiveSince_.clear();
     for (const ReplicaInfo& info : consensus_.context().configurations.latest().replicas) {
-        const bool isHeard = info.host == options_.self
-            || consensus_.replicator().wasHeardWithin(info.replica, options_.electionTimeout);
-        if (isHeard)
-            silentSince_.erase(info.replica);
+        const bool hasContact = info.host == options_.self
+            || consensus_.replicator().hadContactWithin(info.replica, options_.electionTimeout);
+        if (hasContact)
+            unresponsiveSince_.erase(info.replica);
         else
-            silentSince_.emplace(info.replica, now);
+            unresponsiveSince_.emplace(info.replica, now);
     }
 }
 
-Duration ReplicaChanges::patience(Timestamp silentSince, bool hasJoiner) const
+Duration ReplicaChanges::removalDelay(Timestamp unresponsiveSince, bool hasJoiner) const
 {
-    const bool isReplaced = joinedAt_ && *joinedAt_ >= silentSince - PlannedReplacement;
-    return hasJoiner || isReplaced ? ReplaceAfter : RemoveAfter;
+    const bool isReplaced = joinedAt_ && *joinedAt_ >= unresponsiveSince - PlannedReplacementTimeout;
+    return hasJoiner || isReplaced ? ReplacementDelay : RemovalDelay;
 }
 
-std::optional<std::vector<ReplicaInfo>> ReplicaChanges::withoutSilent(
+std::optional<std::vector<ReplicaInfo>> ReplicaChanges::withoutUnresponsive(
     const Configuration& configuration, bool hasJoiner, Timestamp now)
 {
     const ReplicaInfo* longest = nullptr;
     Timestamp since = now;
     for (const ReplicaInfo& info : configuration.replicas) {
-        const auto silent = silentSince_.find(info.replica);
-        if (silent == silentSince_.end() || now - silent->second < patience(silent->second, hasJoiner)
-            || silent->second > since)
+        const auto found = unresponsiveSince_.find(info.replica);
+        if (found == unresponsiveSince_.end() || now - found->second < removalDelay(found->second, hasJoiner)
+            || found->second > since)
             continue;
-        since = silent->second;
+        since = found->second;
         longest = &info;
     }
-    if (longest == nullptr || configuration.replicas.size() <= LeastReplicas)
+    if (longest == nullptr || configuration.replicas.size() <= MinReplicas)
         return std::nullopt;
     if (!hasJoiner)
         joinedAt_.reset();
@@ -108,10 +108,10 @@
 {
     std::vector<ReplicaInfo> replicas = configuration.replicas;
     for (ReplicaInfo& info : replicas) {
-        // The entry that added the learner comes after everything committed when it came back.
+        // The entry that added the learner follows everything that was committed when it joined.
         const bool isCaughtUp = consensus_.replicator().matchOf(info.replica) >= configuration.index;
         if (info.isVoter || !isCaughtUp
-            || !consensus_.replicator().wasHeardWithin(info.replica, options_.electionTimeout))
+            || !consensus_.replicator().hadContactWithin(info.replica, options_.electionTimeout))
             continue;
         info.isVoter = true;
         return replicas;
@@ -126,7 +126,7 @@
         if (configuration.find(joiner.replica))
             continue;
         if (!configuration.findHost(host)) {
-            if (std::optional<std::vector<ReplicaInfo>> freed = withoutSilent(configuration, true, now))
+            if (std::optional<std::vector<ReplicaInfo>> freed = withoutUnresponsive(configuration, true, now))
                 return freed;
         }
         std::vector<ReplicaInfo> replicas = configuration.replicas;
--- a/src/control/internal/replicachanges.h
+++ b/src/control/internal/replicachanges.h
@@ -14,9 +14,10 @@
 
 namespace saltvane::control {
 
-/// A leader's changes of the replicas, one at a time: the replica of a disk that is gone leaves, the new one of the
-/// same host joins as a learner, and votes once it holds everything committed when it joined. With an open membership
-/// replicas that stay silent leave too: at once when another host asks to join, else after a long time.
+/// A leader's configuration changes, one replica at a time. If a host joins with a new disk, the replica of its lost
+/// disk is removed and the new one added as a learner, which becomes a voter once it has everything that was committed
+/// when it joined. With open membership unresponsive replicas are removed too: soon if another host requests to join,
+/// otherwise after a longer time.
 class ReplicaChanges {
 public:
     ReplicaChanges(const ControlReplicaOptions& options, Consensus& consensus);
@@ -27,14 +28,15 @@
 private:
     struct Joiner {
         model::ReplicaId replica;
-        Timestamp askedAt;
+        Timestamp requestedAt;
     };
 
-    void noteSilence(Timestamp now);
-    /// The replicas without the one that was silent longest, and long enough. `hasJoiner`: another host waits.
-    [[nodiscard]] std::optional<std::vector<ReplicaInfo>> withoutSilent(
+    void recordUnresponsive(Timestamp now);
+    /// The replicas without the one that has been unresponsive longest, if beyond its removal delay. `hasJoiner`:
+    /// another host waits to join.
+    [[nodiscard]] std::optional<std::vector<ReplicaInfo>> withoutUnresponsive(
         const Configuration& configuration, bool hasJoiner, Timestamp now);
-    [[nodiscard]] Duration patience(Timestamp silentSince, bool hasJoiner) const;
+    [[nodiscard]] Duration removalDelay(Timestamp unresponsiveSince, bool hasJoiner) const;
     [[nodiscard]] std::optional<std::vector<ReplicaInfo>> nextChange(Timestamp now);
     [[nodiscard]] std::optional<std::vector<ReplicaInfo>> nextJoin(const Configuration& configuration, Timestamp now);
     [[nodiscard]] std::optional<std::vector<ReplicaInfo>> nextPromotion(const Configuration& configuration) const;
@@ -42,8 +44,8 @@
     const ControlReplicaOptions& options_;
     Consensus& consensus_;
     std::map<HostId, Joiner> joiners_;
-    std::map<model::ReplicaId, Timestamp> silentSince_; ///< As this leader sees it.
-    std::optional<Timestamp> joinedAt_; ///< A host new to the group; nobody has left for it yet.
+    std::map<model::ReplicaId, Timestamp> unresponsiveSince_; ///< As observed by this leader.
+    std::optional<Timestamp> joinedAt_; ///< When a new host joined for which no replica has been removed yet.
 };
 
 } // namespace saltvane::control
--- a/src/control/internal/replicacodec.h
+++ b/src/control/internal/replicacodec.h
@@ -15,7 +15,7 @@
 namespace saltvane::control {
 
 [[nodiscard]] nlohmann::json replicasToJson(const std::vector<ReplicaInfo>& replicas);
-/// No value when a field is missing or of another type, or a replica stands twice.
+/// No value if a field is missing or of another type, or a replica is listed twice.
 [[nodiscard]] std::optional<std::vector<ReplicaInfo>> replicasFromJson(const nlohmann::json& array);
 
 } // namespace saltvane::control
--- a/src/control/internal/replicacontext.cpp
+++ b/src/control/internal/replicacontext.cpp
@@ -62,16 +62,16 @@
 {
     if (sequence <= storage.completed())
         return send(to, std::move(message));
-    held_.push_back({.sequence = sequence, .outgoing = {.to = to, .message = std::move(message)}});
+    delayed_.push_back({.sequence = sequence, .outgoing = {.to = to, .message = std::move(message)}});
 }
 
 void ReplicaContext::releaseDurable()
 {
-    for (Held& held : held_) {
-        if (held.sequence <= storage.completed())
-            outgoing.push_back(std::move(held.outgoing));
+    for (DelayedMessage& delayed : delayed_) {
+        if (delayed.sequence <= storage.completed())
+            outgoing.push_back(std::move(delayed.outgoing));
     }
-    std::erase_if(held_, [this](const Held& held) { return held.sequence <= storage.completed(); });
+    std::erase_if(delayed_, [this](const DelayedMessage& delayed) { return delayed.sequence <= storage.completed(); });
 }
 
 void ReplicaContext::follow(LogTerm term)
--- a/src/control/internal/replicacontext.h
+++ b/src/control/internal/replicacontext.h
@@ -21,7 +21,7 @@
 
 enum class Role { Follower, PreCandidate, Candidate, Leader };
 
-/// A durable snapshot, ready to be sent.
+/// A snapshot with its position in the log.
 struct Snapshot {
     LogIndex index;
     LogTerm term;
@@ -31,17 +31,18 @@
 
 [[nodiscard]] uint64_t checksumOf(std::string_view bytes);
 
-/// What the parts of one replica's consensus share.
+/// State shared by the components of one replica's consensus.
 class ReplicaContext {
 public:
     ReplicaContext(const ControlReplicaOptions& replicaOptions, IStateMachine& stateMachine);
 
     void send(const HostId& to, model::Message message);
-    /// Sent once the write with this sequence is on the disk.
+    /// Delays the message until the write with this sequence is durable.
     void sendWhenDurable(uint64_t sequence, const HostId& to, model::Message message);
+    /// Sends the delayed messages whose writes are durable.
     void releaseDurable();
 
-    /// Turns follower of a newer term, or of the same one; nobody is known to lead it yet.
+    /// Becomes a follower in the current or a newer term, with the leader unknown.
     void follow(LogTerm term);
     uint64_t setHardState(const HardState& state);
     void append(model::LogEntry entry);
@@ -65,11 +66,11 @@
     std::vector<model::Outgoing> outgoing;
 
 private:
-    struct Held {
+    struct DelayedMessage {
         uint64_t sequence = 0;
         model::Outgoing outgoing;
     };
-    std::vector<Held> held_;
+    std::vector<DelayedMessage> delayed_;
 };
 
 } // namespace saltvane::control
--- a/src/control/internal/replicatedlog.cpp
+++ b/src/control/internal/replicatedlog.cpp
@@ -34,14 +34,14 @@
     return entries_.at(index.value - baseIndex_.value - 1);
 }
 
-std::vector<model::LogEntry> ReplicatedLog::slice(LogIndex from, size_t maximumBytes) const
+std::vector<model::LogEntry> ReplicatedLog::slice(LogIndex from, size_t maxBytes) const
 {
     std::vector<model::LogEntry> entries;
     size_t bytes = 0;
     for (LogIndex index = from; index <= lastIndex(); index = indexAfter(index)) {
         const model::LogEntry& entry = at(index);
         bytes += entry.payload.size();
-        if (!entries.empty() && bytes > maximumBytes)
+        if (!entries.empty() && bytes > maxBytes)
             break;
         entries.push_back(entry);
     }
--- a/src/control/internal/replicatedlog.h
+++ b/src/control/internal/replicatedlog.h
@@ -14,7 +14,7 @@
 
 namespace saltvane::control {
 
-/// The log's entries in memory, above a base that a snapshot covers. An index of 0 is before the first entry.
+/// The log entries in memory, which start after a base covered by a snapshot. Index 0 is before the first entry.
 class ReplicatedLog {
 public:
     ReplicatedLog(LogIndex baseIndex, LogTerm baseTerm);
@@ -26,16 +26,16 @@
     /// No value below the base or above the end.
     [[nodiscard]] std::optional<LogTerm> termAt(LogIndex index) const;
     [[nodiscard]] const model::LogEntry& at(LogIndex index) const;
-    /// From `from` on, up to `maximumBytes` of payload but at least one entry where there is any.
-    [[nodiscard]] std::vector<model::LogEntry> slice(LogIndex from, size_t maximumBytes) const;
-    /// Index before the first entry of the term that `index` has: where a leader tries next after a mismatch.
+    /// Entries from `from` on with up to `maxBytes` of payload, but at least one entry if there is any.
+    [[nodiscard]] std::vector<model::LogEntry> slice(LogIndex from, size_t maxBytes) const;
+    /// Index before the first entry of the term of `index`: where a leader continues the search after a mismatch.
     [[nodiscard]] LogIndex beforeTermOf(LogIndex index) const;
 
     void append(model::LogEntry entry);
     void truncateFrom(LogIndex index);
-    /// Drops entries up to `index`, but keeps up to `keepEntries` and `keepBytes` of them for slow followers.
+    /// Removes entries up to `index`, but retains up to `keepEntries` and `keepBytes` of them for slow followers.
     void compactTo(LogIndex index, size_t keepEntries, size_t keepBytes);
-    /// Forgets everything: the snapshot at `index` stands for it.
+    /// Removes all entries; a snapshot at `index` replaces them.
     void reset(LogIndex index, LogTerm term);
 
 private:
--- a/src/control/internal/replicator.cpp
+++ b/src/control/internal/replicator.cpp
@@ -14,9 +14,9 @@
 namespace saltvane::control {
 
 namespace {
-constexpr size_t LargestBatch = 64 * 1024; ///< Bytes of entries in one message, unless one entry is larger.
-/// Rounds are dated for this many election timeouts.
-constexpr int RoundMemory = 4;
+constexpr size_t MaxBatchBytes = 64 * 1024; ///< Of entries in one message, unless a single entry is larger.
+/// The send times of rounds are retained for this many election timeouts.
+constexpr int RoundHistoryTimeouts = 4;
 } // namespace
 
 Replicator::Replicator(ReplicaContext& context)
@@ -75,7 +75,7 @@
 void Replicator::send()
 {
     followConfiguration();
-    quorumProof_.forgetBefore(context_.now - RoundMemory * context_.options.electionTimeout);
+    quorumProof_.forgetBefore(context_.now - RoundHistoryTimeouts * context_.options.electionTimeout);
     for (const ReplicaInfo& info : context_.configurations.latest().replicas) {
         if (info.replica != context_.self)
             sendTo(info, progress_.at(info.replica));
@@ -88,7 +88,7 @@
     progress.expire(context_.options.electionTimeout, context_.now);
     const bool needsSnapshot = !context_.log.termAt(indexBefore(progress.next()));
     if (needsSnapshot && !progress.transfer() && context_.snapshot)
-        progress.transfer().emplace(context_.snapshot, context_.options.snapshotChunk);
+        progress.transfer().emplace(context_.snapshot, context_.options.snapshotChunkBytes);
     if (progress.transfer()) {
         sendSnapshot(info, progress);
         if (isHeartbeatDue)
@@ -97,16 +97,16 @@
     }
     bool hasSent = false;
     while (progress.mayAppend() && progress.next() <= context_.log.lastIndex()) {
-        std::vector<model::LogEntry> entries = context_.log.slice(progress.next(), LargestBatch);
+        std::vector<model::LogEntry> entries = context_.log.slice(progress.next(), MaxBatchBytes);
         const LogIndex last = entries.back().index;
         size_t bytes = 0;
         for (const model::LogEntry& entry : entries)
             bytes += entry.payload.size();
         sendAppend(info, progress, indexBefore(progress.next()), std::move(entries));
-        progress.noteAppend(last, bytes, context_.now);
+        progress.recordAppend(last, bytes, context_.now);
         hasSent = true;
     }
-    if (!hasSent && (isHeartbeatDue || progress.toldCommit < context_.commit))
+    if (!hasSent && (isHeartbeatDue || progress.sentCommit < context_.commit))
         sendAppend(info, progress, indexBefore(progress.next()), {});
 }
 
@@ -124,7 +124,7 @@
     if (provenAt_)
         request.proofAge = context_.now - *provenAt_;
     progress.lastSentAt = context_.now;
-    progress.toldCommit = context_.commit;
+    progress.sentCommit = context_.commit;
     context_.send(info.host, std::move(request));
 }
 
@@ -152,7 +152,7 @@
     return std::min(matches[quorum - 1], context_.storage.durableIndex());
 }
 
-std::optional<Timestamp> Replicator::quorumHeardAt() const
+std::optional<Timestamp> Replicator::quorumContactAt() const
 {
     return quorumProof_.provenAt(context_.configurations.latest(), context_.self, context_.now);
 }
@@ -163,10 +163,10 @@
     return found == progress_.end() ? LogIndex {} : found->second.match();
 }
 
-bool Replicator::wasHeardWithin(const model::ReplicaId& replica, Duration duration) const
+bool Replicator::hadContactWithin(const model::ReplicaId& replica, Duration duration) const
 {
-    const std::optional<Timestamp> heard = quorumProof_.lastHeard(replica);
-    return heard && context_.now - *heard <= duration;
+    const std::optional<Timestamp> contactAt = quorumProof_.lastContactAt(replica);
+    return contactAt && context_.now - *contactAt <= duration;
 }
 
 } // namespace saltvane::control
--- a/src/control/internal/replicator.h
+++ b/src/control/internal/replicator.h
@@ -14,7 +14,7 @@
 
 namespace saltvane::control {
 
-/// A leader's side of the log: sends entries, heartbeats and snapshots, and knows what a quorum holds.
+/// A leader's side of log replication: sends entries, heartbeats and snapshots, and tracks what a quorum has stored.
 class Replicator {
 public:
     explicit Replicator(ReplicaContext& context);
@@ -22,16 +22,17 @@
     void startTerm();
     void handle(const model::AppendReply& reply);
     void handle(const model::SnapshotReply& reply);
-    /// Sends what is due: new entries, a commit that moved, heartbeats.
+    /// Sends pending messages: new entries, an advanced commit index, heartbeats.
     void send();
 
-    /// The highest index that a quorum holds durably and this replica too.
+    /// The highest index that is durable on a quorum and on this replica.
     [[nodiscard]] LogIndex quorumMatch() const;
-    [[nodiscard]] std::optional<Timestamp> quorumHeardAt() const;
-    /// The leader may say how long ago it was proven current; no value before its term's first entry is committed.
+    /// The latest time at which a quorum provably followed this leader.
+    [[nodiscard]] std::optional<Timestamp> quorumContactAt() const;
+    /// Sets the proof whose age is sent to followers; no value before the first entry of the term is committed.
     void setProof(std::optional<Timestamp> provenAt) { provenAt_ = provenAt; }
     [[nodiscard]] LogIndex matchOf(const model::ReplicaId& replica) const;
-    [[nodiscard]] bool wasHeardWithin(const model::ReplicaId& replica, Duration duration) const;
+    [[nodiscard]] bool hadContactWithin(const model::ReplicaId& replica, Duration duration) const;
 
 private:
     void followConfiguration();
--- a/src/control/internal/routingtable.cpp
+++ b/src/control/internal/routingtable.cpp
@@ -17,26 +17,26 @@
 
 using Json = nlohmann::json;
 
-/// Two days of changes at the size the users expect (2,500 a day).
-constexpr size_t KeptPlanDigests = 5000;
-constexpr size_t RoutingFields = 9;
+/// Two days of changes at the expected rate (2,500 a day).
+constexpr size_t MaxPlanDigests = 5000;
+constexpr size_t RoutingFieldCount = 9;
 
 ControlError errorOf(ControlErrorKind kind, std::string message)
 {
     return {.kind = kind, .message = std::move(message), .leader = {}, .findings = {}};
 }
 
-/// Snapshots of earlier versions hold the ids alone: their starts are unknown.
+/// Snapshots of earlier software versions contain only ids; the incarnations are unknown.
 std::optional<model::TargetIncarnation> retiredFromJson(const Json& json)
 {
     if (json.is_string())
         return model::TargetIncarnation {.target = TargetId(json.get<std::string>())};
-    model::TargetIncarnation start;
+    model::TargetIncarnation retired;
     FieldReader fields(json, 2);
-    fields.read("target", start.target).read("incarnation", start.incarnation);
+    fields.read("target", retired.target).read("incarnation", retired.incarnation);
     if (!fields.isOk())
         return std::nullopt;
-    return start;
+    return retired;
 }
 
 } // namespace
@@ -46,27 +46,27 @@
     return {.version = version, .state = BundleState::InForce, .approved = state_.planPosition};
 }
 
-bool RoutingTable::wasTaken(const ReplacePlan& command) const
+bool RoutingTable::wasAccepted(const ReplacePlan& command) const
 {
-    const auto isOfVersion = [&](const TakenPlan& plan) { return plan.version == command.version; };
-    if (std::ranges::none_of(taken_, isOfVersion))
+    const auto isOfVersion = [&](const AcceptedPlan& plan) { return plan.version == command.version; };
+    if (std::ranges::none_of(acceptedPlans_, isOfVersion))
         return false;
     const std::string digest = contentDigest(command.content);
     return std::ranges::any_of(
-        taken_, [&](const TakenPlan& plan) { return isOfVersion(plan) && plan.digest == digest; });
+        acceptedPlans_, [&](const AcceptedPlan& plan) { return isOfVersion(plan) && plan.digest == digest; });
 }
 
 std::optional<BundleOutcome> RoutingTable::answerFor(const ReplacePlan& command) const
 {
-    if (wasTaken(command))
+    if (wasAccepted(command))
         return record(command.version);
     if (command.base != state_.planVersion)
         return errorOf(ControlErrorKind::Conflict,
-            "version " + std::to_string(state_.planVersion.value) + " is in force, the change builds on "
+            "version " + std::to_string(state_.planVersion.value) + " is in force, but the change is based on "
                 + std::to_string(command.base.value));
     if (command.version <= state_.planVersion)
         return errorOf(ControlErrorKind::Invalid,
-            "version must be over " + std::to_string(state_.planVersion.value) + ", which is in force");
+            "version must be higher than " + std::to_string(state_.planVersion.value) + ", which is in force");
     return std::nullopt;
 }
 
@@ -91,9 +91,9 @@
     state_.planVersion = command.version;
     state_.planContent = command.content;
     state_.planPosition = position;
-    taken_.push_back({.version = command.version, .digest = contentDigest(command.content)});
-    if (taken_.size() > KeptPlanDigests)
-        taken_.pop_front();
+    acceptedPlans_.push_back({.version = command.version, .digest = contentDigest(command.content)});
+    if (acceptedPlans_.size() > MaxPlanDigests)
+        acceptedPlans_.pop_front();
     return record(command.version);
 }
 
@@ -124,10 +124,10 @@
     for (const ZoneName& zone : state_.evacuatedZones)
         zones.push_back(zone.value());
     Json targets = Json::array();
-    for (const model::TargetIncarnation& start : state_.retiredTargets.inOrder())
-        targets.push_back({{"target", start.target.value()}, {"incarnation", start.incarnation.value}});
+    for (const model::TargetIncarnation& retired : state_.retiredTargets.inOrder())
+        targets.push_back({{"target", retired.target.value()}, {"incarnation", retired.incarnation.value}});
     Json taken = Json::array();
-    for (const TakenPlan& plan : taken_)
+    for (const AcceptedPlan& plan : acceptedPlans_)
         taken.push_back({{"version", plan.version.value}, {"digest", plan.digest}});
     return {{"version", state_.planVersion.value}, {"content", state_.planContent},
         {"planTerm", state_.planPosition.term.value}, {"planIndex", state_.planPosition.index.value},
@@ -139,7 +139,7 @@
 {
     RoutingTable table;
     RoutingState& state = table.state_;
-    FieldReader reader(json, RoutingFields);
+    FieldReader reader(json, RoutingFieldCount);
     reader.read("version", state.planVersion).read("content", state.planContent);
     reader.read("planTerm", state.planPosition.term).read("planIndex", state.planPosition.index);
     reader.read("ordersTerm", state.ordersPosition.term).read("ordersIndex", state.ordersPosition.index);
@@ -149,18 +149,18 @@
         state.evacuatedZones.emplace(zone.get<std::string>());
     }
     for (const Json& item : reader.array("retired")) {
-        std::optional<model::TargetIncarnation> start = retiredFromJson(item);
-        if (!start)
+        std::optional<model::TargetIncarnation> retired = retiredFromJson(item);
+        if (!retired)
             return std::nullopt;
-        state.retiredTargets.note(*start);
+        state.retiredTargets.note(*retired);
     }
     for (const Json& item : reader.array("taken")) {
-        TakenPlan plan;
+        AcceptedPlan plan;
         FieldReader fields(item, 2);
         fields.read("version", plan.version).read("digest", plan.digest);
         if (!fields.isOk())
             return std::nullopt;
-        table.taken_.push_back(std::move(plan));
+        table.acceptedPlans_.push_back(std::move(plan));
     }
     if (!reader.isOk())
         return std::nullopt;
--- a/src/control/internal/routingtable.h
+++ b/src/control/internal/routingtable.h
@@ -20,15 +20,15 @@
 constexpr bool IsRoutingCommand
     = std::is_same_v<Kind, ReplacePlan> || std::is_same_v<Kind, SetEvacuation> || std::is_same_v<Kind, RetireTarget>;
 
-/// The route plan by compare-and-set, evacuated zones and retired targets. The log's order decides every race; a
-/// request that was taken before gets its first answer again.
+/// Replicated routing state: the route plan, replaced by compare-and-set, evacuated zones and retired targets. The
+/// order of the log resolves all races. A resend of an accepted request gets the first answer.
 class RoutingTable {
 public:
     [[nodiscard]] BundleOutcome apply(const ReplacePlan& command, LogPosition position);
     [[nodiscard]] BundleOutcome apply(const SetEvacuation& command, LogPosition position);
     [[nodiscard]] BundleOutcome apply(const RetireTarget& command, LogPosition position);
 
-    /// The answer where the state alone gives it.
+    /// The answer if it follows from the state alone.
     [[nodiscard]] std::optional<BundleOutcome> answerFor(const ReplacePlan& command) const;
     [[nodiscard]] std::optional<BundleOutcome> answerFor(const SetEvacuation& command) const;
     [[nodiscard]] std::optional<BundleOutcome> answerFor(const RetireTarget& command) const;
@@ -38,16 +38,16 @@
     [[nodiscard]] static std::optional<RoutingTable> fromJson(const nlohmann::json& json);
 
 private:
-    struct TakenPlan {
+    struct AcceptedPlan {
         BundleVersion version;
         std::string digest;
     };
 
     [[nodiscard]] BundleRecord record(BundleVersion version) const;
-    [[nodiscard]] bool wasTaken(const ReplacePlan& command) const;
+    [[nodiscard]] bool wasAccepted(const ReplacePlan& command) const;
 
     RoutingState state_;
-    std::deque<TakenPlan> taken_; ///< Oldest first; resends are told by them.
+    std::deque<AcceptedPlan> acceptedPlans_; ///< Oldest first; used to recognize resends.
 };
 
 } // namespace saltvane::control
--- a/src/control/internal/signatures.h
+++ b/src/control/internal/signatures.h
@@ -13,7 +13,7 @@
 
 namespace saltvane::control {
 
-/// Ed25519 of `text`; signature and key in base64. False as well for malformed ones.
+/// Verifies an Ed25519 signature of `text`. Signature and key are in base64; false if either is malformed.
 [[nodiscard]] bool isSignatureOf(std::string_view text, std::string_view signature, std::string_view publicKey);
 [[nodiscard]] const model::Operator* findOperator(std::span<const model::Operator> operators, const OperatorName& name);
 
--- a/src/control/internal/snapshotreceiver.cpp
+++ b/src/control/internal/snapshotreceiver.cpp
@@ -10,9 +10,9 @@
 namespace saltvane::control {
 
 namespace {
-constexpr uint64_t LargestSnapshot = uint64_t {1} << 30;
-/// More chunks ahead of a missing one are dropped; the sender's window is smaller.
-constexpr size_t MostAhead = 8;
+constexpr uint64_t MaxSnapshotBytes = uint64_t {1} << 30;
+/// Limit of chunks after a missing one, beyond which they are dropped; the sender's window is smaller.
+constexpr size_t MaxChunksAhead = 8;
 } // namespace
 
 SnapshotReceiver::SnapshotReceiver(ReplicaContext& context)
@@ -39,7 +39,7 @@
 {
     if (chunk.lastIndex <= context_.commit)
         return reply(chunk, chunk.totalSize);
-    if (isInstalling() || chunk.totalSize > LargestSnapshot)
+    if (isInstalling() || chunk.totalSize > MaxSnapshotBytes)
         return;
     if (!isSameTransfer(chunk)) {
         forgetPartial();
@@ -53,7 +53,7 @@
         forgetPartial();
         return reply(chunk, 0);
     }
-    storeWhole();
+    storeComplete();
 }
 
 void SnapshotReceiver::gather(const model::SnapshotChunk& chunk)
@@ -62,13 +62,13 @@
     if (chunk.offset < received || chunk.offset > partialSize_ || chunk.bytes.size() > partialSize_ - chunk.offset)
         return;
     if (chunk.offset > received) {
-        if (ahead_.size() < MostAhead)
-            ahead_.emplace(chunk.offset, chunk.bytes);
+        if (earlyChunks_.size() < MaxChunksAhead)
+            earlyChunks_.emplace(chunk.offset, chunk.bytes);
         return;
     }
     partial_.bytes += chunk.bytes;
-    while (!ahead_.empty() && ahead_.begin()->first <= partial_.bytes.size()) {
-        const auto next = ahead_.extract(ahead_.begin());
+    while (!earlyChunks_.empty() && earlyChunks_.begin()->first <= partial_.bytes.size()) {
+        const auto next = earlyChunks_.extract(earlyChunks_.begin());
         if (next.key() == partial_.bytes.size())
             partial_.bytes += next.mapped();
     }
@@ -78,10 +78,10 @@
 {
     partial_ = {};
     partialSize_ = 0;
-    ahead_.clear();
+    earlyChunks_.clear();
 }
 
-void SnapshotReceiver::storeWhole()
+void SnapshotReceiver::storeComplete()
 {
     installing_ = std::make_shared<Snapshot>(std::exchange(partial_, {}));
     forgetPartial();
--- a/src/control/internal/snapshotreceiver.h
+++ b/src/control/internal/snapshotreceiver.h
@@ -14,29 +14,30 @@
 
 namespace saltvane::control {
 
-/// A follower's side of a snapshot transfer: gathers the chunks in order, says how far it got (so that a broken
-/// transfer resumes there, also under another leader), checks the checksum and installs what became durable.
+/// A follower's side of a snapshot transfer: assembles the chunks in order, reports the number of bytes received (so
+/// that an interrupted transfer resumes there, also with another leader), verifies the checksum and stores the
+/// snapshot.
 class SnapshotReceiver {
 public:
     explicit SnapshotReceiver(ReplicaContext& context);
 
     void handle(const model::SnapshotChunk& chunk);
-    /// True while a whole snapshot is on its way to the disk: the log takes no entries meanwhile.
+    /// A complete snapshot is being written to disk; no entries are appended to the log meanwhile.
     [[nodiscard]] bool isInstalling() const { return installing_ != nullptr; }
-    /// The snapshot that has just become durable, once.
+    /// The received snapshot once it is durable, returned only once.
     [[nodiscard]] std::shared_ptr<const Snapshot> takeInstalled();
 
 private:
     void reply(const model::SnapshotChunk& chunk, uint64_t received);
     void gather(const model::SnapshotChunk& chunk);
     void forgetPartial();
-    void storeWhole();
+    void storeComplete();
     [[nodiscard]] bool isSameTransfer(const model::SnapshotChunk& chunk) const;
 
     ReplicaContext& context_;
     Snapshot partial_;
     uint64_t partialSize_ = 0;
-    std::map<uint64_t, std::string> ahead_; ///< Chunks that overtook an earlier one, by offset.
+    std::map<uint64_t, std::string> earlyChunks_; ///< Chunks received before an earlier one, by offset.
     std::shared_ptr<const Snapshot> installing_;
     uint64_t installSequence_ = 0;
 };
--- a/src/control/internal/snapshottransfer.h
+++ b/src/control/internal/snapshottransfer.h
@@ -12,19 +12,19 @@
 
 namespace saltvane::control {
 
-/// A leader's side of one snapshot transfer: a few chunks ahead of what the follower has confirmed. A follower that
-/// confirms the same place again misses the chunk there: it is sent once more without waiting for the timeout.
+/// A leader's side of one snapshot transfer: sends a few chunks ahead of what the follower has confirmed. If a follower
+/// confirms the same offset again, it lacks the chunk there, which is resent once without waiting for the timeout.
 class SnapshotTransfer {
 public:
     SnapshotTransfer(std::shared_ptr<const Snapshot> snapshot, uint32_t chunkSize);
 
     [[nodiscard]] LogIndex index() const { return snapshot_->index; }
-    /// The next chunk where the window has room; term and leader are left to the caller.
+    /// The next chunk if the window is not full. The caller sets the term and leader.
     [[nodiscard]] std::optional<model::SnapshotChunk> nextChunk(Timestamp now);
-    /// True once the follower has installed the whole.
+    /// True once the follower has received the complete snapshot.
     bool acknowledge(const model::SnapshotReply& reply, Timestamp now);
-    /// Nothing confirmed for `timeout`: goes back to what the follower last said, which a restart of it may have
-    /// lowered.
+    /// After `timeout` without progress, resumes at the offset that the follower last reported. A restart of the
+    /// follower may have lowered it.
     void expire(Duration timeout, Timestamp now);
 
 private:
@@ -34,8 +34,8 @@
     uint64_t chunkSize_;
     uint64_t confirmed_ = 0;
     uint64_t sent_ = 0;
-    uint64_t reported_ = 0; ///< What the follower's latest reply said.
-    std::optional<uint64_t> resent_; ///< Offset of the latest chunk sent again.
+    uint64_t reported_ = 0; ///< Offset in the follower's latest reply.
+    std::optional<uint64_t> resent_; ///< Offset of the latest resent chunk.
     bool isResendDue_ = false;
     Timestamp activeAt_ {};
 };
--- a/src/control/tests/bundleholdertests.cpp
+++ b/src/control/tests/bundleholdertests.cpp
@@ -24,7 +24,7 @@
 
 LogPosition positionOf(uint64_t index) { return {.term = LogTerm {1}, .index = LogIndex {index}}; }
 
-/// Holders with a delay between them, in virtual time. control1 is told what its replica has in force.
+/// Bundle holders connected with a delay, in virtual time. The test sets the state in force at control1.
 class BundleHolders : public testing::Test {
 protected:
     void SetUp() override
@@ -51,11 +51,10 @@
 
     IBundleHolder& holder(const HostId& host) { return *holders_.at(host); }
 
-    /// `size`: of text that can't be told from another state's.
+    /// `size`: minimum length, reached with random bytes, which differ in each state and do not compress.
     void setInForce(uint64_t index, size_t size = 0)
     {
-        std::mt19937 random(
-            static_cast<unsigned int>(index)); // NOLINT(cert-msc32-c,cert-msc51-cpp): the same each time.
+        std::mt19937 random(static_cast<unsigned int>(index)); // NOLINT(cert-msc32-c,cert-msc51-cpp): deterministic.
         content_ = "bundle " + std::to_string(index);
         while (content_.size() < size)
             content_.push_back(static_cast<char>(random()));
@@ -98,7 +97,7 @@
         if (part != nullptr) {
             parts_[outgoing.to] += 1;
             bytes_[outgoing.to] += part->bytes.size();
-            if (silentSource_ == from && part->offset > 0)
+            if (unresponsiveSource_ == from && part->offset > 0)
                 return;
         }
         inFlight_.emplace(now_ + Delay, Flight {.from = from, .outgoing = std::move(outgoing)});
@@ -114,7 +113,7 @@
         }
     }
 
-    bool holdsEverywhere(uint64_t index)
+    bool isInstalledEverywhere(uint64_t index)
     {
         for (const auto& [host, item] : holders_) {
             if (installed_[host] != positionOf(index))
@@ -134,9 +133,9 @@
     std::string content_;
     uint64_t index_ = 0;
     std::map<uint64_t, std::string> contents_;
-    std::map<HostId, int> parts_; ///< Sent to it.
-    std::map<HostId, size_t> bytes_; ///< Of these parts.
-    HostId silentSource_; ///< Its parts but the first are lost.
+    std::map<HostId, int> parts_; ///< Number of parts sent to each host.
+    std::map<HostId, size_t> bytes_; ///< Bytes of these parts.
+    HostId unresponsiveSource_; ///< All parts that it sends after the first are lost.
     bool isControlCurrent_ = true;
     bool losesPushes_ = false;
     HostId cutOff_;
@@ -144,38 +143,38 @@
 
 } // namespace
 
-TEST_F(BundleHolders, NobodyIsReadyWithoutAState)
+TEST_F(BundleHolders, NoHostIsReadyWithoutAState)
 {
     run(5s);
     for (const HostId& host : {Control, Relay, First, Second})
         EXPECT_FALSE(holder(host).isReady());
 }
 
-TEST_F(BundleHolders, PushReachesEveryHostAndAPullConfirmsIt)
+TEST_F(BundleHolders, PushReachesEveryHostAndIsConfirmedByAPull)
 {
     setInForce(1);
     run(2s);
-    ASSERT_TRUE(holdsEverywhere(1));
+    ASSERT_TRUE(isInstalledEverywhere(1));
     for (const HostId& host : {Control, Relay, First, Second})
         EXPECT_TRUE(holder(host).isReady());
     setInForce(2);
     run(2 * Delay + 3 * Step);
-    EXPECT_TRUE(holdsEverywhere(2));
+    EXPECT_TRUE(isInstalledEverywhere(2));
     EXPECT_FALSE(holder(Second).isCutOff(now_));
     EXPECT_GE(holder(Second).age(now_), 100ms + 2 * Delay);
 }
 
-TEST_F(BundleHolders, PullsRepairLostPushes)
+TEST_F(BundleHolders, PullsRecoverLostPushes)
 {
     setInForce(1);
     run(2s);
     losesPushes_ = true;
     setInForce(2);
     run(2s + 4 * Delay + 4 * Step);
-    EXPECT_TRUE(holdsEverywhere(2));
+    EXPECT_TRUE(isInstalledEverywhere(2));
 }
 
-TEST_F(BundleHolders, PositionsOnlyGrow)
+TEST_F(BundleHolders, OlderPositionIsIgnored)
 {
     setInForce(5);
     run(2s);
@@ -183,10 +182,10 @@
     holder(First).handle({.from = Relay, .fromIncarnation = {}, .message = older}, now_);
     EXPECT_FALSE(holder(First).takeInstalled());
     run(2s);
-    EXPECT_TRUE(holdsEverywhere(5));
+    EXPECT_TRUE(isInstalledEverywhere(5));
 }
 
-TEST_F(BundleHolders, HostsAreCutOffOnceControlHasNoProof)
+TEST_F(BundleHolders, HostsAreCutOffWithoutAProofFromControl)
 {
     setInForce(1);
     run(2s);
@@ -206,7 +205,7 @@
     EXPECT_FALSE(holder(First).isCutOff(now_));
 }
 
-TEST_F(BundleHolders, RestartedHostOfACutOffZoneTakesAPeersState)
+TEST_F(BundleHolders, RestartedHostInACutOffZoneAcceptsThePeerState)
 {
     setInForce(1);
     run(2s);
@@ -221,7 +220,7 @@
     EXPECT_TRUE(holder(First).isCutOff(now_));
 }
 
-TEST_F(BundleHolders, RestartedHostWithoutControlAndPeersStaysUnready)
+TEST_F(BundleHolders, RestartedHostWithoutControlAndPeersIsNotReady)
 {
     setInForce(1);
     run(2s);
@@ -235,81 +234,81 @@
     EXPECT_TRUE(holder(First).isReady());
 }
 
-/// Guards against gateways that take a registry host that is starting for one whose word is late.
-TEST_F(BundleHolders, ASourceThatIsStartingSaysThatThePullHasComeAndNoMore)
+/// Guards against gateways that treat a starting registry host as one whose information is outdated.
+TEST_F(BundleHolders, StartingSourceAnswersPullsWithoutAStateOrProof)
 {
     holder(Relay).handle({.from = First, .fromIncarnation = {}, .message = model::BundlePull {.pull = 7}}, now_);
-    const std::vector<model::Outgoing> told = holder(Relay).takeOutgoing();
-    ASSERT_EQ(told.size(), 1U);
-    const auto* answer = std::get_if<model::BundleCurrent>(&told.front().message);
+    const std::vector<model::Outgoing> sent = holder(Relay).takeOutgoing();
+    ASSERT_EQ(sent.size(), 1U);
+    const auto* answer = std::get_if<model::BundleCurrent>(&sent.front().message);
     ASSERT_NE(answer, nullptr);
     EXPECT_EQ(answer->pull, 7U);
     EXPECT_EQ(answer->position, LogPosition {});
     EXPECT_EQ(answer->age, Duration::max());
 }
 
-TEST_F(BundleHolders, UnaskedOrDelayedAnswersProveNothing)
+TEST_F(BundleHolders, UnrequestedAnswersProveNothing)
 {
     setInForce(1);
     run(2s);
     cutOff_ = First;
     run(4s);
-    const model::BundleCurrent unasked {.position = positionOf(1), .age = 0s, .pull = 999};
-    holder(First).handle({.from = Relay, .fromIncarnation = {}, .message = unasked}, now_);
+    const model::BundleCurrent unrequested {.position = positionOf(1), .age = 0s, .pull = 999};
+    holder(First).handle({.from = Relay, .fromIncarnation = {}, .message = unrequested}, now_);
     const model::BundlePush push {.position = positionOf(2), .version = BundleVersion {2}, .content = "2", .age = 0s};
     holder(First).handle({.from = Relay, .fromIncarnation = {}, .message = push}, now_);
     EXPECT_TRUE(holder(First).isCutOff(now_));
 }
 
-TEST_F(BundleHolders, ALargeStateIsSentOnceAndInParts)
+TEST_F(BundleHolders, LargeStateIsSentOnceInParts)
 {
     constexpr size_t Size = 1'000'000;
     setInForce(1, Size);
     run(10s);
-    ASSERT_TRUE(holdsEverywhere(1));
-    // The relay's first part comes unasked, and the same from a peer that it asks while it starts.
+    ASSERT_TRUE(isInstalledEverywhere(1));
+    // First parts may arrive several times: pushed by the relay, and from a peer that is polled during the start.
     constexpr size_t FirstParts = 4 * 32 * 1024;
     for (const HostId& host : {Relay, First, Second})
         EXPECT_LE(bytes_[host], contents_[1].size() + FirstParts) << host.value();
 }
 
-TEST_F(BundleHolders, PartsAreAskedOfAnotherSourceWhereOneFallsSilent)
+TEST_F(BundleHolders, PartsAreRequestedFromAnotherSourceWhenOneIsUnresponsive)
 {
     constexpr size_t Size = 200'000;
     setInForce(1, Size);
     run(10s);
-    silentSource_ = Relay;
+    unresponsiveSource_ = Relay;
     setInForce(2, Size);
     run(10s);
-    EXPECT_TRUE(holdsEverywhere(2));
+    EXPECT_TRUE(isInstalledEverywhere(2));
 }
 
-TEST_F(BundleHolders, AStateIsFetchedToItsEndWhileNewerOnesCome)
+TEST_F(BundleHolders, TransferIsCompletedWhileNewerStatesArrive)
 {
     constexpr size_t Size = 400'000;
     setInForce(1, Size);
     run(10s);
-    // Each takes thirteen round trips of 40 ms; the next one comes after five.
+    // Each transfer takes thirteen round trips of 40 ms; the next state comes into force after five.
     for (uint64_t index = 2; index < 40; ++index) {
         setInForce(index, Size);
         run(200ms);
     }
     EXPECT_GT(installed_[Second], positionOf(20));
     run(10s);
-    EXPECT_TRUE(holdsEverywhere(39));
+    EXPECT_TRUE(isInstalledEverywhere(39));
 }
 
-TEST_F(BundleHolders, AnotherSourceMayHoldTheStateAgainstNoBase)
+TEST_F(BundleHolders, TransferContinuesWithASourceThatLacksTheBase)
 {
     constexpr size_t Size = 200'000;
     setInForce(1, Size);
     run(10s);
-    // The relay falls silent with a state it compressed against the one before; hosts that start anew know no such
-    // base.
-    silentSource_ = Relay;
+    // The relay becomes unresponsive during a transfer that uses the previous state as its base. The other sources
+    // restart and do not have that base.
+    unresponsiveSource_ = Relay;
     setInForce(2, Size);
-    constexpr int MostSteps = 200;
-    for (int i = 0; i < MostSteps && !holder(First).isFetching(); ++i)
+    constexpr int MaxSteps = 200;
+    for (int i = 0; i < MaxSteps && !holder(First).isFetching(); ++i)
         run(Step);
     ASSERT_TRUE(holder(First).isFetching());
     cutOff_ = Relay;
@@ -321,7 +320,7 @@
     EXPECT_EQ(installed_[First], positionOf(2));
 }
 
-TEST_F(BundleHolders, PartsThatDoNotFitTogetherAreNoState)
+TEST_F(BundleHolders, PartsWithAWrongChecksumAreRejected)
 {
     setInForce(1);
     run(2s);
@@ -336,7 +335,7 @@
     cutOff_ = {};
     setInForce(8);
     run(2s);
-    EXPECT_TRUE(holdsEverywhere(8));
+    EXPECT_TRUE(isInstalledEverywhere(8));
 }
 
 } // namespace saltvane::control::test
--- a/src/control/tests/bundlelifecycletests.cpp
+++ b/src/control/tests/bundlelifecycletests.cpp
@@ -15,19 +15,19 @@
 const TestOperator Ben("ben");
 const TestOperator Cleo("cleo");
 
-/// One control host, to which operators speak.
+/// A single control host that receives operators' requests.
 class BundleLifeCycle : public testing::Test {
 protected:
     BundleRecord accepted(Command command)
     {
-        const auto answer = cluster_.ask(std::move(command));
+        const auto answer = cluster_.submitAndWait(std::move(command));
         EXPECT_TRUE(answer && answer->isOk()) << (answer && !answer->isOk() ? answer->error().message : "");
         return answer && answer->isOk() ? answer->value() : BundleRecord {};
     }
 
     ControlError refused(Command command)
     {
-        const auto answer = cluster_.ask(std::move(command));
+        const auto answer = cluster_.submitAndWait(std::move(command));
         EXPECT_TRUE(answer && !answer->isOk());
         return answer && !answer->isOk() ? answer->error() : ControlError {.kind = ControlErrorKind::Busy};
     }
@@ -48,7 +48,7 @@
     EXPECT_EQ(cluster_.host(0).replica->commitIndex(), commit);
 }
 
-TEST_F(BundleLifeCycle, OtherContentOfAVersionNamesTheFirst)
+TEST_F(BundleLifeCycle, ConflictNamesTheFirstProposalOfTheVersion)
 {
     const BundleRecord first = accepted(Ana.propose(1));
     const ControlError conflict = refused(Ben.propose(1, "other"));
@@ -58,7 +58,7 @@
     EXPECT_EQ(refused(Ben.approve(1, "other")).kind, ControlErrorKind::Conflict);
 }
 
-TEST_F(BundleLifeCycle, RacingProposalsOfOneVersionEndInOneAndAConflict)
+TEST_F(BundleLifeCycle, OnlyOneOfTwoRacingProposalsIsAccepted)
 {
     ASSERT_TRUE(cluster_.runUntil([&] { return cluster_.leader() != nullptr; }));
     const SubmissionId first = cluster_.submit(0, Ana.propose(1));
@@ -71,7 +71,7 @@
     EXPECT_EQ(answers.at(second).error().kind, ControlErrorKind::Conflict);
 }
 
-TEST_F(BundleLifeCycle, SignaturesAndOperatorsAreChecked)
+TEST_F(BundleLifeCycle, SignaturesAndOperatorsAreVerified)
 {
     EXPECT_EQ(refused(Cleo.propose(1)).kind, ControlErrorKind::UnknownOperator);
     ProposeBundle forged = Cleo.propose(1);
@@ -88,7 +88,7 @@
     EXPECT_EQ(cluster_.host(0).replica->inForce(), nullptr);
 }
 
-TEST_F(BundleLifeCycle, FaultyBundlesAreRefusedWithTheirFindings)
+TEST_F(BundleLifeCycle, InvalidBundlesAreRefusedWithFindings)
 {
     ProposeBundle wrongVersion = Ana.propose(1);
     wrongVersion.version = BundleVersion {2};
@@ -121,7 +121,7 @@
     EXPECT_EQ(all[1]->state, BundleState::Superseded);
 }
 
-TEST_F(BundleLifeCycle, AnOlderVersionDoesNotComeIntoForce)
+TEST_F(BundleLifeCycle, OlderVersionCannotComeIntoForce)
 {
     accepted(Ana.propose(1));
     accepted(Ana.propose(2));
@@ -131,11 +131,11 @@
     EXPECT_EQ(cluster_.host(0).replica->inForce()->version, BundleVersion {2});
 }
 
-TEST_F(BundleLifeCycle, OperatorsOfTheBundleInForceDecideTheNext)
+TEST_F(BundleLifeCycle, NextBundleIsCheckedAgainstTheOperatorsInForce)
 {
     const std::string content = bundleText(1, "", "ana,cleo");
     accepted(Ana.proposeContent(1, content));
-    // Sent together: the proposal behind the approval is checked against the operators that it brings.
+    // Sent together: the proposal waits for the approval and is checked against the operators of the approved bundle.
     const SubmissionId approval = cluster_.submit(0, Ben.approveContent(1, content));
     const SubmissionId proposal = cluster_.submit(0, Ben.propose(2));
     cluster_.run(1s);
--- a/src/control/tests/claimtests.cpp
+++ b/src/control/tests/claimtests.cpp
@@ -23,7 +23,7 @@
             .retention = retention}};
 }
 
-/// Three control hosts with a leader.
+/// Three control hosts with an elected leader.
 class Claims : public testing::Test {
 protected:
     void SetUp() override
@@ -45,7 +45,7 @@
 
 } // namespace
 
-TEST_F(Claims, KeyIsGrantedOnceAndItsHolderIsNamed)
+TEST_F(Claims, KeyIsGrantedOnceAndTheReplyNamesItsHolder)
 {
     EXPECT_EQ(answerTo(claimOf("entry1", 1, "key")).result, model::ClaimResult::Granted);
     EXPECT_EQ(answerTo(claimOf("entry1", 1, "key")).result, model::ClaimResult::Granted);
@@ -56,13 +56,13 @@
     EXPECT_EQ(answerTo(claimOf("entry2", 2, "key", 7)).result, model::ClaimResult::OtherFingerprint);
 }
 
-TEST_F(Claims, RestartedHolderIsNotTheHolder)
+TEST_F(Claims, RestartedHostIsNotTheHolder)
 {
     EXPECT_EQ(answerTo(claimOf("entry1", 1, "key")).result, model::ClaimResult::Granted);
     EXPECT_EQ(answerTo(claimOf("entry1", 1, "key", 1, 60s, 2)).result, model::ClaimResult::HeldElsewhere);
 }
 
-TEST_F(Claims, ClaimOutlivesTheLeaderUntilItExpires)
+TEST_F(Claims, ClaimSurvivesTheLeaderUntilItExpires)
 {
     EXPECT_EQ(answerTo(claimOf("entry1", 1, "key", 1, 30s)).result, model::ClaimResult::Granted);
     cluster_.crash(cluster_.numberOf(*cluster_.leader()));
@@ -78,7 +78,7 @@
     const size_t number = cluster_.numberOf(leader);
     cluster_.isolate(number);
     leader.toHosts.clear();
-    cluster_.claim(number, claimOf("entry1", 1, "key")); // Still inside its lease: appended, never committed.
+    cluster_.claim(number, claimOf("entry1", 1, "key")); // Within the lease: appended, but never committed.
     EXPECT_TRUE(cluster_.runUntil([&] { return !leader.toHosts.empty(); }, 5s));
     cluster_.claim(number, claimOf("entry1", 2, "other"));
     ASSERT_EQ(leader.toHosts.size(), 2U);
--- a/src/control/tests/contentcodectests.cpp
+++ b/src/control/tests/contentcodectests.cpp
@@ -13,12 +13,12 @@
 
 namespace {
 
-constexpr size_t Largest = 4 * 1024 * 1024;
+constexpr size_t MaxBytes = 4 * 1024 * 1024;
 
-/// Lines alike but for random names, as the routes of a plan are.
-std::string linesOf(size_t count)
+/// Lines that differ only in random names, like the routes of a plan.
+std::string planLikeText(size_t count)
 {
-    std::mt19937 random(1); // NOLINT(cert-msc32-c,cert-msc51-cpp): the same each time.
+    std::mt19937 random(1); // NOLINT(cert-msc32-c,cert-msc51-cpp): deterministic.
     std::string text;
     for (size_t i = 0; i < count; ++i)
         text
@@ -28,49 +28,49 @@
 
 } // namespace
 
-TEST(ContentCodecTest, WhatWasCompressedComesBackWithAndWithoutABase)
+TEST(ContentCodecTest, RoundTripWithAndWithoutABase)
 {
-    const std::string base = linesOf(1000);
-    const std::string content = linesOf(2000) + "end";
-    for (const std::string& against : {std::string(), base, std::string("x")}) {
-        const std::string compressed = compressContent(content, against);
+    const std::string base = planLikeText(1000);
+    const std::string content = planLikeText(2000) + "end";
+    for (const std::string& dictionary : {std::string(), base, std::string("x")}) {
+        const std::string compressed = compressContent(content, dictionary);
         EXPECT_LT(compressed.size(), content.size() / 4);
-        EXPECT_EQ(decompressContent(compressed, against, Largest), content);
+        EXPECT_EQ(decompressContent(compressed, dictionary, MaxBytes), content);
     }
-    EXPECT_EQ(decompressContent(compressContent("", ""), "", Largest), "");
+    EXPECT_EQ(decompressContent(compressContent("", ""), "", MaxBytes), "");
 }
 
-TEST(ContentCodecTest, ASmallChangeOfALargeTextIsSmall)
+TEST(ContentCodecTest, SmallChangeOfALargeTextCompressesToFewBytes)
 {
-    const std::string base = linesOf(10'000);
+    const std::string base = planLikeText(10'000);
     std::string content = base;
     content[content.size() / 2] = '#';
     EXPECT_LT(compressContent(content, base).size(), 1000);
 }
 
-TEST(ContentCodecTest, AnotherBaseIsFoundOut)
+TEST(ContentCodecTest, WrongBaseIsDetected)
 {
-    const std::string base = linesOf(1000);
+    const std::string base = planLikeText(1000);
     std::string other = base;
     other[other.size() / 2] = '#';
-    const std::string compressed = compressContent(linesOf(1100), base);
-    EXPECT_FALSE(decompressContent(compressed, other, Largest));
-    EXPECT_FALSE(decompressContent(compressed, "", Largest));
+    const std::string compressed = compressContent(planLikeText(1100), base);
+    EXPECT_FALSE(decompressContent(compressed, other, MaxBytes));
+    EXPECT_FALSE(decompressContent(compressed, "", MaxBytes));
 }
 
-TEST(ContentCodecTest, DamagedAndOversizedBytesAreRefused)
+TEST(ContentCodecTest, CorruptedAndOversizedBytesAreRejected)
 {
-    const std::string content = linesOf(1000);
+    const std::string content = planLikeText(1000);
     const std::string compressed = compressContent(content, "");
     EXPECT_FALSE(decompressContent(compressed, "", content.size() - 1));
-    EXPECT_FALSE(decompressContent("", "", Largest));
-    EXPECT_FALSE(decompressContent("no such format", "", Largest));
-    EXPECT_FALSE(decompressContent(compressed.substr(0, compressed.size() / 2), "", Largest));
-    std::mt19937 random(2); // NOLINT(cert-msc32-c,cert-msc51-cpp): the same each time.
+    EXPECT_FALSE(decompressContent("", "", MaxBytes));
+    EXPECT_FALSE(decompressContent("no such format", "", MaxBytes));
+    EXPECT_FALSE(decompressContent(compressed.substr(0, compressed.size() / 2), "", MaxBytes));
+    std::mt19937 random(2); // NOLINT(cert-msc32-c,cert-msc51-cpp): deterministic.
     for (int i = 0; i < 500; ++i) {
-        std::string damaged = compressed;
-        damaged[random() % damaged.size()] ^= static_cast<char>(1 + random() % 255);
-        const auto decoded = decompressContent(damaged, "", Largest);
+        std::string corrupted = compressed;
+        corrupted[random() % corrupted.size()] ^= static_cast<char>(1 + random() % 255);
+        const auto decoded = decompressContent(corrupted, "", MaxBytes);
         EXPECT_TRUE(!decoded || *decoded == content);
     }
 }
--- a/src/control/tests/controlreplicatests.cpp
+++ b/src/control/tests/controlreplicatests.cpp
@@ -24,7 +24,7 @@
     return true;
 }
 
-/// Index of a host that does not lead.
+/// Number of a host that is not the leader.
 size_t followerOf(FakeCluster& cluster) { return cluster.numberOf(*cluster.leader()) == 0 ? 1 : 0; }
 
 ControlErrorKind errorOf(const std::optional<Result<BundleRecord, ControlError>>& answer)
@@ -35,27 +35,27 @@
 
 } // namespace
 
-TEST(ControlReplica, EmptyDeploymentElectsOneLeaderAndPutsABundleInForce)
+TEST(ControlReplica, NewDeploymentElectsALeaderAndPutsABundleInForce)
 {
     FakeCluster cluster({});
     ASSERT_TRUE(cluster.runUntil([&] { return cluster.leader() != nullptr; }, 5s));
-    const auto proposed = cluster.ask(Ana.propose(1));
+    const auto proposed = cluster.submitAndWait(Ana.propose(1));
     ASSERT_TRUE(proposed && proposed->isOk()) << (proposed ? proposed->error().message : "no answer");
     EXPECT_EQ(proposed->value().state, BundleState::Proposed);
-    const auto approved = cluster.ask(Ben.approve(1));
+    const auto approved = cluster.submitAndWait(Ben.approve(1));
     ASSERT_TRUE(approved && approved->isOk());
     EXPECT_EQ(approved->value().state, BundleState::InForce);
     EXPECT_TRUE(cluster.runUntil([&] { return isInForceEverywhere(cluster, 1); }, 1s));
 }
 
-TEST(ControlReplica, OneControlHostIsEnough)
+TEST(ControlReplica, SingleControlHostWorks)
 {
     FakeCluster cluster({.hosts = 1});
-    ASSERT_TRUE(cluster.ask(Ana.propose(1)));
-    EXPECT_TRUE(cluster.ask(Ben.approve(1))->isOk());
+    ASSERT_TRUE(cluster.submitAndWait(Ana.propose(1)));
+    EXPECT_TRUE(cluster.submitAndWait(Ben.approve(1))->isOk());
 }
 
-TEST(ControlReplica, DeploymentStartsOnlyWhenAllHostsHaveAnswered)
+TEST(ControlReplica, DeploymentStartsOnlyAfterAllHostsHaveAnswered)
 {
     FakeCluster cluster({});
     cluster.crash(2);
@@ -64,7 +64,7 @@
     EXPECT_TRUE(cluster.runUntil([&] { return cluster.leader() != nullptr; }, 5s));
 }
 
-TEST(ControlReplica, FirstStartMayEndAtAnyStepOfItsWrite)
+TEST(ControlReplica, BootstrapRecoversFromACrashAtAnyStepOfItsWrite)
 {
     for (const size_t steps : {0U, 1U, 2U}) {
         FakeCluster cluster({});
@@ -75,22 +75,22 @@
     }
 }
 
-TEST(ControlReplica, SurvivesTheLossOfItsLeader)
+TEST(ControlReplica, ToleratesTheLossOfTheLeader)
 {
     FakeCluster cluster({});
-    ASSERT_TRUE(cluster.ask(Ana.propose(1)));
+    ASSERT_TRUE(cluster.submitAndWait(Ana.propose(1)));
     const size_t first = cluster.numberOf(*cluster.leader());
     cluster.crash(first);
     ASSERT_TRUE(cluster.runUntil([&] { return cluster.leader() != nullptr; }, 5s));
-    EXPECT_TRUE(cluster.ask(Ben.approve(1))->isOk());
+    EXPECT_TRUE(cluster.submitAndWait(Ben.approve(1))->isOk());
     cluster.start(first);
     EXPECT_TRUE(cluster.runUntil([&] { return isInForceEverywhere(cluster, 1); }, 5s));
 }
 
-TEST(ControlReplica, CutOffLeaderIsNotCurrentAndTakesNoBundle)
+TEST(ControlReplica, CutOffLeaderIsNotCurrentAndRefusesRequests)
 {
     FakeCluster cluster({});
-    ASSERT_TRUE(cluster.ask(Ana.propose(1)));
+    ASSERT_TRUE(cluster.submitAndWait(Ana.propose(1)));
     FakeHost& old = *cluster.leader();
     const size_t number = cluster.numberOf(old);
     cluster.isolate(number);
@@ -107,10 +107,10 @@
     EXPECT_TRUE(cluster.runUntil([&] { return old.replica->isCurrent(cluster.now()); }, 5s));
 }
 
-TEST(ControlReplica, LeaderAndFollowerCutOffTogetherInFiveAreNotCurrent)
+TEST(ControlReplica, LeaderAndFollowerCutOffFromTheOtherThreeAreNotCurrent)
 {
     FakeCluster cluster({.hosts = 5});
-    ASSERT_TRUE(cluster.ask(Ana.propose(1)));
+    ASSERT_TRUE(cluster.submitAndWait(Ana.propose(1)));
     const size_t leader = cluster.numberOf(*cluster.leader());
     const size_t follower = followerOf(cluster);
     for (size_t other = 0; other < cluster.size(); ++other) {
@@ -126,8 +126,8 @@
 
 TEST(ControlReplica, FollowerIsCurrentAndNamesTheLeader)
 {
-    FakeCluster cluster({.leastDelay = 30ms, .mostDelay = 40ms});
-    ASSERT_TRUE(cluster.ask(Ana.propose(1)));
+    FakeCluster cluster({.minDelay = 30ms, .maxDelay = 40ms});
+    ASSERT_TRUE(cluster.submitAndWait(Ana.propose(1)));
     cluster.run(1s);
     FakeHost& follower = cluster.host(followerOf(cluster));
     EXPECT_TRUE(follower.replica->isCurrent(cluster.now()));
@@ -137,10 +137,10 @@
     EXPECT_EQ(follower.answers.at(submission).error().leader, cluster.leader()->id);
 }
 
-TEST(ControlReplica, FullDiskIsAnsweredAndRecoveredFrom)
+TEST(ControlReplica, FullDiskIsReportedAndRecoveredFrom)
 {
     FakeCluster cluster({.hosts = 1});
-    ASSERT_TRUE(cluster.ask(Ana.propose(1)));
+    ASSERT_TRUE(cluster.submitAndWait(Ana.propose(1)));
     FakeHost& host = cluster.host(0);
     host.disk->isFull = true;
     const SubmissionId lost = cluster.submit(0, Ben.approve(1));
@@ -152,31 +152,31 @@
     ASSERT_TRUE(host.answers.contains(refused));
     EXPECT_EQ(host.answers.at(refused).error().kind, ControlErrorKind::StorageFull);
     host.disk->isFull = false;
-    const auto approved = cluster.ask(Ben.approve(1));
+    const auto approved = cluster.submitAndWait(Ben.approve(1));
     ASSERT_TRUE(approved);
     EXPECT_TRUE(approved->isOk());
 }
 
-TEST(ControlReplica, AnotherLeadsWhileTheLeadersDiskIsFull)
+TEST(ControlReplica, LeaderWithAFullDiskIsReplaced)
 {
     FakeCluster cluster({});
-    ASSERT_TRUE(cluster.ask(Ana.propose(1)));
+    ASSERT_TRUE(cluster.submitAndWait(Ana.propose(1)));
     FakeHost& old = *cluster.leader();
     old.disk->isFull = true;
     cluster.submit(cluster.numberOf(old), Ana.propose(2));
     ASSERT_TRUE(cluster.runUntil([&] { return cluster.leader() && cluster.leader() != &old; }, 5s));
-    EXPECT_TRUE(cluster.ask(Ben.approve(1))->isOk());
+    EXPECT_TRUE(cluster.submitAndWait(Ben.approve(1))->isOk());
 }
 
 TEST(ControlReplica, LaggingReplicaCatchesUpBySnapshot)
 {
-    FakeCluster cluster({.entriesPerSnapshot = 8, .snapshotChunk = 100});
-    ASSERT_TRUE(cluster.ask(Ana.propose(1)));
+    FakeCluster cluster({.entriesPerSnapshot = 8, .snapshotChunkBytes = 100});
+    ASSERT_TRUE(cluster.submitAndWait(Ana.propose(1)));
     const size_t follower = followerOf(cluster);
     cluster.crash(follower);
     for (uint64_t version = 2; version < 40; ++version)
-        ASSERT_TRUE(cluster.ask(Ana.propose(version))->isOk());
-    ASSERT_TRUE(cluster.ask(Ben.approve(39))->isOk());
+        ASSERT_TRUE(cluster.submitAndWait(Ana.propose(version))->isOk());
+    ASSERT_TRUE(cluster.submitAndWait(Ben.approve(39))->isOk());
     cluster.options.loss = 0.2;
     cluster.start(follower);
     EXPECT_TRUE(cluster.runUntil([&] { return isInForceEverywhere(cluster, 39); }, 30s));
@@ -184,18 +184,18 @@
     EXPECT_EQ(cluster.host(follower).replica->bundles().size(), 39U);
 }
 
-TEST(ControlReplica, StateOutlivesARestartOfAll)
+TEST(ControlReplica, StateSurvivesARestartOfAllReplicas)
 {
     FakeCluster cluster({.entriesPerSnapshot = 8});
     for (uint64_t version = 1; version < 20; ++version)
-        ASSERT_TRUE(cluster.ask(Ana.propose(version))->isOk());
-    ASSERT_TRUE(cluster.ask(Ben.approve(7))->isOk());
+        ASSERT_TRUE(cluster.submitAndWait(Ana.propose(version))->isOk());
+    ASSERT_TRUE(cluster.submitAndWait(Ben.approve(7))->isOk());
     for (size_t number = 0; number < 3; ++number)
         cluster.crash(number);
     for (size_t number = 0; number < 3; ++number)
         cluster.start(number);
     EXPECT_TRUE(cluster.runUntil([&] { return isInForceEverywhere(cluster, 7); }, 10s));
-    EXPECT_EQ(errorOf(cluster.ask(Ana.propose(3, "other"))), ControlErrorKind::Conflict);
+    EXPECT_EQ(errorOf(cluster.submitAndWait(Ana.propose(3, "other"))), ControlErrorKind::Conflict);
 }
 
 } // namespace saltvane::control::test
--- a/src/control/tests/decodertests.cpp
+++ b/src/control/tests/decodertests.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 constexpr int Mutations = 3000;
-constexpr size_t LargePlan = 100'000; ///< Bytes.
+constexpr size_t LargePlanBytes = 100'000;
 
 std::vector<Command> allKinds()
 {
@@ -31,7 +31,7 @@
             .nowUnixMs = -1},
         ChangeReplicas {{{.replica = model::ReplicaId("replica1"), .host = HostId("control1"), .isVoter = false}}},
         NoOperation {}, ReplacePlan {.base = {}, .version = {1}, .content = "a small plan"},
-        ReplacePlan {.base = {1}, .version = {2}, .content = std::string(LargePlan, 'r')},
+        ReplacePlan {.base = {1}, .version = {2}, .content = std::string(LargePlanBytes, 'r')},
         SetEvacuation {.zone = ZoneName("north-a"), .isEvacuated = true},
         RetireTarget {.target = TargetId("target"), .incarnation = {1'700'000'000'000}}};
 }
@@ -45,7 +45,7 @@
     return state;
 }
 
-/// Changes, drops, repeats and cuts bytes.
+/// Applies random changes: overwrites, removes, duplicates or truncates bytes.
 std::string mutated(std::string bytes, boost::random::mt19937_64& random)
 {
     for (uint64_t change = random() % 4; !bytes.empty() && change < 4; ++change) {
@@ -70,7 +70,7 @@
 
 } // namespace
 
-TEST(ControlDecoders, CommandsComeBackAsTheyWere)
+TEST(ControlDecoders, CommandsSurviveARoundTrip)
 {
     for (const Command& command : allKinds()) {
         const std::string bytes = encodeCommand(command);
@@ -81,23 +81,24 @@
     }
 }
 
-TEST(ControlDecoders, ALargePlanTakesLittleRoomInTheLog)
+TEST(ControlDecoders, LargePlansAreCompressedInTheLog)
 {
-    const ReplacePlan plan {.base = {1}, .version = {2}, .content = std::string(LargePlan, 'r')};
-    EXPECT_LT(encodeCommand(plan).size(), LargePlan / 100);
+    const ReplacePlan plan {.base = {1}, .version = {2}, .content = std::string(LargePlanBytes, 'r')};
+    EXPECT_LT(encodeCommand(plan).size(), LargePlanBytes / 100);
 }
 
-TEST(ControlDecoders, PlansAreReadAsEarlierVersionsWroteThem)
+TEST(ControlDecoders, PlansOfEarlierVersionsAreReadable)
 {
     const nlohmann::json written {
-        {"kind", "plan"}, {"base", 1U}, {"version", 2U}, {"content", std::string(LargePlan, 'r')}};
+        {"kind", "plan"}, {"base", 1U}, {"version", 2U}, {"content", std::string(LargePlanBytes, 'r')}};
     const Result<Command, CodecError> decoded = decodeCommand(encodeCbor(written));
     ASSERT_TRUE(decoded.isOk());
-    EXPECT_EQ(std::get<ReplacePlan>(decoded.value()).content.size(), LargePlan);
+    EXPECT_EQ(std::get<ReplacePlan>(decoded.value()).content.size(), LargePlanBytes);
 }
 
-// Written when a target's id was of one start only: it binds that start, whose time isn't known, and no later one.
-TEST(ControlDecoders, RetirementsAreReadAsEarlierVersionsWroteThem)
+// Earlier software versions did not write the incarnation. Such an order applies to the incarnation with that id when
+// it was written, not to later ones.
+TEST(ControlDecoders, RetirementsOfEarlierVersionsAreReadable)
 {
     const Result<Command, CodecError> decoded
         = decodeCommand(encodeCbor(nlohmann::json {{"kind", "retire"}, {"target", "t-1"}}));
@@ -106,17 +107,17 @@
     EXPECT_EQ(std::get<RetireTarget>(decoded.value()).incarnation, Incarnation {});
 }
 
-TEST(ControlDecoders, SnapshotsComeBackAsTheyWere)
+TEST(ControlDecoders, SnapshotsSurviveARoundTrip)
 {
     const std::string bytes = fullState().encodeSnapshot();
     ControlState copy;
     copy.install(bytes);
     EXPECT_EQ(copy.encodeSnapshot(), bytes);
-    EXPECT_EQ(copy.bundles().all().size(), 2U); // The proposed one and its revert.
+    EXPECT_EQ(copy.bundles().all().size(), 2U); // The proposed bundle and its revert.
     EXPECT_EQ(copy.claims().size(), 1U);
 }
 
-TEST(ControlDecoders, MutatedCommandsAreRefusedOrReadInFull)
+TEST(ControlDecoders, MutatedCommandsAreRejectedOrDecoded)
 {
     boost::random::mt19937_64 random(1);
     int refused = 0;
@@ -131,25 +132,25 @@
     EXPECT_GT(refused, Mutations);
 }
 
-TEST(ControlDecoders, MutatedSnapshotsAreRefusedOrReadInFull)
+TEST(ControlDecoders, MutatedSnapshotsAreRejectedOrDecoded)
 {
     boost::random::mt19937_64 random(2);
     const std::string bytes = fullState().encodeSnapshot();
     int refused = 0;
     for (int round = 0; round < Mutations; ++round) {
         ControlState state;
-        const std::string damaged = mutated(bytes, random);
-        if (!state.configurationIn(damaged)) {
+        const std::string corrupted = mutated(bytes, random);
+        if (!state.configurationIn(corrupted)) {
             ++refused;
             continue;
         }
-        state.install(damaged);
+        state.install(corrupted);
         EXPECT_TRUE(state.configurationIn(state.encodeSnapshot()));
     }
     EXPECT_GT(refused, Mutations / 4);
 }
 
-TEST(ControlDecoders, DeepNestingAndHugeCountsAreRefused)
+TEST(ControlDecoders, DeepNestingAndHugeCountsAreRejected)
 {
     EXPECT_FALSE(decodeCommand(std::string(100000, '\x81')).isOk());
     EXPECT_FALSE(decodeCommand("\x9b\x7f\xff\xff\xff\xff\xff\xff\xff").isOk());
