--- a/src/control/tests/electiontests.cpp
+++ b/src/control/tests/electiontests.cpp
@@ -12,15 +12,15 @@
 
 namespace saltvane::control::test {
 
-// Found on the users' bench (incident inc-4403): after all hosts had been killed at once, candidates of far regions
-// split their votes, and there was no leader for 2.3 s; nothing could be served meanwhile.
-TEST(ElectionTest, AfterAllWereKilledALeaderIsElectedSoon)
+// Guards against split votes after all processes were killed at once: candidates in distant regions split the votes,
+// and without a leader for 2.3 s no requests were served.
+TEST(ElectionTest, LeaderIsElectedSoonAfterAllProcessesWereKilled)
 {
     constexpr size_t AllHosts = 6;
     constexpr uint64_t Seeds = 40;
     Duration sum {};
     for (uint64_t seed = 1; seed <= Seeds; ++seed) {
-        FakeCluster cluster({.seed = seed, .hosts = AllHosts, .leastDelay = 34ms, .mostDelay = 36ms});
+        FakeCluster cluster({.seed = seed, .hosts = AllHosts, .minDelay = 34ms, .maxDelay = 36ms});
         ASSERT_TRUE(cluster.runUntil([&] { return cluster.leader() != nullptr; }));
         cluster.run(2s);
         for (size_t number = 0; number < AllHosts; ++number)
@@ -40,14 +40,14 @@
 namespace {
 
 constexpr size_t Hosts = 6;
-constexpr Duration OneWay = 35ms; ///< Between far regions.
+constexpr Duration OneWayDelay = 35ms; ///< Between distant regions.
 
-FakeClusterOptions farHosts(uint64_t seed)
+FakeClusterOptions distantHosts(uint64_t seed)
 {
-    return {.seed = seed, .hosts = Hosts, .leastDelay = OneWay - 1ms, .mostDelay = OneWay + 1ms};
+    return {.seed = seed, .hosts = Hosts, .minDelay = OneWayDelay - 1ms, .maxDelay = OneWayDelay + 1ms};
 }
 
-/// All processes end at once and are back one after the other within half a second.
+/// Crashes all processes at once and restarts them one after the other within half a second.
 void restartAll(FakeCluster& cluster)
 {
     constexpr Duration LastStart = 500ms;
@@ -62,26 +62,26 @@
 
 } // namespace
 
-// The pattern: every host lost power at once; callers are refused until a leader stands. Four messages one way (tell,
-// answer, vote, its answer), two for the first entry, and the writes: eight times the one-way delay at most, where the
-// waits of hosts that start alone take 0.6 to 1.4 s.
-TEST(ElectionTest, AfterACommonRestartALeaderStandsWithinRoundTrips)
+// Guards against long unavailability after a power loss of all hosts: callers are refused until a leader is elected. An
+// election takes six messages (start notice and its answer, vote request and its reply, the first entry and its
+// acknowledgement) plus disk writes: at most eight one-way delays. The regular election timeouts take 0.6 to 1.4 s.
+TEST(ElectionTest, LeaderIsElectedWithinRoundTripsAfterACommonRestart)
 {
     for (uint64_t seed = 1; seed <= 40; ++seed) {
-        FakeCluster cluster(farHosts(seed));
+        FakeCluster cluster(distantHosts(seed));
         ASSERT_TRUE(cluster.runUntil([&] { return cluster.leader() != nullptr; }));
         cluster.run(2s);
         restartAll(cluster);
         const Timestamp startedAt = cluster.now();
         ASSERT_TRUE(cluster.runUntil([&] { return cluster.leader() != nullptr; })) << "seed " << seed;
-        EXPECT_LT(cluster.now() - startedAt, 8 * OneWay) << "seed " << seed;
+        EXPECT_LT(cluster.now() - startedAt, 8 * OneWayDelay) << "seed " << seed;
     }
 }
 
-TEST(ElectionTest, AHostThatLostItsDiskInTheCommonRestartDelaysNobody)
+TEST(ElectionTest, HostWithALostDiskDoesNotDelayACommonRestart)
 {
     for (uint64_t seed = 1; seed <= 20; ++seed) {
-        FakeCluster cluster(farHosts(seed));
+        FakeCluster cluster(distantHosts(seed));
         ASSERT_TRUE(cluster.runUntil([&] { return cluster.leader() != nullptr; }));
         cluster.run(2s);
         for (size_t number = 0; number < Hosts; ++number)
@@ -92,37 +92,37 @@
             cluster.start(number);
         const Timestamp startedAt = cluster.now();
         ASSERT_TRUE(cluster.runUntil([&] { return cluster.leader() != nullptr; })) << "seed " << seed;
-        EXPECT_LT(cluster.now() - startedAt, 8 * OneWay) << "seed " << seed;
+        EXPECT_LT(cluster.now() - startedAt, 8 * OneWayDelay) << "seed " << seed;
     }
 }
 
-TEST(ElectionTest, ALeaderThatLivesIsNotReplacedWhenAllOthersRestart)
+TEST(ElectionTest, RunningLeaderIsNotReplacedWhenAllOthersRestart)
 {
     for (uint64_t seed = 1; seed <= 20; ++seed) {
-        FakeCluster cluster(farHosts(seed));
+        FakeCluster cluster(distantHosts(seed));
         ASSERT_TRUE(cluster.runUntil([&] { return cluster.leader() != nullptr; }));
         cluster.run(2s);
         FakeHost* const leader = cluster.leader();
-        const size_t leading = cluster.numberOf(*leader);
+        const size_t leaderNumber = cluster.numberOf(*leader);
         const LogTerm term = leader->replica->term();
         for (size_t number = 0; number < Hosts; ++number) {
-            if (number != leading)
+            if (number != leaderNumber)
                 cluster.crash(number);
         }
         for (size_t number = 0; number < Hosts; ++number) {
-            if (number != leading)
+            if (number != leaderNumber)
                 cluster.start(number);
         }
-        // The lease that they acknowledged before must have ended when another one leads.
+        // No other leader may be elected before the lease that they acknowledged has expired.
         const Timestamp startedAt = cluster.now();
         const bool isReplaced = cluster.runUntil(
             [&] {
                 return std::ranges::any_of(std::views::iota(size_t {0}, Hosts),
-                    [&](size_t number) { return number != leading && cluster.host(number).replica->isLeader(); });
+                    [&](size_t number) { return number != leaderNumber && cluster.host(number).replica->isLeader(); });
             },
             600ms);
         EXPECT_FALSE(isReplaced) << "seed " << seed << " after " << toSeconds(cluster.now() - startedAt);
-        EXPECT_EQ(cluster.host(leading).replica->term(), term) << "seed " << seed;
+        EXPECT_EQ(cluster.host(leaderNumber).replica->term(), term) << "seed " << seed;
     }
 }
 
--- a/src/control/tests/fakecluster.cpp
+++ b/src/control/tests/fakecluster.cpp
@@ -11,7 +11,7 @@
 namespace saltvane::control::test {
 
 namespace {
-constexpr Duration TickPeriod = 10ms;
+constexpr Duration TickInterval = 10ms;
 } // namespace
 
 FakeCluster::FakeCluster(const FakeClusterOptions& clusterOptions)
@@ -31,8 +31,8 @@
 
 Duration FakeCluster::delay()
 {
-    const Duration range = options.mostDelay - options.leastDelay;
-    return options.leastDelay + Duration(random(static_cast<uint64_t>(range.count()) + 1));
+    const Duration range = options.maxDelay - options.minDelay;
+    return options.minDelay + Duration(random(static_cast<uint64_t>(range.count()) + 1));
 }
 
 Timestamp FakeCluster::localNow(const FakeHost& host) const
@@ -68,9 +68,9 @@
         .bootstrapHosts = {},
         .bootstrapOperators = {TestOperator("ana").info(), TestOperator("ben").info()},
         .parseBundle = &parseTestBundle,
-        .wallClockUnixMs = [this] { return (now_.time_since_epoch() + wallClockAhead) / 1ms; },
+        .wallClockUnixMs = [this] { return (now_.time_since_epoch() + wallClockOffset) / 1ms; },
         .entriesPerSnapshot = options.entriesPerSnapshot,
-        .snapshotChunk = options.snapshotChunk,
+        .snapshotChunkBytes = options.snapshotChunkBytes,
         .seed = random_(),
         .counters = &host.counters};
     for (const auto& other : hosts_)
@@ -85,7 +85,7 @@
 {
     FakeHost& host = *hosts_[number];
     host.replica.reset();
-    if (host.writing && !host.disk->liesAboutSync)
+    if (host.writing && !host.disk->acknowledgesWithoutSync)
         host.disk->write(*host.writing, steps ? *steps : random(host.writing->append.size() + 4));
     host.writing.reset();
 }
@@ -93,10 +93,10 @@
 void FakeCluster::replaceDisk(size_t number)
 {
     FakeHost& host = *hosts_[number];
-    const bool keepsIdentity = host.disk && host.disk->keepsIdentity;
-    const model::ReplicaId fresh("replica" + std::to_string(++lastReplica_));
-    host.disk = std::make_unique<FakeDisk>(keepsIdentity ? host.disk->replica() : fresh);
-    host.disk->keepsIdentity = keepsIdentity;
+    const bool reusesIdentity = host.disk && host.disk->reusesIdentity;
+    const model::ReplicaId newId("replica" + std::to_string(++lastReplica_));
+    host.disk = std::make_unique<FakeDisk>(reusesIdentity ? host.disk->replica() : newId);
+    host.disk->reusesIdentity = reusesIdentity;
 }
 
 void FakeCluster::cut(size_t left, size_t right)
@@ -120,8 +120,8 @@
     FakeHost& host = *hosts_[number];
     host.replica->tick(localNow(host));
     pump(number);
-    schedule(now_ + TickPeriod,
-        {.host = number, .incarnation = host.incarnation, .act = [this, number](FakeHost&) { tick(number); }});
+    schedule(now_ + TickInterval,
+        {.host = number, .incarnation = host.incarnation, .handler = [this, number](FakeHost&) { tick(number); }});
 }
 
 void FakeCluster::pump(size_t number)
@@ -140,14 +140,14 @@
     FakeHost& host = *hosts_[number];
     const uint64_t sequence = write.sequence;
     host.writing = std::move(write);
-    const Duration sync {random(static_cast<uint64_t>(options.mostSync.count()))};
+    const Duration sync {random(static_cast<uint64_t>(options.maxSyncDelay.count()))};
     schedule(now_ + sync,
-        {.host = number, .incarnation = host.incarnation, .act = [this, number, sequence](FakeHost& writer) {
+        {.host = number, .incarnation = host.incarnation, .handler = [this, number, sequence](FakeHost& writer) {
              const StorageWrite done = *std::exchange(writer.writing, std::nullopt);
              if (writer.disk->isFull) {
                  writer.replica->handle(StorageFailed {.sequence = sequence, .message = "full"}, localNow(writer));
              } else {
-                 if (!writer.disk->liesAboutSync)
+                 if (!writer.disk->acknowledgesWithoutSync)
                      writer.disk->write(done);
                  writer.replica->handle(StorageDone {.sequence = sequence}, localNow(writer));
              }
@@ -175,7 +175,7 @@
         const model::Delivery delivery {
             .from = sender.id, .fromIncarnation = sender.incarnation, .message = outgoing.message};
         schedule(now_ + delay(),
-            {.host = to, .incarnation = (*receiver)->incarnation, .act = [this, to, delivery](FakeHost& host) {
+            {.host = to, .incarnation = (*receiver)->incarnation, .handler = [this, to, delivery](FakeHost& host) {
                  host.replica->handle(delivery, localNow(host));
                  pump(to);
              }});
@@ -190,7 +190,7 @@
     now_ = next.key();
     FakeHost& host = *hosts_[next.mapped().host];
     if (host.replica && host.incarnation == next.mapped().incarnation) {
-        next.mapped().act(host);
+        next.mapped().handler(host);
         if (onEvent)
             onEvent();
     }
@@ -231,7 +231,7 @@
     pump(number);
 }
 
-std::optional<Result<BundleRecord, ControlError>> FakeCluster::ask(Command command)
+std::optional<Result<BundleRecord, ControlError>> FakeCluster::submitAndWait(Command command)
 {
     if (!runUntil([this] { return leader() != nullptr; }))
         return std::nullopt;
--- a/src/control/tests/fakecluster.h
+++ b/src/control/tests/fakecluster.h
@@ -24,48 +24,48 @@
 struct FakeClusterOptions {
     uint64_t seed = 1;
     size_t hosts = 3;
-    Duration leastDelay = 1ms;
-    Duration mostDelay = 10ms; ///< A wide range reorders.
+    Duration minDelay = 1ms;
+    Duration maxDelay = 10ms; ///< A range wider than the send interval reorders messages.
     double loss = 0;
     double duplication = 0;
-    Duration mostSync = 4ms;
+    Duration maxSyncDelay = 4ms;
     uint32_t entriesPerSnapshot = 4096;
-    uint32_t snapshotChunk = 64 * 1024;
+    uint32_t snapshotChunkBytes = 64 * 1024;
 };
 
-/// One control host of a fake cluster.
+/// One control host of a FakeCluster.
 struct FakeHost {
     HostId id;
     std::unique_ptr<FakeDisk> disk;
     std::unique_ptr<IControlReplica> replica; ///< Null while the process is down.
     Incarnation incarnation;
-    double clockRate = 1; ///< Other than 1 breaks what leases rely on.
+    double clockRate = 1; ///< Speed of the monotonic clock. Leases are only safe at 1.
     model::Counters counters;
-    std::optional<StorageWrite> writing;
+    std::optional<StorageWrite> writing; ///< Write in progress.
     std::map<SubmissionId, Result<BundleRecord, ControlError>> answers;
-    std::vector<model::Outgoing> toHosts; ///< What control does not consume: replies to claims.
+    std::vector<model::Outgoing> toHosts; ///< Messages to hosts outside of the cluster: replies to claims.
 };
 
-/// Control replicas over a network and disks in virtual time; every choice follows from the seed.
+/// Control replicas with a simulated network and disks in virtual time. Deterministic for a given seed.
 class FakeCluster {
 public:
     explicit FakeCluster(const FakeClusterOptions& options);
 
     void run(Duration duration);
-    /// False when it did not happen within the time.
+    /// False if the condition did not become true within `limit`.
     [[nodiscard]] bool runUntil(const std::function<bool()>& condition, Duration limit = 30s);
 
     [[nodiscard]] FakeHost& host(size_t number) { return *hosts_.at(number); }
     [[nodiscard]] size_t size() const { return hosts_.size(); }
     [[nodiscard]] Timestamp now() const { return now_; }
     [[nodiscard]] Timestamp localNow(const FakeHost& host) const;
-    /// Established leader that is current; null where none.
+    /// A leader that is current; null if there is none.
     [[nodiscard]] FakeHost* leader();
     [[nodiscard]] size_t numberOf(const FakeHost& host) const;
     [[nodiscard]] bool isUp(size_t number) const { return hosts_[number]->replica != nullptr; }
 
     void start(size_t number);
-    /// The write under way is done in part: so many of its steps, or any number.
+    /// Stops the process. Of a write in progress only `steps` steps reach the disk, by default a random number.
     void crash(size_t number, std::optional<size_t> steps = {});
     void replaceDisk(size_t number);
     void cut(size_t left, size_t right);
@@ -74,20 +74,20 @@
 
     SubmissionId submit(size_t number, Command command);
     void claim(size_t number, const model::Delivery& request);
-    /// Submits at the leader and runs until the answer is there; no value without one in time.
-    std::optional<Result<BundleRecord, ControlError>> ask(Command command);
+    /// Submits at the leader and runs until the answer arrives; no value if it does not arrive in time.
+    std::optional<Result<BundleRecord, ControlError>> submitAndWait(Command command);
     [[nodiscard]] uint64_t random(uint64_t below);
 
-    std::function<void()> onEvent; ///< After each event.
-    std::function<void(model::Message&)> onSend; ///< May tamper with a message.
-    Duration wallClockAhead {}; ///< The hosts' wall clocks jump by it.
+    std::function<void()> onEvent; ///< Called after each event.
+    std::function<void(model::Message&)> onSend; ///< Called for each message; may modify it.
+    Duration wallClockOffset {}; ///< Added to the wall clocks of all hosts.
     FakeClusterOptions options;
 
 private:
     struct Event {
         size_t host = 0;
-        Incarnation incarnation; ///< Of the receiver: links do not outlive it.
-        std::function<void(FakeHost&)> act;
+        Incarnation incarnation; ///< Of the receiver; a restart drops the event.
+        std::function<void(FakeHost&)> handler;
     };
 
     void schedule(Timestamp time, Event event);
--- a/src/control/tests/fakedisk.cpp
+++ b/src/control/tests/fakedisk.cpp
@@ -42,7 +42,7 @@
 RecoveredState FakeDisk::recover() const
 {
     RecoveredState state {.replica = replica_,
-        .isNewDisk = isNew_ && !keepsIdentity,
+        .isNewDisk = isNew_ && !reusesIdentity,
         .hardState = hardState_,
         .snapshotIndex = snapshotIndex_,
         .snapshotTerm = snapshotTerm_,
--- a/src/control/tests/fakedisk.h
+++ b/src/control/tests/fakedisk.h
@@ -12,13 +12,13 @@
 
 namespace saltvane::control::test {
 
-/// The disk of one fake control host: holds what was synced, may be full, or (to prove that the checks can fail)
-/// answer before it synced.
+/// Simulated disk of a control host. It can be full and, to prove that the invariant checks can fail, acknowledge
+/// writes that it did not store.
 class FakeDisk {
 public:
     explicit FakeDisk(model::ReplicaId replica);
 
-    /// Does one write. `steps` cuts it off after so many of its steps, as a crash does.
+    /// Performs a write. `steps` limits the steps performed, as a crash would.
     void write(const StorageWrite& write, size_t steps = SIZE_MAX);
     [[nodiscard]] RecoveredState recover() const;
 
@@ -26,12 +26,12 @@
     [[nodiscard]] const std::map<LogIndex, model::LogEntry>& entries() const { return entries_; }
     [[nodiscard]] LogIndex snapshotIndex() const { return snapshotIndex_; }
     [[nodiscard]] LogTerm snapshotTerm() const { return snapshotTerm_; }
-    /// Grows with each write.
+    /// Number of writes so far.
     [[nodiscard]] uint64_t version() const { return version_; }
 
     bool isFull = false;
-    bool liesAboutSync = false; ///< Says done, keeps nothing.
-    bool keepsIdentity = false; ///< A replaced disk that claims the old replica id.
+    bool acknowledgesWithoutSync = false; ///< Acknowledges writes without storing them.
+    bool reusesIdentity = false; ///< A replacement disk keeps the old replica id.
 
 private:
     model::ReplicaId replica_;
--- a/src/control/tests/invariantchecker.cpp
+++ b/src/control/tests/invariantchecker.cpp
@@ -36,18 +36,18 @@
 {
     for (size_t number = 0; number < cluster.size(); ++number) {
         FakeHost& host = cluster.host(number);
-        Seen& seen = seen_[host.id];
-        checkDisk(host, seen);
-        checkClaims(host, seen);
+        Observed& observed = observed_[host.id];
+        checkDisk(host, observed);
+        checkClaims(host, observed);
         if (!host.replica)
             continue;
         checkLeader(host);
-        checkCommitted(host, seen);
-        noteInForce(host, cluster.now());
+        checkCommitted(host, observed);
+        recordInForce(host, cluster.now());
     }
     for (size_t number = 0; number < cluster.size(); ++number) {
         if (cluster.isUp(number))
-            checkCurrency(cluster, cluster.host(number));
+            checkProof(cluster, cluster.host(number));
     }
 }
 
@@ -62,55 +62,57 @@
         return;
     for (const auto& [index, entry] : committed_) {
         const auto own = host.disk->entries().find(index);
-        const bool holds
+        const bool hasEntry
             = index <= host.disk->snapshotIndex() || (own != host.disk->entries().end() && own->second == entry);
-        if (!holds)
-            return report(Property::CommittedKept, host, "leads without the committed " + textOf(index));
+        if (!hasEntry)
+            return report(
+                Property::CommittedEntriesPreserved, host, "became the leader without the committed " + textOf(index));
     }
 }
 
-void InvariantChecker::checkDisk(const FakeHost& host, Seen& seen)
+void InvariantChecker::checkDisk(const FakeHost& host, Observed& observed)
 {
     const FakeDisk& disk = *host.disk;
-    if (seen.disk == disk.replica() && seen.diskVersion == disk.version())
+    if (observed.disk == disk.replica() && observed.diskVersion == disk.version())
         return;
-    seen.disk = disk.replica();
-    seen.diskVersion = disk.version();
+    observed.disk = disk.replica();
+    observed.diskVersion = disk.version();
     LogIndex previous = disk.snapshotIndex();
     LogTerm previousTerm = disk.snapshotTerm();
     for (const auto& [index, entry] : disk.entries()) {
         if (index.value != previous.value + 1)
             report(Property::LogMatching, host, "gap before " + textOf(index));
         const auto [known, isNew] = entries_.try_emplace(
-            {index, entry.term}, Precedent {.payload = entry.payload, .previousTerm = previousTerm});
+            {index, entry.term}, ObservedEntry {.payload = entry.payload, .previousTerm = previousTerm});
         if (known->second.payload != entry.payload || known->second.previousTerm != previousTerm)
-            report(Property::LogMatching, host, "other entry or predecessor at " + textOf(index));
+            report(Property::LogMatching, host, "different entry or predecessor at " + textOf(index));
         previous = index;
         previousTerm = entry.term;
     }
 }
 
-void InvariantChecker::checkCommitted(const FakeHost& host, Seen& seen)
+void InvariantChecker::checkCommitted(const FakeHost& host, Observed& observed)
 {
     const LogIndex commit = host.replica->commitIndex();
-    if (seen.incarnation != host.incarnation) {
-        seen.incarnation = host.incarnation;
-        seen.commit = {};
+    if (observed.incarnation != host.incarnation) {
+        observed.incarnation = host.incarnation;
+        observed.commit = {};
     }
-    if (commit < seen.commit)
-        report(Property::CommittedKept, host, "commit went back to " + textOf(commit));
-    const LogIndex first {std::max(seen.commit, host.disk->snapshotIndex()).value + 1};
+    if (commit < observed.commit)
+        report(Property::CommittedEntriesPreserved, host, "commit index decreased to " + textOf(commit));
+    const LogIndex first {std::max(observed.commit, host.disk->snapshotIndex()).value + 1};
     for (LogIndex index = first; index <= commit; ++index.value) {
         const auto own = host.disk->entries().find(index);
         if (own == host.disk->entries().end())
-            return report(Property::CommittedKept, host, "committed, but not on its disk: " + textOf(index));
+            return report(
+                Property::CommittedEntriesPreserved, host, "committed entry is not on its disk: " + textOf(index));
         if (committed_.try_emplace(index, own->second).first->second != own->second)
-            report(Property::CommittedKept, host, "committed another entry at " + textOf(index));
+            report(Property::CommittedEntriesPreserved, host, "committed a different entry at " + textOf(index));
     }
-    seen.commit = commit;
+    observed.commit = commit;
 }
 
-void InvariantChecker::noteInForce(const FakeHost& host, Timestamp now)
+void InvariantChecker::recordInForce(const FakeHost& host, Timestamp now)
 {
     const LogPosition position = positionOf(host);
     if (inForce_.empty() || position > inForce_.back().position)
@@ -123,26 +125,26 @@
     return later == inForce_.begin() ? LogPosition {} : std::prev(later)->position;
 }
 
-void InvariantChecker::checkCurrency(FakeCluster& cluster, const FakeHost& host)
+void InvariantChecker::checkProof(FakeCluster& cluster, const FakeHost& host)
 {
     const Timestamp localNow = cluster.localNow(host);
     const LogPosition own = positionOf(host);
     if (host.replica->isLeader() && host.replica->isCurrent(localNow) && own < inForce_.back().position)
-        report(Property::Currency, host, "says that it is current as a leader, but a later bundle is in force");
+        report(Property::CurrentStateProof, host, "a current leader lacks the bundle in force");
     const Duration age = host.replica->proofAge(localNow);
     if (age != Duration::max() && own < inForceBefore(cluster.now() - age))
-        report(Property::Currency, host, "its proof is younger than a bundle that it does not hold");
+        report(Property::CurrentStateProof, host, "its proof is newer than a bundle that it lacks");
 }
 
-void InvariantChecker::checkClaims(const FakeHost& host, Seen& seen)
+void InvariantChecker::checkClaims(const FakeHost& host, Observed& observed)
 {
-    for (; seen.replies < host.toHosts.size(); ++seen.replies) {
-        const auto* reply = std::get_if<model::ClaimReply>(&host.toHosts[seen.replies].message);
+    for (; observed.replies < host.toHosts.size(); ++observed.replies) {
+        const auto* reply = std::get_if<model::ClaimReply>(&host.toHosts[observed.replies].message);
         if (!reply || reply->result != model::ClaimResult::Granted)
             continue;
         const std::string& key = claims_.at(reply->claim);
         if (granted_.try_emplace(key, reply->claim).first->second != reply->claim)
-            report(Property::ClaimedOnce, host, "granted twice: " + key);
+            report(Property::SingleClaim, host, "key granted twice: " + key);
     }
 }
 
--- a/src/control/tests/pullingholdertests.cpp
+++ b/src/control/tests/pullingholdertests.cpp
@@ -21,31 +21,31 @@
 
 LogPosition positionOf(uint64_t index) { return {.term = LogTerm {1}, .index = LogIndex {index}}; }
 
-/// One holder that pulls from two sources, which the test plays.
+/// A bundle holder that pulls from two sources simulated by the test.
 class PullingHolder : public testing::Test {
 protected:
     PullingHolder() { holder_->setPeers(std::vector {First, Second}, {}, now_); }
 
-    /// Sources asked within this time.
+    /// Returns the sources to which pulls are sent within this time.
     std::vector<HostId> run(Duration duration)
     {
-        std::vector<HostId> asked;
+        std::vector<HostId> pulledFrom;
         for (const Timestamp end = now_ + duration; now_ < end; now_ += Step) {
             holder_->tick(now_);
             for (const model::Outgoing& outgoing : holder_->takeOutgoing()) {
                 if (const auto* pull = std::get_if<model::BundlePull>(&outgoing.message)) {
-                    asked.push_back(outgoing.to);
+                    pulledFrom.push_back(outgoing.to);
                     lastPull_ = pull->pull;
                 }
             }
         }
-        return asked;
+        return pulledFrom;
     }
     void push(uint64_t index)
     {
         handle(model::BundlePush {.position = positionOf(index), .version = {index}, .content = "c", .age = 0ms});
     }
-    /// What the source that was asked last holds is current, by a proof of this age.
+    /// Answers the latest pull: the state at `index` is current, with a proof of this age.
     void answer(const HostId& from, uint64_t index, Duration age)
     {
         handle(model::BundleCurrent {.position = positionOf(index), .age = age, .pull = lastPull_}, from);
@@ -63,17 +63,17 @@
 
 } // namespace
 
-TEST_F(PullingHolder, ASourceWhoseProofIsOldIsPassedOver)
+TEST_F(PullingHolder, SourceWithAnOldProofIsAvoided)
 {
     push(1);
     (void)run(Step);
     answer(First, 1, 100ms);
     ASSERT_EQ(run(400ms), std::vector {First});
-    answer(First, 1, 1200ms); // Cut off from the others: it may miss what is in force.
+    answer(First, 1, 1200ms); // The source may be cut off and lack the state in force.
     EXPECT_EQ(run(500ms), std::vector {Second});
 }
 
-TEST_F(PullingHolder, AStartingHostWaitsForAnotherWordThanAnOldProof)
+TEST_F(PullingHolder, StartingHostWaitsForARecentProof)
 {
     push(1);
     (void)run(Step);
@@ -84,34 +84,34 @@
     EXPECT_TRUE(holder_->isReady());
 }
 
-TEST_F(PullingHolder, ANewLinkAfterASilenceIsUsedAtOnce)
+TEST_F(PullingHolder, NewLinkAfterAnOutageIsUsedAtOnce)
 {
     push(1);
     (void)run(Step);
     answer(First, 1, 100ms);
-    (void)run(2s); // Neither source answers any more.
+    (void)run(2s); // Neither source answers.
     (void)run(400ms);
     holder_->noteLinkUp(Second, now_);
     EXPECT_EQ(run(2 * Step), std::vector {Second});
 }
 
-/// Guards against a plan that is never proven on a link whose answers take longer than the time between two pulls.
-TEST_F(PullingHolder, AnAnswerThatComesAfterTheNextPullStillCounts)
+/// Guards against a state that is never confirmed on a link with a round trip longer than the pull interval.
+TEST_F(PullingHolder, AnswerAfterTheNextPullStillCounts)
 {
     push(1);
     (void)run(Step);
     answer(First, 1, 100ms);
     ASSERT_EQ(run(500ms), std::vector {First});
-    const uint64_t late = lastPull_;
+    const uint64_t firstPull = lastPull_;
     ASSERT_EQ(run(500ms), std::vector {Second});
     const Duration answered = holder_->answerAge(now_);
     const Duration proven = holder_->age(now_);
-    handle(model::BundleCurrent {.position = positionOf(1), .age = 100ms, .pull = late});
+    handle(model::BundleCurrent {.position = positionOf(1), .age = 100ms, .pull = firstPull});
     EXPECT_LT(holder_->answerAge(now_), answered);
     EXPECT_LT(holder_->age(now_), proven);
 }
 
-TEST_F(PullingHolder, AnswersWithoutAProofTellOnlyThatTheSourceIsHeard)
+TEST_F(PullingHolder, AnswersWithoutAProofUpdateOnlyTheAnswerAge)
 {
     push(1);
     (void)run(Step);
@@ -124,7 +124,7 @@
     EXPECT_EQ(holder_->provenAnswerAge(now_), proven);
 }
 
-TEST_F(PullingHolder, APullWithoutAnAnswerIsFollowedByOneToAnotherSource)
+TEST_F(PullingHolder, UnansweredPullIsFollowedByOneToAnotherSource)
 {
     holder_ = makeBundleHolder(
         {.self = Relay, .pullPeriod = 500ms, .unansweredAfter = 200ms, .staleAfter = 1s, .isSource = false});
--- a/src/control/tests/randomrun.cpp
+++ b/src/control/tests/randomrun.cpp
@@ -27,32 +27,32 @@
     const auto below = [&random](uint64_t limit) { return random() % limit; };
     return {.seed = seed,
         .hosts = below(3) == 0 ? 5U : 3U,
-        .leastDelay = 1ms,
-        .mostDelay = Duration(1ms) * static_cast<int64_t>(2 + below(60)),
+        .minDelay = 1ms,
+        .maxDelay = Duration(1ms) * static_cast<int64_t>(2 + below(60)),
         .loss = static_cast<double>(below(20)) / 100,
         .duplication = static_cast<double>(below(20)) / 100,
-        .mostSync = Duration(1ms) * static_cast<int64_t>(1 + below(30)),
+        .maxSyncDelay = Duration(1ms) * static_cast<int64_t>(1 + below(30)),
         .entriesPerSnapshot = static_cast<uint32_t>(4 + below(40)),
-        .snapshotChunk = static_cast<uint32_t>(100 + below(2000))};
+        .snapshotChunkBytes = static_cast<uint32_t>(100 + below(2000))};
 }
 
-RandomRun::RandomRun(uint64_t seed, Breakage breakage)
+RandomRun::RandomRun(uint64_t seed, Fault fault)
     : cluster_(optionsOf(seed))
-    , breakage_(breakage)
+    , fault_(fault)
 {
     cluster_.onEvent = [this] { checker_.check(cluster_); };
-    if (breakage_ == Breakage::SlowClock)
+    if (fault_ == Fault::SlowClock)
         cluster_.host(anyHost()).clockRate = SlowClockRate;
     for (size_t number = 0; number < cluster_.size(); ++number) {
-        cluster_.host(number).disk->liesAboutSync = breakage_ == Breakage::UnsyncedDisk;
-        cluster_.host(number).disk->keepsIdentity = breakage_ == Breakage::ReusedIdentity;
+        cluster_.host(number).disk->acknowledgesWithoutSync = fault_ == Fault::UnsyncedDisk;
+        cluster_.host(number).disk->reusesIdentity = fault_ == Fault::ReusedIdentity;
     }
-    breakMessages();
+    tamperWithMessages();
 }
 
-void RandomRun::breakMessages()
+void RandomRun::tamperWithMessages()
 {
-    if (breakage_ == Breakage::ForgedVotes) {
+    if (fault_ == Fault::ForgedVotes) {
         cluster_.onSend = [](model::Message& message) {
             auto* vote = std::get_if<model::VoteReply>(&message);
             if (!vote || std::exchange(vote->isGranted, true))
@@ -60,7 +60,7 @@
             vote->term.value += vote->isPreVote ? 1 : 0;
         };
     }
-    if (breakage_ == Breakage::AlteredEntry) {
+    if (fault_ == Fault::AlteredEntry) {
         cluster_.onSend = [this](model::Message& message) {
             auto* append = std::get_if<model::AppendRequest>(&message);
             if (append && !append->entries.empty() && cluster_.random(50) == 0)
@@ -72,25 +72,26 @@
 void RandomRun::run(Duration duration)
 {
     const Timestamp end = cluster_.now() + duration;
-    while (cluster_.now() < end && (breakage_ == Breakage::None || checker_.violations().empty())) {
+    while (cluster_.now() < end && (fault_ == Fault::None || checker_.violations().empty())) {
         cluster_.run(Duration(1ms) * static_cast<int64_t>(1 + cluster_.random(150)));
-        act();
+        performRandomAction();
         checker_.check(cluster_);
     }
 }
 
-void RandomRun::act()
+void RandomRun::performRandomAction()
 {
-    struct Act {
+    struct Action {
         uint64_t weight;
         void (RandomRun::*run)();
     };
-    constexpr std::array Acts {Act {35, &RandomRun::propose}, Act {15, &RandomRun::claim},
-        Act {4, &RandomRun::crashOne}, Act {25, &RandomRun::startOne}, Act {7, &RandomRun::cutOne},
-        Act {6, &RandomRun::fillOrMendOne}, Act {8, &RandomRun::loseDisk}};
+    constexpr std::array Actions {Action {35, &RandomRun::propose}, Action {15, &RandomRun::claim},
+        Action {4, &RandomRun::crashRandomHost}, Action {25, &RandomRun::startRandomHost},
+        Action {7, &RandomRun::cutRandomLinks}, Action {6, &RandomRun::toggleFullDisk},
+        Action {8, &RandomRun::loseDisk}};
     constexpr uint64_t WeightSum = 100;
     uint64_t pick = cluster_.random(WeightSum);
-    for (const Act& candidate : Acts) {
+    for (const Action& candidate : Actions) {
         if (pick < candidate.weight)
             return (this->*candidate.run)();
         pick -= candidate.weight;
@@ -120,10 +121,10 @@
     const size_t number = leaderOrAny();
     if (!cluster_.isUp(number))
         return;
-    if (breakage_ == Breakage::JumpingWallClock && cluster_.random(10) == 0)
-        cluster_.wallClockAhead += 2 * ClaimRetention;
+    if (fault_ == Fault::JumpingWallClock && cluster_.random(10) == 0)
+        cluster_.wallClockOffset += 2 * ClaimRetention;
     const std::string key = std::to_string(cluster_.random(ClaimKeys));
-    checker_.noteClaim(++lastClaim_, key);
+    checker_.recordClaim(++lastClaim_, key);
     cluster_.claim(number,
         {.from = HostId("entry" + std::to_string(cluster_.random(3))),
             .fromIncarnation = Incarnation {1},
@@ -134,21 +135,21 @@
                 .retention = ClaimRetention}});
 }
 
-void RandomRun::crashOne()
+void RandomRun::crashRandomHost()
 {
     const size_t number = anyHost();
     if (cluster_.isUp(number))
         cluster_.crash(number);
 }
 
-void RandomRun::startOne()
+void RandomRun::startRandomHost()
 {
     const size_t number = anyHost();
     if (!cluster_.isUp(number))
         cluster_.start(number);
 }
 
-void RandomRun::cutOne()
+void RandomRun::cutRandomLinks()
 {
     if (cluster_.random(3) != 0)
         return cluster_.healLinks();
@@ -160,10 +161,10 @@
         cluster_.cut(left, right);
 }
 
-void RandomRun::fillOrMendOne() { cluster_.host(anyHost()).disk->isFull = cluster_.random(4) == 0; }
+void RandomRun::toggleFullDisk() { cluster_.host(anyHost()).disk->isFull = cluster_.random(4) == 0; }
 
-/// Every disk is a voter's, as a committed configuration says: then a quorum bears the loss of one more.
-bool RandomRun::isWhole()
+/// Whether every disk belongs to a voter of the committed configuration, so that the loss of one disk is tolerated.
+bool RandomRun::allDisksHaveVoters()
 {
     FakeHost* leader = cluster_.leader();
     if (!leader || leader->replica->replicas().size() != cluster_.size())
@@ -180,8 +181,8 @@
 void RandomRun::loseDisk()
 {
     const size_t number = anyHost();
-    const bool mayLose = breakage_ == Breakage::ReusedIdentity || isWhole();
-    if (!mayLose)
+    const bool isLossTolerated = fault_ == Fault::ReusedIdentity || allDisksHaveVoters();
+    if (!isLossTolerated)
         return;
     if (cluster_.isUp(number))
         cluster_.crash(number);
@@ -190,7 +191,7 @@
     ++diskLosses_;
 }
 
-bool RandomRun::isEven()
+bool RandomRun::hasConverged()
 {
     for (size_t number = 0; number < cluster_.size(); ++number) {
         const FakeHost& host = cluster_.host(number);
@@ -204,7 +205,7 @@
         if ((inForce ? inForce->approved : LogPosition {}) != (expected ? expected->approved : LogPosition {}))
             return false;
     }
-    return isWhole();
+    return allDisksHaveVoters();
 }
 
 std::string RandomRun::describe()
@@ -216,8 +217,8 @@
         if (!host.replica)
             continue;
         text += " term " + std::to_string(host.replica->term().value) + " commit "
-            + std::to_string(host.replica->commitIndex().value) + (host.replica->isLeader() ? " leads" : "")
-            + (host.replica->isCurrent(cluster_.localNow(host)) ? " current" : "") + " disk to "
+            + std::to_string(host.replica->commitIndex().value) + (host.replica->isLeader() ? " leader" : "")
+            + (host.replica->isCurrent(cluster_.localNow(host)) ? " current" : "") + " disk up to "
             + std::to_string(host.disk->snapshotIndex().value) + "+" + std::to_string(host.disk->entries().size())
             + " replicas";
         for (const ReplicaInfo& info : host.replica->replicas())
@@ -235,7 +236,7 @@
         if (!cluster_.isUp(number))
             cluster_.start(number);
     }
-    return cluster_.runUntil([this] { return isEven(); }, 60s);
+    return cluster_.runUntil([this] { return hasConverged(); }, 60s);
 }
 
 } // namespace saltvane::control::test
--- a/src/control/tests/randomrun.h
+++ b/src/control/tests/randomrun.h
@@ -14,50 +14,50 @@
 
 namespace saltvane::control::test {
 
-/// What a run breaks on purpose, to prove that the checks see it.
-enum class Breakage {
+/// Deliberate faults, to prove that the checks detect them.
+enum class Fault {
     None,
-    UnsyncedDisk, ///< Disks answer before they keep anything.
-    ReusedIdentity, ///< A replaced disk claims to be the old one.
-    ForgedVotes, ///< Refused votes arrive as granted.
-    AlteredEntry, ///< Entries change on their way.
-    SlowClock, ///< One host's monotonic clock runs at a third of the speed.
-    JumpingWallClock ///< The wall clock jumps over the retention of claims.
+    UnsyncedDisk, ///< Disks acknowledge writes without storing them.
+    ReusedIdentity, ///< A replacement disk keeps the old replica id.
+    ForgedVotes, ///< Refused votes are delivered as granted.
+    AlteredEntry, ///< Entries are modified in transit.
+    SlowClock, ///< One host's monotonic clock runs at a third of normal speed.
+    JumpingWallClock ///< The wall clock jumps by more than the retention of claims.
 };
 
-/// One run over replicas with loss, delay, duplication, reordering, cuts, crashes in the middle of writes, full and
-/// lost disks, and so membership changes. Everything follows from the seed.
+/// Randomized run of a cluster with message loss, delay, duplication and reordering, network partitions, crashes during
+/// writes, full disks and lost disks, which cause configuration changes. Deterministic for a given seed.
 class RandomRun {
 public:
-    explicit RandomRun(uint64_t seed, Breakage breakage = Breakage::None);
+    explicit RandomRun(uint64_t seed, Fault fault = Fault::None);
 
     void run(Duration duration);
-    /// Mends everything. True once all replicas vote, are current and hold the same.
+    /// Ends all failures. True if all replicas become voters, current and equal.
     [[nodiscard]] bool recovers();
-    /// One line a host, for failures.
+    /// State of each host, one line per host, for failure messages.
     [[nodiscard]] std::string describe();
     [[nodiscard]] const InvariantChecker& checker() const { return checker_; }
     [[nodiscard]] uint64_t diskLosses() const { return diskLosses_; }
 
 private:
-    void breakMessages();
-    void act();
+    void tamperWithMessages();
+    void performRandomAction();
     void propose();
     void claim();
-    void crashOne();
-    void startOne();
-    void cutOne();
-    void fillOrMendOne();
+    void crashRandomHost();
+    void startRandomHost();
+    void cutRandomLinks();
+    void toggleFullDisk();
     void loseDisk();
     [[nodiscard]] size_t leaderOrAny();
-    [[nodiscard]] bool isWhole();
-    [[nodiscard]] bool isEven();
+    [[nodiscard]] bool allDisksHaveVoters();
+    [[nodiscard]] bool hasConverged();
     [[nodiscard]] size_t anyHost() { return cluster_.random(cluster_.size()); }
     [[nodiscard]] static FakeClusterOptions optionsOf(uint64_t seed);
 
     InvariantChecker checker_;
     FakeCluster cluster_;
-    Breakage breakage_;
+    Fault fault_;
     TestOperator ana_ {"ana"};
     TestOperator ben_ {"ben"};
     uint64_t lastVersion_ = 0;
--- a/src/control/tests/replicachangetests.cpp
+++ b/src/control/tests/replicachangetests.cpp
@@ -35,10 +35,10 @@
 
 } // namespace
 
-TEST(ReplicaChanges, ReplacedDiskReturnsUnderItsNewIdentity)
+TEST(ReplicaChanges, HostWithANewDiskRejoinsWithANewReplicaId)
 {
     FakeCluster cluster({});
-    ASSERT_TRUE(cluster.ask(Ana.propose(1)));
+    ASSERT_TRUE(cluster.submitAndWait(Ana.propose(1)));
     const size_t number = cluster.numberOf(*cluster.leader()) == 2 ? 1 : 2;
     const model::ReplicaId old = cluster.host(number).disk->replica();
     replaceHost(cluster, number);
@@ -50,11 +50,11 @@
     EXPECT_EQ(std::ranges::find(replicas, old, &ReplicaInfo::replica), replicas.end());
 }
 
-TEST(ReplicaChanges, EveryHostLosesItsDiskInTurnAndNothingIsLost)
+TEST(ReplicaChanges, NoDataIsLostWhenEveryHostLosesItsDiskInTurn)
 {
     FakeCluster cluster({});
-    ASSERT_TRUE(cluster.ask(Ana.propose(1)));
-    ASSERT_TRUE(cluster.ask(Ben.approve(1)));
+    ASSERT_TRUE(cluster.submitAndWait(Ana.propose(1)));
+    ASSERT_TRUE(cluster.submitAndWait(Ben.approve(1)));
     for (size_t number = 0; number < 3; ++number) {
         replaceHost(cluster, number);
         ASSERT_TRUE(cluster.runUntil([&] { return isVoter(cluster, number); })) << number;
@@ -62,15 +62,15 @@
     ASSERT_EQ(cluster.leader()->replica->inForce()->version, BundleVersion {1});
 }
 
-TEST(ReplicaChanges, LearnerDoesNotCountBeforeItHoldsWhatWasCommitted)
+TEST(ReplicaChanges, LearnerDoesNotCountBeforeItHasCaughtUp)
 {
     FakeCluster cluster({});
-    ASSERT_TRUE(cluster.ask(Ana.propose(1)));
+    ASSERT_TRUE(cluster.submitAndWait(Ana.propose(1)));
     const size_t leader = cluster.numberOf(*cluster.leader());
     const size_t learner = (leader + 1) % 3;
     const size_t other = (leader + 2) % 3;
     replaceHost(cluster, learner);
-    // Its acknowledgements tell of nothing: it is let in, but may not count.
+    // Without progress in its acknowledgements the replica is added as a learner, but must not count for a quorum.
     cluster.onSend = [&](model::Message& message) {
         auto* reply = std::get_if<model::AppendReply>(&message);
         if (reply && reply->replica == cluster.host(learner).disk->replica())
@@ -84,19 +84,19 @@
     ASSERT_TRUE(cluster.runUntil(isLearner));
     cluster.cut(leader, other);
     cluster.run(5s);
-    EXPECT_EQ(cluster.leader(), nullptr) << "the learner made a quorum";
+    EXPECT_EQ(cluster.leader(), nullptr) << "the learner counted for a quorum";
     cluster.healLinks();
     cluster.onSend = nullptr;
     ASSERT_TRUE(cluster.runUntil([&] { return isVoter(cluster, learner); }));
-    // Now a second host may be lost at once.
+    // With the learner promoted, the loss of another host is tolerated.
     replaceHost(cluster, leader);
-    ASSERT_TRUE(cluster.ask(Ben.approve(1)));
+    ASSERT_TRUE(cluster.submitAndWait(Ben.approve(1)));
 }
 
-TEST(ReplicaChanges, LearnerAsksAgainWhenTheLeaderThatLetItInIsLost)
+TEST(ReplicaChanges, LearnerRequestsAgainWhenTheLeaderThatAddedItIsLost)
 {
     FakeCluster cluster({.hosts = 5});
-    ASSERT_TRUE(cluster.ask(Ana.propose(1)));
+    ASSERT_TRUE(cluster.submitAndWait(Ana.propose(1)));
     const size_t leader = cluster.numberOf(*cluster.leader());
     const size_t learner = (leader + 1) % 5;
     replaceHost(cluster, learner);
@@ -112,10 +112,10 @@
     EXPECT_TRUE(cluster.runUntil([&] { return isVoter(cluster, learner); }));
 }
 
-TEST(ReplicaChanges, EmptyDisksBesideOneThatHoldsAnythingStartNothingNew)
+TEST(ReplicaChanges, EmptyDisksDoNotBootstrapWhileOneDiskHasData)
 {
     FakeCluster cluster({});
-    ASSERT_TRUE(cluster.ask(Ana.propose(1)));
+    ASSERT_TRUE(cluster.submitAndWait(Ana.propose(1)));
     replaceHost(cluster, 0);
     replaceHost(cluster, 1);
     EXPECT_FALSE(cluster.runUntil([&] { return cluster.leader() != nullptr; }, 30s));
--- a/src/control/tests/routingtabletests.cpp
+++ b/src/control/tests/routingtabletests.cpp
@@ -15,7 +15,7 @@
 
 } // namespace
 
-TEST(RoutingTableTest, ASnapshotHoldsEverything)
+TEST(RoutingTableTest, SnapshotContainsTheCompleteState)
 {
     RoutingTable table;
     EXPECT_TRUE(table.apply(ReplacePlan {.version = {3}, .content = "three"}, at(1)));
@@ -27,12 +27,12 @@
     EXPECT_EQ(copy->toJson(), table.toJson());
     EXPECT_EQ(copy->state().planContent, "five");
     EXPECT_EQ(copy->state().ordersPosition, at(4));
-    // A resend is told from a new plan also after the snapshot.
-    const auto again = copy->answerFor(ReplacePlan {.version = {3}, .content = "three"});
-    EXPECT_TRUE(again && again->isOk());
+    // Resends are still recognized after the snapshot is restored.
+    const auto resend = copy->answerFor(ReplacePlan {.version = {3}, .content = "three"});
+    EXPECT_TRUE(resend && resend->isOk());
 }
 
-TEST(RoutingTableTest, OtherContentUnderATakenVersionIsAConflict)
+TEST(RoutingTableTest, OtherContentOfAnAcceptedVersionIsAConflict)
 {
     RoutingTable table;
     EXPECT_TRUE(table.apply(ReplacePlan {.version = {3}, .content = "three"}, at(1)));
@@ -45,7 +45,7 @@
     EXPECT_EQ(table.state().planPosition, at(1));
 }
 
-TEST(RoutingTableTest, ARetirementBindsItsStartAndThoseBefore)
+TEST(RoutingTableTest, RetirementAppliesToItsIncarnationAndEarlierOnes)
 {
     RoutingTable table;
     EXPECT_TRUE(table.apply(RetireTarget {.target = TargetId("t"), .incarnation = {20}}, at(1)));
@@ -56,7 +56,7 @@
     EXPECT_EQ(table.state().ordersPosition, at(2));
 }
 
-TEST(RoutingTableTest, SnapshotsOfEarlierVersionsAreRead)
+TEST(RoutingTableTest, SnapshotsOfEarlierVersionsAreReadable)
 {
     RoutingTable table;
     EXPECT_TRUE(table.apply(RetireTarget {.target = TargetId("t"), .incarnation = {20}}, at(1)));
@@ -68,28 +68,28 @@
     EXPECT_FALSE(read->answerFor(RetireTarget {.target = TargetId("u"), .incarnation = {1}}));
 }
 
-TEST(RoutingTableTest, TheOldestRetirementsAreForgottenFirst)
+TEST(RoutingTableTest, OldestRetirementsAreRemovedFirst)
 {
     RoutingTable table;
-    constexpr size_t Beyond = 10;
-    for (size_t i = 0; i < RoutingState::KeptRetiredTargets + Beyond; ++i)
+    constexpr size_t ExcessTargets = 10;
+    for (size_t i = 0; i < RoutingState::KeptRetiredTargets + ExcessTargets; ++i)
         EXPECT_TRUE(table.apply(RetireTarget {.target = TargetId("t" + std::to_string(i))}, at(i + 1)));
     EXPECT_EQ(table.state().retiredTargets.inOrder().size(), RoutingState::KeptRetiredTargets);
     EXPECT_FALSE(table.answerFor(RetireTarget {.target = TargetId("t0")}));
-    EXPECT_TRUE(table.answerFor(RetireTarget {.target = TargetId("t" + std::to_string(Beyond))}));
+    EXPECT_TRUE(table.answerFor(RetireTarget {.target = TargetId("t" + std::to_string(ExcessTargets))}));
 }
 
-TEST(RoutingTableTest, DamagedSnapshotsAreRefused)
+TEST(RoutingTableTest, IncompleteOrInvalidSnapshotsAreRejected)
 {
-    const nlohmann::json whole = RoutingTable().toJson();
-    for (const auto& [key, value] : whole.items()) {
-        nlohmann::json less = whole;
-        less.erase(key);
-        EXPECT_FALSE(RoutingTable::fromJson(less)) << key;
+    const nlohmann::json complete = RoutingTable().toJson();
+    for (const auto& [key, value] : complete.items()) {
+        nlohmann::json incomplete = complete;
+        incomplete.erase(key);
+        EXPECT_FALSE(RoutingTable::fromJson(incomplete)) << key;
     }
-    nlohmann::json wrong = whole;
-    wrong["retired"] = {1, 2};
-    EXPECT_FALSE(RoutingTable::fromJson(wrong));
+    nlohmann::json invalid = complete;
+    invalid["retired"] = {1, 2};
+    EXPECT_FALSE(RoutingTable::fromJson(invalid));
 }
 
 } // namespace saltvane::control
--- a/src/control/tests/testbundles.cpp
+++ b/src/control/tests/testbundles.cpp
@@ -13,8 +13,8 @@
 
 namespace {
 
-constexpr std::string_view VersionWord = "version ";
-constexpr std::string_view OperatorsWord = "|operators ";
+constexpr std::string_view VersionPrefix = "version ";
+constexpr std::string_view OperatorsPrefix = "|operators ";
 
 std::string toBase64(std::string_view bytes)
 {
@@ -91,23 +91,24 @@
 
 std::string bundleText(uint64_t version, std::string_view note, std::string_view operators)
 {
-    return std::string(VersionWord) + std::to_string(version) + std::string(OperatorsWord) + std::string(operators)
+    return std::string(VersionPrefix) + std::to_string(version) + std::string(OperatorsPrefix) + std::string(operators)
         + "|" + std::string(note);
 }
 
 Result<model::Bundle, Findings> parseTestBundle(std::string_view content)
 {
     model::Bundle bundle;
-    const size_t operators = content.find(OperatorsWord);
+    const size_t operators = content.find(OperatorsPrefix);
     const size_t note = content.find('|', operators + 1);
-    if (!content.starts_with(VersionWord) || operators == content.npos || note == content.npos) {
+    if (!content.starts_with(VersionPrefix) || operators == content.npos || note == content.npos) {
         Findings findings;
         findings.add({.place = {.source = "test"}, .field = "version", .message = "missing"});
         return findings;
     }
-    const std::string_view number = content.substr(VersionWord.size(), operators - VersionWord.size());
+    const std::string_view number = content.substr(VersionPrefix.size(), operators - VersionPrefix.size());
     std::from_chars(number.data(), number.data() + number.size(), bundle.version.value);
-    std::string_view names = content.substr(operators + OperatorsWord.size(), note - operators - OperatorsWord.size());
+    std::string_view names
+        = content.substr(operators + OperatorsPrefix.size(), note - operators - OperatorsPrefix.size());
     while (!names.empty()) {
         const size_t end = std::min(names.find(','), names.size());
         bundle.operators.push_back(TestOperator(names.substr(0, end)).info());
--- a/src/control/tests/testbundles.h
+++ b/src/control/tests/testbundles.h
@@ -12,7 +12,7 @@
 
 namespace saltvane::control::test {
 
-/// An operator with a key pair that follows from the name.
+/// An operator whose key pair is derived from the name.
 class TestOperator {
 public:
     explicit TestOperator(std::string_view name);
@@ -32,10 +32,10 @@
     std::string secretKey_;
 };
 
-/// Content in the tests' own syntax: "version N|operators a,b|note".
+/// Bundle content in a test format: "version N|operators a,b|note".
 [[nodiscard]] std::string bundleText(
     uint64_t version, std::string_view note = "", std::string_view operators = "ana,ben");
-/// Reads bundleText; anything else has findings.
+/// Parses the format of bundleText; anything else gives a finding.
 [[nodiscard]] Result<model::Bundle, Findings> parseTestBundle(std::string_view content);
 
 } // namespace saltvane::control::test
