--- a/src/host/hosttypes.h
+++ b/src/host/hosttypes.h
@@ -16,7 +16,7 @@
 #include <variant>
 #include <vector>
 
-/// What goes into a host's core and what comes out of it.
+/// Events that a host's core handles and actions that it returns.
 namespace saltvane::host {
 
 struct LinkUp {
@@ -26,10 +26,10 @@
 struct LinkDown {
     HostId host;
 };
-/// SIGTERM: planned stop. A second one, or the time limit, ends what is left.
+/// SIGTERM: starts a planned stop. A second one, or the time limit, terminates the remaining requests.
 struct StopRequested { };
 
-/// The settings name other seeds now. Nothing else of them changes while a process runs.
+/// The settings list other seeds now. No other setting changes while the process runs.
 struct SeedsChanged {
     std::vector<model::Address> seeds;
 };
@@ -37,16 +37,16 @@
 using Event = std::variant<requests::HttpEvent, requests::TargetEvent, model::Delivery, LinkUp, LinkDown,
     control::StorageDone, control::StorageFailed, StopRequested, SeedsChanged>;
 
-/// Keep a link to this address; the host id may be empty for a seed. Repeated each time the set changes.
+/// The complete set of peers to keep links to; emitted again each time the set changes.
 struct LinksWanted {
     struct Peer {
-        HostId host;
+        HostId host; ///< May be empty for a seed.
         model::Address address;
         auto operator<=>(const Peer&) const = default;
     };
     std::vector<Peer> peers;
 };
-/// What callers may send at this host's front, from now on.
+/// Limits on what callers may send to this host, in effect from now on.
 struct CallerLimitsChanged {
     model::CallerLimits limits;
 };
@@ -56,21 +56,21 @@
     std::string module;
     std::string text; ///< key=value pairs.
 };
-/// The planned stop is over; the process may exit.
+/// The planned stop is complete; the process may exit.
 struct StopFinished {
     uint32_t requestsCut = 0;
 };
 
-/// Actions, to be carried out in order.
-/// What a host finds again at its next start. It may be lost, and holds no promise.
+/// State that a host restores at its next start. Losing it is safe: no guarantee depends on it.
 struct SoftState {
-    model::TargetReport targets; ///< That reported to this host.
-    model::SuspectReport suspects; ///< Requests that are blamed for the end of targets.
+    model::TargetReport targets; ///< Targets that reported to this host.
+    model::SuspectReport suspects; ///< Requests that are blamed for failures of targets.
 };
-/// For the data folder.
+/// Writes the soft state to the data folder.
 struct SoftStateWrite {
     SoftState state;
 };
+/// The driver carries out actions in the order in which they were returned.
 using Action = std::variant<requests::Action, control::StorageWrite, SoftStateWrite, LinksWanted, CallerLimitsChanged,
     LogLine, StopFinished>;
 
@@ -95,17 +95,17 @@
     LogPosition inForce;
     BundleVersion inForceVersion;
     Duration stateAge {};
-    Duration wordAge {}; ///< Of a gateway: since it asked the registry something that was answered with a proof.
+    Duration wordAge {}; ///< Of a gateway: since it sent the last registry request whose response carried a proof.
     std::vector<ZoneStatus> zones;
     std::vector<model::HostRecord> hosts;
     std::vector<model::RouteRow> rows;
-    std::vector<ServiceName> services; ///< Of the bundle in force.
-    std::vector<double> shiftProgress; ///< By service of the bundle.
+    std::vector<ServiceName> services; ///< In the bundle in force.
+    std::vector<double> shiftProgress; ///< In the order of `services`.
     uint32_t requestsInFlight = 0;
     uint32_t dispatchesInFlight = 0;
     uint32_t targetsKnown = 0; ///< Of a gateway or registry host.
     uint32_t gatewaysKnown = 0; ///< Of a registry host.
-    uint64_t callBytes = 0; ///< Of a registry host: bodies, orders and answers of calls under way.
+    uint64_t callBytes = 0; ///< Of a registry host: bytes of bodies, orders and responses of calls in progress.
 };
 
 } // namespace saltvane::host
--- a/src/host/ihostcore.h
+++ b/src/host/ihostcore.h
@@ -20,31 +20,31 @@
 
 namespace saltvane::host {
 
-/// How often a driver calls tick.
-inline constexpr Duration TickPeriod = 10ms;
+/// Interval at which a driver calls tick.
+inline constexpr Duration TickInterval = 10ms;
 
-/// A whole host without I/O. A driver delivers events and ticks with its own time and carries out the actions.
-/// No clock, socket, file, thread or unseeded random number inside. docs/ARCHITECTURE.md
+/// The complete logic of a host, without I/O. A driver delivers events and ticks with the current time and carries out
+/// the returned actions. Uses no clock, socket, file, thread or unseeded random number (docs/ARCHITECTURE.md).
 class IHostCore {
 public:
     virtual ~IHostCore() = default;
     virtual void handle(Event event, Timestamp now) = 0;
     virtual void tick(Timestamp now) = 0;
     [[nodiscard]] virtual std::vector<Action> takeActions() = 0;
-    /// How often tick is to be called.
-    [[nodiscard]] virtual Duration tickPeriod() const { return TickPeriod; }
+    /// Interval at which the driver must call tick.
+    [[nodiscard]] virtual Duration tickPeriod() const { return TickInterval; }
     [[nodiscard]] virtual HostStatus status(Timestamp now) const = 0;
     [[nodiscard]] virtual const model::Counters& counters() const = 0;
-    /// Histograms by kind of request and stage; none where a host keeps none.
+    /// Latency histograms by kind of request and stage; empty for a host that records none.
     [[nodiscard]] virtual std::span<const model::StageLatency> latencies() const { return {}; }
 };
 
 struct HostCoreOptions {
     settings::HostSettings settings;
-    Incarnation incarnation; ///< Greater than that of any earlier start of this host.
-    std::optional<control::RecoveredState> recovered; ///< With the control role.
+    Incarnation incarnation; ///< Greater than that of every earlier start of this host.
+    std::optional<control::RecoveredState> recovered; ///< Set on control hosts only.
     uint64_t seed = 1;
-    std::function<int64_t()> wallClockUnixMs; ///< For the control role.
+    std::function<int64_t()> wallClockUnixMs; ///< Set on control hosts only.
 };
 
 [[nodiscard]] std::unique_ptr<IHostCore> makeHostCore(HostCoreOptions options);
--- a/src/host/internal/announceapi.cpp
+++ b/src/host/internal/announceapi.cpp
@@ -16,19 +16,19 @@
 
 namespace {
 
-constexpr std::string_view KeyHeader = "Saltvane-Announce-Key";
-constexpr size_t LargestName = 128;
-constexpr uint64_t LargestNumber = std::numeric_limits<int64_t>::max();
-constexpr uint64_t LargestSlots = 10000;
-constexpr uint64_t LargestConnections = 1000000;
-/// A target that was cut off for months must still be heard.
-constexpr uint64_t LargestLeaseAgeMs = 10ull * 365 * 24 * 3600 * 1000;
+constexpr std::string_view AnnounceKeyHeader = "Saltvane-Announce-Key";
+constexpr size_t MaxNameBytes = 128;
+constexpr uint64_t MaxInteger = std::numeric_limits<int64_t>::max();
+constexpr uint64_t MaxSlots = 10000;
+constexpr uint64_t MaxConnections = 1000000;
+/// Generous, so that the announcement of a target that was cut off for months is still accepted.
+constexpr uint64_t MaxLeaseAgeMs = 10ull * 365 * 24 * 3600 * 1000;
 
 void readLoad(FieldReader& reader, membership::Announcement& announcement)
 {
-    // Other members of the load are the target's own business.
+    // Other members of the load are allowed and ignored; targets may define their own.
     if (std::optional<FieldReader> load = reader.object("load"))
-        announcement.busySlots = static_cast<uint32_t>(load->number("busy_slots", 0, LargestConnections));
+        announcement.busySlots = static_cast<uint32_t>(load->number("busy_slots", 0, MaxConnections));
 }
 
 void readLease(FieldReader& reader, membership::Announcement& announcement)
@@ -36,30 +36,30 @@
     std::optional<FieldReader> lease = reader.object("lease");
     if (!lease)
         return;
-    announcement.leaseOwner = HostId(lease->text("owner", LargestName));
-    announcement.leaseOwnerIncarnation = {lease->number("incarnation", 0, LargestNumber)};
-    announcement.leaseSequence = lease->number("sequence", 0, LargestNumber);
-    announcement.leaseAge = std::chrono::milliseconds(lease->number("age_ms", 0, LargestLeaseAgeMs));
-    lease->refuseOthers();
+    announcement.leaseOwner = HostId(lease->text("owner", MaxNameBytes));
+    announcement.leaseOwnerIncarnation = {lease->number("incarnation", 0, MaxInteger)};
+    announcement.leaseSequence = lease->number("sequence", 0, MaxInteger);
+    announcement.leaseAge = std::chrono::milliseconds(lease->number("age_ms", 0, MaxLeaseAgeMs));
+    lease->rejectUnknown();
 }
 
 membership::Announcement readAnnouncement(FieldReader& reader)
 {
     const std::vector<std::string_view> states {"ready", "leaving"};
     membership::Announcement announcement;
-    announcement.target = TargetId(reader.text("target", LargestName));
-    announcement.incarnation = {reader.number("incarnation", 0, LargestNumber)};
-    announcement.sequence = reader.number("sequence", 0, LargestNumber);
-    announcement.service = ServiceName(reader.text("service", LargestName));
-    announcement.zone = ZoneName(reader.text("zone", LargestName));
+    announcement.target = TargetId(reader.text("target", MaxNameBytes));
+    announcement.incarnation = {reader.number("incarnation", 0, MaxInteger)};
+    announcement.sequence = reader.number("sequence", 0, MaxInteger);
+    announcement.service = ServiceName(reader.text("service", MaxNameBytes));
+    announcement.zone = ZoneName(reader.text("zone", MaxNameBytes));
     announcement.address = reader.address("address");
-    announcement.slots = static_cast<uint32_t>(reader.number("slots", 1, LargestSlots));
-    announcement.connections = static_cast<uint32_t>(reader.number("connections", 1, LargestConnections));
-    const bool isLeaving = reader.word("state", states) == 1;
+    announcement.slots = static_cast<uint32_t>(reader.number("slots", 1, MaxSlots));
+    announcement.connections = static_cast<uint32_t>(reader.number("connections", 1, MaxConnections));
+    const bool isLeaving = reader.choice("state", states) == 1;
     announcement.state = isLeaving ? membership::TargetState::Leaving : membership::TargetState::Ready;
     readLoad(reader, announcement);
     readLease(reader, announcement);
-    reader.refuseOthers();
+    reader.rejectUnknown();
     return announcement;
 }
 
@@ -114,15 +114,15 @@
 
 std::optional<ApiResponse> AnnounceApi::checkKey(const ApiRequest& request, const ServiceName& service) const
 {
-    const std::optional<std::string_view> key = request.header(KeyHeader);
+    const std::optional<std::string_view> key = request.header(AnnounceKeyHeader);
     if (!key)
-        return makeError(401, "missing-key", KeyHeader);
+        return makeError(401, "missing-key", AnnounceKeyHeader);
     const std::vector<settings::AnnounceKey>& keys = modules_.options.settings.announceKeys;
-    const bool isRight = std::any_of(keys.begin(), keys.end(), [&](const settings::AnnounceKey& candidate) {
+    const bool isValidKey = std::any_of(keys.begin(), keys.end(), [&](const settings::AnnounceKey& candidate) {
         return candidate.service == service && isSameSecret(candidate.secret, *key);
     });
-    if (!isRight)
-        return makeError(403, "wrong-key", KeyHeader);
+    if (!isValidKey)
+        return makeError(403, "wrong-key", AnnounceKeyHeader);
     return std::nullopt;
 }
 
--- a/src/host/internal/announceapi.h
+++ b/src/host/internal/announceapi.h
@@ -11,7 +11,7 @@
 
 namespace saltvane::host {
 
-/// POST /v1/announce: a target says that it is there (docs/TARGETS.md).
+/// POST /v1/announce: registers a target or renews its lease (docs/TARGETS.md).
 class AnnounceApi {
 public:
     /// Both must outlive the object.
--- a/src/host/internal/apitypes.cpp
+++ b/src/host/internal/apitypes.cpp
@@ -56,10 +56,10 @@
 std::optional<std::vector<QueryParameter>> parseQuery(std::string_view pathWithQuery)
 {
     std::vector<QueryParameter> parameters;
-    const size_t mark = pathWithQuery.find('?');
-    if (mark == std::string_view::npos)
+    const size_t queryMark = pathWithQuery.find('?');
+    if (queryMark == std::string_view::npos)
         return parameters;
-    std::string_view rest = pathWithQuery.substr(mark + 1);
+    std::string_view rest = pathWithQuery.substr(queryMark + 1);
     while (!rest.empty()) {
         const std::string_view part = rest.substr(0, rest.find('&'));
         rest.remove_prefix(std::min(rest.size(), part.size() + 1));
@@ -78,7 +78,7 @@
 
 ApiResponse makeResponse(int status, const nlohmann::ordered_json& body)
 {
-    // What a caller sent may be echoed and need not be UTF-8.
+    // The body may echo input of the caller, which need not be valid UTF-8.
     return {
         .status = status, .body = body.dump(-1, ' ', false, nlohmann::ordered_json::error_handler_t::replace) + "\n"};
 }
--- a/src/host/internal/apitypes.h
+++ b/src/host/internal/apitypes.h
@@ -19,13 +19,13 @@
 
 namespace saltvane::host {
 
-/// One `name=value` of a query, decoded.
+/// One decoded `name=value` pair of a query.
 struct QueryParameter {
     std::string name;
     std::string value;
 };
 
-/// A whole request to the host's own HTTP API.
+/// A complete request to the host's own HTTP API.
 struct ApiRequest {
     std::string method;
     std::string path; ///< Without the query.
@@ -34,32 +34,33 @@
     std::string body;
     std::string remoteAddress;
 
-    [[nodiscard]] std::optional<std::string_view> header(std::string_view name) const; ///< Names match in any case.
+    [[nodiscard]] std::optional<std::string_view> header(
+        std::string_view name) const; ///< Ignores the case of the name.
 };
 
-/// An answer of the API; the body is JSON.
+/// A response of the API; the body is JSON.
 struct ApiResponse {
     int status = 200;
     std::string body;
-    std::vector<model::Header> headers; ///< Beside the content type.
+    std::vector<model::Header> headers; ///< In addition to the content type.
 };
 
-/// The answer comes once the control part has it.
+/// The response follows once the control replica has processed the submission.
 struct ApiPending {
     control::SubmissionId submission;
 };
 
 using ApiResult = std::variant<ApiResponse, ApiPending>;
 
-/// Splits a path with a query and decodes the query; no value where an escape is broken.
+/// Decodes the query of a path; empty without a query, no value where a percent escape is invalid.
 [[nodiscard]] std::optional<std::vector<QueryParameter>> parseQuery(std::string_view pathWithQuery);
 [[nodiscard]] std::string_view withoutQuery(std::string_view pathWithQuery);
 
 [[nodiscard]] ApiResponse makeResponse(int status, const nlohmann::ordered_json& body);
-/// {"error": ..., "field": ..., "message": ...}; field and message are left out where empty.
+/// {"error": ..., "field": ..., "message": ...}; an empty field or message is omitted.
 [[nodiscard]] ApiResponse makeError(
     int status, std::string_view error, std::string_view field = {}, std::string_view message = {});
-/// An error that names the first finding's field and lists all of them.
+/// An error with the first finding's field and message, and a list of all findings.
 [[nodiscard]] ApiResponse makeError(int status, std::string_view error, std::span<const Finding> findings);
 
 } // namespace saltvane::host
--- a/src/host/internal/bundleinstaller.cpp
+++ b/src/host/internal/bundleinstaller.cpp
@@ -35,21 +35,24 @@
         return;
     const control::BundleRecord* inForce = modules_.replica->inForce();
     if (inForce == nullptr || !modules_.replica->isCurrent(now)) {
-        modules_.holder->setControlView(std::nullopt, now);
+        modules_.bundleReplica->setControlView(std::nullopt, now);
         return;
     }
     const control::IBundleHolder::ControlView view {.position = inForce->approved,
         .version = inForce->version,
         .content = inForce->content,
         .proofAge = modules_.replica->proofAge(now)};
-    modules_.holder->setControlView(view, now);
+    modules_.bundleReplica->setControlView(view, now);
 }
 
-void BundleInstaller::updatePeers(Timestamp now) { modules_.holder->setPeers(pullSources(), pushReceivers(now), now); }
+void BundleInstaller::updatePeers(Timestamp now)
+{
+    modules_.bundleReplica->setPeers(pullSources(), pushReceivers(now), now);
+}
 
 void BundleInstaller::installNew(Timestamp now)
 {
-    const std::optional<control::IBundleHolder::InForce> inForce = modules_.holder->takeInstalled();
+    const std::optional<control::IBundleHolder::InForce> inForce = modules_.bundleReplica->takeInstalled();
     if (!inForce)
         return;
     const std::string version = std::to_string(inForce->version.value);
@@ -59,7 +62,7 @@
         outbox_.log(LogSeverity::Error, "event=bundle_unusable version=" + version);
         return;
     }
-    // A reverted bundle has the content of an earlier version, and the number of its own.
+    // A revert repeats the content of an earlier version under a version number of its own.
     bundle.value().version = inForce->version;
     modules_.install(std::make_shared<const model::Deployment>(std::move(bundle.value()), inForce->position), now);
     outbox_.log(LogSeverity::Info,
--- a/src/host/internal/bundleinstaller.h
+++ b/src/host/internal/bundleinstaller.h
@@ -12,8 +12,8 @@
 
 namespace saltvane::host {
 
-/// Feeds the bundle holder with the control part's view and the peers to pull from and push to, and puts what the
-/// holder has newly in force into the other modules.
+/// Passes the control replica's view and the peers to pull from and push to into the bundle replica, and installs
+/// bundles that have newly come into force in the other modules.
 class BundleInstaller {
 public:
     /// Both must outlive the object.
--- a/src/host/internal/controlapi.cpp
+++ b/src/host/internal/controlapi.cpp
@@ -19,10 +19,10 @@
 
 using Json = nlohmann::ordered_json;
 
-constexpr size_t LargestContent = 32 * 1024 * 1024;
-constexpr size_t LargestName = 128;
-constexpr size_t LargestSignature = 256;
-constexpr uint64_t LargestVersion = std::numeric_limits<int64_t>::max();
+constexpr size_t MaxContentBytes = 32 * 1024 * 1024;
+constexpr size_t MaxNameBytes = 128;
+constexpr size_t MaxSignatureBytes = 256;
+constexpr uint64_t MaxVersion = std::numeric_limits<int64_t>::max();
 constexpr std::string_view BundlesPrefix = "/v1/control/bundles/";
 
 std::string_view nameOf(control::BundleState state)
@@ -104,7 +104,7 @@
 ApiResult ControlApi::submit(const ApiRequest& request, Reader read, Timestamp now)
 {
     if (!modules_.replica)
-        return answerNoControlHere(now);
+        return answerNotControl(now);
     Findings findings;
     const std::optional<nlohmann::json> body = parseObject(request.body, findings);
     if (!body)
@@ -119,12 +119,12 @@
 {
     FieldReader reader(body, findings);
     control::ProposeBundle proposal;
-    proposal.content = reader.text("content", LargestContent);
-    proposal.version = {reader.number("version", 1, LargestVersion)};
-    proposal.author = OperatorName(reader.text("author", LargestName));
-    proposal.signature = reader.text("signature", LargestSignature);
+    proposal.content = reader.text("content", MaxContentBytes);
+    proposal.version = {reader.number("version", 1, MaxVersion)};
+    proposal.author = OperatorName(reader.text("author", MaxNameBytes));
+    proposal.signature = reader.text("signature", MaxSignatureBytes);
     proposal.proposedAtUnixMs = modules_.options.wallClockUnixMs ? modules_.options.wallClockUnixMs() : 0;
-    reader.refuseOthers();
+    reader.rejectUnknown();
     return proposal;
 }
 
@@ -132,11 +132,11 @@
 {
     FieldReader reader(body, findings);
     control::ApproveBundle approval;
-    approval.version = {reader.number("version", 1, LargestVersion)};
-    approval.digest = reader.text("digest", LargestName);
-    approval.approver = OperatorName(reader.text("approver", LargestName));
-    approval.signature = reader.text("signature", LargestSignature);
-    reader.refuseOthers();
+    approval.version = {reader.number("version", 1, MaxVersion)};
+    approval.digest = reader.text("digest", MaxNameBytes);
+    approval.approver = OperatorName(reader.text("approver", MaxNameBytes));
+    approval.signature = reader.text("signature", MaxSignatureBytes);
+    reader.rejectUnknown();
     return approval;
 }
 
@@ -144,11 +144,11 @@
 {
     FieldReader reader(body, findings);
     control::RevertBundle revert;
-    revert.to = {reader.number("to", 1, LargestVersion)};
-    revert.version = {reader.number("version", 1, LargestVersion)};
-    revert.author = OperatorName(reader.text("author", LargestName));
-    revert.signature = reader.text("signature", LargestSignature);
-    reader.refuseOthers();
+    revert.to = {reader.number("to", 1, MaxVersion)};
+    revert.version = {reader.number("version", 1, MaxVersion)};
+    revert.author = OperatorName(reader.text("author", MaxNameBytes));
+    revert.signature = reader.text("signature", MaxSignatureBytes);
+    reader.rejectUnknown();
     return revert;
 }
 
@@ -173,7 +173,7 @@
     uint64_t version = 0;
     const auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), version);
     if (error != std::errc {} || end != digits.data() + digits.size())
-        return makeError(400, "bad-request", "version", "must be a whole number");
+        return makeError(400, "bad-request", "version", "must be an integer");
     for (const control::BundleRecord* record : modules_.replica->bundles()) {
         if (record->version.value != version)
             continue;
@@ -208,7 +208,7 @@
 std::optional<ApiResponse> ControlApi::refuseUnlessCurrent(Timestamp now)
 {
     if (!modules_.replica)
-        return answerNoControlHere(now);
+        return answerNotControl(now);
     if (modules_.replica->isCurrent(now))
         return std::nullopt;
     modules_.counters.add(model::Counter::NotCurrentAnswers);
@@ -232,7 +232,7 @@
     return makeError(info.status, info.name, {}, error.message);
 }
 
-ApiResponse ControlApi::answerNoControlHere(Timestamp now) const
+ApiResponse ControlApi::answerNotControl(Timestamp now) const
 {
     return makeResponse(421, {{"error", "not-control"}, {"leader", hostJson(knownControlLeader(modules_, now))}});
 }
--- a/src/host/internal/controlapi.h
+++ b/src/host/internal/controlapi.h
@@ -22,7 +22,7 @@
     [[nodiscard]] ApiResult listBundles(const ApiRequest& request, Timestamp now);
     [[nodiscard]] ApiResult showBundle(const ApiRequest& request, Timestamp now);
     [[nodiscard]] ApiResult listReplicas(const ApiRequest& request, Timestamp now);
-    /// The HTTP answer to a request that was submitted earlier.
+    /// The HTTP response to a command that was submitted earlier.
     [[nodiscard]] ApiResponse answer(const control::SubmissionAnswer& answer);
 
 private:
@@ -31,10 +31,10 @@
     [[nodiscard]] control::Command readProposal(const nlohmann::json& body, Findings& findings) const;
     [[nodiscard]] control::Command readApproval(const nlohmann::json& body, Findings& findings) const;
     [[nodiscard]] control::Command readRevert(const nlohmann::json& body, Findings& findings) const;
-    /// An error unless this host can prove that what it would tell is current.
+    /// An error response unless this host can prove that its state is current.
     [[nodiscard]] std::optional<ApiResponse> refuseUnlessCurrent(Timestamp now);
     [[nodiscard]] ApiResponse answerError(const control::ControlError& error);
-    [[nodiscard]] ApiResponse answerNoControlHere(Timestamp now) const;
+    [[nodiscard]] ApiResponse answerNotControl(Timestamp now) const;
     [[nodiscard]] nlohmann::ordered_json hostJson(const HostId& host) const;
 
     HostModules& modules_;
--- a/src/host/internal/fieldreader.cpp
+++ b/src/host/internal/fieldreader.cpp
@@ -25,7 +25,7 @@
 {
 }
 
-std::string FieldReader::text(std::string_view name, size_t largestSize)
+std::string FieldReader::text(std::string_view name, size_t maxBytes)
 {
     const nlohmann::json* value = find(name);
     if (value == nullptr) {
@@ -33,34 +33,34 @@
         return {};
     }
     if (!value->is_string() || value->get_ref<const std::string&>().empty()) {
-        add(name, "must be a string that is not empty");
+        add(name, "must be a non-empty string");
         return {};
     }
     const auto& text = value->get_ref<const std::string&>();
-    if (text.size() > largestSize) {
-        add(name, "must have at most " + std::to_string(largestSize) + " bytes");
+    if (text.size() > maxBytes) {
+        add(name, "must have at most " + std::to_string(maxBytes) + " bytes");
         return {};
     }
     return text;
 }
 
-uint64_t FieldReader::number(std::string_view name, uint64_t least, uint64_t most)
+uint64_t FieldReader::number(std::string_view name, uint64_t min, uint64_t max)
 {
     const nlohmann::json* value = find(name);
     if (value == nullptr) {
         add(name, std::string(Absent));
-        return least;
+        return min;
     }
     const bool isInRange
-        = value->is_number_unsigned() && value->get<uint64_t>() >= least && value->get<uint64_t>() <= most;
+        = value->is_number_unsigned() && value->get<uint64_t>() >= min && value->get<uint64_t>() <= max;
     if (!isInRange) {
-        add(name, "must be a whole number from " + std::to_string(least) + " to " + std::to_string(most));
-        return least;
+        add(name, "must be an integer from " + std::to_string(min) + " to " + std::to_string(max));
+        return min;
     }
     return value->get<uint64_t>();
 }
 
-size_t FieldReader::word(std::string_view name, const std::vector<std::string_view>& words)
+size_t FieldReader::choice(std::string_view name, const std::vector<std::string_view>& choices)
 {
     const nlohmann::json* value = find(name);
     if (value == nullptr) {
@@ -68,13 +68,13 @@
         return 0;
     }
     if (value->is_string()) {
-        const auto found = std::find(words.begin(), words.end(), value->get_ref<const std::string&>());
-        if (found != words.end())
-            return static_cast<size_t>(found - words.begin());
+        const auto found = std::find(choices.begin(), choices.end(), value->get_ref<const std::string&>());
+        if (found != choices.end())
+            return static_cast<size_t>(found - choices.begin());
     }
     std::string message = "must be one of:";
-    for (const std::string_view word : words)
-        message.append(" ").append(word);
+    for (const std::string_view choice : choices)
+        message.append(" ").append(choice);
     add(name, std::move(message));
     return 0;
 }
@@ -108,7 +108,7 @@
     return FieldReader(*value, findings_, prefix_ + std::string(name) + ".");
 }
 
-void FieldReader::refuseOthers()
+void FieldReader::rejectUnknown()
 {
     for (const auto& [name, value] : object_.items()) {
         if (!read_.contains(name))
--- a/src/host/internal/fieldreader.h
+++ b/src/host/internal/fieldreader.h
@@ -18,25 +18,25 @@
 
 namespace saltvane::host {
 
-/// Reads the typed members of a JSON object and collects everything that is wrong with them. A wrong member reads as
-/// its type's default.
+/// Reads typed members of a JSON object and adds a finding for each missing or invalid one, which then reads as a
+/// default: the smallest allowed number, the first choice or an empty value.
 class FieldReader {
 public:
-    /// Both must outlive the reader; `prefix` stands before the names in findings, as "load.".
+    /// Both references must outlive the reader; `prefix`, such as "load.", is prepended to the names in findings.
     FieldReader(const nlohmann::json& object, Findings& findings, std::string prefix = {});
 
-    /// Required, not empty, at most `largestSize` bytes.
-    [[nodiscard]] std::string text(std::string_view name, size_t largestSize);
-    /// Required, whole, from `least` to `most`.
-    [[nodiscard]] uint64_t number(std::string_view name, uint64_t least, uint64_t most);
-    /// Required, one of the words; the index of the word.
-    [[nodiscard]] size_t word(std::string_view name, const std::vector<std::string_view>& words);
+    /// Required, not empty, at most `maxBytes` bytes.
+    [[nodiscard]] std::string text(std::string_view name, size_t maxBytes);
+    /// Required, an integer from `min` to `max`.
+    [[nodiscard]] uint64_t number(std::string_view name, uint64_t min, uint64_t max);
+    /// Required, one of `choices`; returns the index of the choice.
+    [[nodiscard]] size_t choice(std::string_view name, const std::vector<std::string_view>& choices);
     /// Required, "ip:port".
     [[nodiscard]] model::Address address(std::string_view name);
     /// Optional; null counts as absent.
     [[nodiscard]] std::optional<FieldReader> object(std::string_view name);
-    /// A finding for each member that was not read.
-    void refuseOthers();
+    /// Adds a finding for each member that was not read.
+    void rejectUnknown();
 
 private:
     [[nodiscard]] const nlohmann::json* find(std::string_view name);
@@ -48,10 +48,10 @@
     std::set<std::string, std::less<>> read_;
 };
 
-/// The JSON object of a request's body; no value where the body is no JSON object, with a finding.
+/// Parses a request's body; no value and a finding where it is not a JSON object.
 [[nodiscard]] std::optional<nlohmann::json> parseObject(std::string_view body, Findings& findings);
 
-/// True for the text of an IPv4 or IPv6 address.
+/// True for an IPv4 or IPv6 address in text form.
 [[nodiscard]] bool isIpAddress(const std::string& text);
 
 } // namespace saltvane::host
--- a/src/host/internal/hostcore.cpp
+++ b/src/host/internal/hostcore.cpp
@@ -14,11 +14,11 @@
 
 namespace {
 
-constexpr Duration SummaryPeriod = 100ms;
-/// After a pause of the process the systems run before any event: leases and proofs may be over.
-constexpr Duration LongestTickGap = 10 * TickPeriod;
-/// Messages of a host to itself handled in one go; the rest waits for the next event or tick.
-constexpr int LargestDrain = 4096;
+constexpr Duration SummaryInterval = 100ms;
+/// After a longer pause of the process the systems run before any event, since leases and proofs may have expired.
+constexpr Duration MaxTickGap = 10 * TickInterval;
+/// Limit on the host's messages to itself that one pass handles; the others wait for the next event or tick.
+constexpr int MaxOwnMessagesPerPass = 4096;
 
 } // namespace
 
@@ -31,18 +31,18 @@
     , bundles_(modules_, outbox_)
     , startup_(modules_, outbox_)
     , stop_(modules_, outbox_)
-    , router_(modules_, mintForwards_, startup_, outbox_)
+    , router_(modules_, issuerForwards_, startup_, outbox_)
     , http_(modules_, targets_, outbox_, [this](Timestamp now) { return status(now); })
-    , summaryTimer_(SummaryPeriod)
+    , summaryTimer_(SummaryInterval)
 {
 }
 
 void HostCore::handle(Event event, Timestamp now)
 {
-    if (now - lastTick_ > LongestTickGap)
+    if (now - lastTick_ > MaxTickGap)
         tick(now);
-    std::visit([&](auto&& one) { accept(std::forward<decltype(one)>(one), now); }, std::move(event));
-    settle(now);
+    std::visit([&](auto&& concrete) { accept(std::forward<decltype(concrete)>(concrete), now); }, std::move(event));
+    processPending(now);
 }
 
 void HostCore::tick(Timestamp now)
@@ -62,7 +62,7 @@
     lastTick_ = now;
     for (const System system : Systems)
         (this->*system)(now);
-    settle(now);
+    processPending(now);
 }
 
 std::vector<Action> HostCore::takeActions() { return outbox_.takeActions(); }
@@ -73,13 +73,13 @@
 
 void HostCore::accept(model::Delivery delivery, Timestamp now)
 {
-    if (noteIncarnation(delivery.from, delivery.fromIncarnation, now))
+    if (recordIncarnation(delivery.from, delivery.fromIncarnation, now))
         router_.route(delivery, now);
 }
 
 void HostCore::accept(const LinkUp& up, Timestamp now)
 {
-    if (noteIncarnation(up.host, up.incarnation, now))
+    if (recordIncarnation(up.host, up.incarnation, now))
         modules_.hostTable->noteLinkUp(up.host, now);
 }
 
@@ -120,7 +120,7 @@
 void HostCore::tickBundles(Timestamp now)
 {
     bundles_.updatePeers(now);
-    modules_.holder->tick(now);
+    modules_.bundleReplica->tick(now);
     bundles_.installNew(now);
 }
 
@@ -144,16 +144,16 @@
 {
     owners_.updateCapacities(now);
     owners_.updateOwners(now);
-    modules_.issuer->tick(now);
-    modules_.wallet->tick(now);
+    modules_.creditIssuer->tick(now);
+    modules_.creditStore->tick(now);
 }
 
 void HostCore::tickSteering(Timestamp now)
 {
     if (!modules_.steering)
         return;
-    modules_.steering->setFrozen(modules_.holder->isCutOff(now), now);
-    if (summaryTimer_.isDue(now)) {
+    modules_.steering->setFrozen(modules_.bundleReplica->isCutOff(now), now);
+    if (summaryTimer_.isTimeToRun(now)) {
         zones_.update(modules_);
         modules_.steering->update(zones_.rooms(), zones_.demands(), now);
         noteServedElsewhere(now);
@@ -184,28 +184,28 @@
 
 void HostCore::tickLinks(Timestamp) { links_.update(owners_.ownerHosts()); }
 
-void HostCore::settle(Timestamp now)
+void HostCore::processPending(Timestamp now)
 {
     targets_.applyChanges(now);
-    gather();
-    for (int handled = 0; handled < LargestDrain; ++handled) {
-        const std::optional<model::Delivery> delivery = outbox_.takeOwnDelivery();
+    collectActions();
+    for (int handled = 0; handled < MaxOwnMessagesPerPass; ++handled) {
+        const std::optional<model::Delivery> delivery = outbox_.popOwnDelivery();
         if (!delivery)
             return;
         router_.route(*delivery, now);
-        gather();
+        collectActions();
     }
 }
 
-void HostCore::gather()
+void HostCore::collectActions()
 {
-    gatherEntry();
+    collectEntryActions();
     outbox_.add(modules_.owner->takeActions());
     outbox_.send(modules_.hostTable->takeOutgoing());
     outbox_.send(modules_.directory->takeOutgoing());
-    outbox_.send(modules_.issuer->takeOutgoing());
-    outbox_.send(modules_.wallet->takeOutgoing());
-    outbox_.send(modules_.holder->takeOutgoing());
+    outbox_.send(modules_.creditIssuer->takeOutgoing());
+    outbox_.send(modules_.creditStore->takeOutgoing());
+    outbox_.send(modules_.bundleReplica->takeOutgoing());
     if (!modules_.replica)
         return;
     http_.answerSubmissions();
@@ -214,28 +214,28 @@
     outbox_.send(modules_.replica->takeOutgoing());
 }
 
-void HostCore::gatherEntry()
+void HostCore::collectEntryActions()
 {
     if (!modules_.entry)
         return;
     for (requests::Action& action : modules_.entry->takeActions()) {
         if (const auto* outgoing = std::get_if<model::Outgoing>(&action)) {
             if (const auto* end = std::get_if<model::ForwardEnd>(&outgoing->message))
-                mintForwards_.remove(outgoing->to, end->correlation);
+                issuerForwards_.remove(outgoing->to, end->correlation);
         }
         outbox_.add(std::move(action));
     }
 }
 
-bool HostCore::noteIncarnation(const HostId& host, Incarnation incarnation, Timestamp now)
+bool HostCore::recordIncarnation(const HostId& host, Incarnation incarnation, Timestamp now)
 {
-    switch (incarnations_.note(host, incarnation)) {
-    case IncarnationWatch::Verdict::Known:
+    switch (incarnations_.record(host, incarnation)) {
+    case IncarnationTracker::Verdict::Known:
         return true;
-    case IncarnationWatch::Verdict::Restarted:
+    case IncarnationTracker::Verdict::Restarted:
         noteHostLost(host, now);
         return true;
-    case IncarnationWatch::Verdict::Stale:
+    case IncarnationTracker::Verdict::Stale:
         break;
     }
     modules_.counters.add(model::Counter::StaleMessages);
@@ -245,7 +245,7 @@
 void HostCore::noteHostLost(const HostId& host, Timestamp now)
 {
     modules_.noteHostLost(host, now);
-    mintForwards_.removeAll(host);
+    issuerForwards_.removeAll(host);
 }
 
 model::HostState HostCore::state() const
@@ -261,11 +261,11 @@
         .host = modules_.self.host,
         .incarnation = modules_.self.incarnation,
         .state = state(),
-        .isCutOff = modules_.holder->isCutOff(now),
+        .isCutOff = modules_.bundleReplica->isCutOff(now),
         .isControlLeader = isProvenLeader(modules_, now),
         .isControlCurrent = modules_.replica && modules_.replica->isCurrent(now),
         .controlLeader = knownControlLeader(modules_, now),
-        .stateAge = modules_.holder->age(now),
+        .stateAge = modules_.bundleReplica->age(now),
         .requestsInFlight = modules_.entry ? modules_.entry->inFlight() : 0,
         .dispatchesInFlight = modules_.owner->inFlight(),
     };
--- a/src/host/internal/hostcore.h
+++ b/src/host/internal/hostcore.h
@@ -7,11 +7,11 @@
 
 #include "host/internal/bundleinstaller.h"
 #include "host/internal/hostmodules.h"
-#include "host/internal/httpgate.h"
-#include "host/internal/incarnationwatch.h"
+#include "host/internal/httprouter.h"
+#include "host/internal/incarnationtracker.h"
+#include "host/internal/issuerforwards.h"
 #include "host/internal/linkplanner.h"
 #include "host/internal/messagerouter.h"
-#include "host/internal/mintforwards.h"
 #include "host/internal/outbox.h"
 #include "host/internal/ownersync.h"
 #include "host/internal/periodictimer.h"
@@ -22,7 +22,7 @@
 
 namespace saltvane::host {
 
-/// Composes the modules: hands them events, runs the systems each tick, gathers what they want done.
+/// Composes the modules: dispatches events to them, runs the systems at each tick and collects their actions.
 class HostCore : public IHostCore {
 public:
     explicit HostCore(HostCoreOptions options);
@@ -44,9 +44,10 @@
     void accept(const control::StorageDone& done, Timestamp now);
     void accept(const control::StorageFailed& failed, Timestamp now);
     void accept(StopRequested stop, Timestamp now);
-    void accept(const SeedsChanged& /*changed*/, Timestamp /*now*/) { } ///< Its hosts are listed in its settings.
+    void accept(const SeedsChanged& /*changed*/, Timestamp /*now*/) {
+    } ///< Unused: these hosts take their peers from the settings at the start.
 
-    // Systems, in the order of the table in hostcore.cpp.
+    // Systems; HostCore::tick runs them in the order of its table.
     void tickControl(Timestamp now);
     void tickBundles(Timestamp now);
     void tickMembership(Timestamp now);
@@ -59,20 +60,21 @@
     void tickStop(Timestamp now);
     void tickLinks(Timestamp now);
 
-    /// Carries the host's messages to itself until none is left, up to a bound, and gathers the modules' actions.
-    void settle(Timestamp now);
-    void gather();
-    void gatherEntry();
-    /// False where the sender is an earlier incarnation.
-    [[nodiscard]] bool noteIncarnation(const HostId& host, Incarnation incarnation, Timestamp now);
+    /// Applies changes of targets, routes the host's messages to itself (a bounded number) and collects the modules'
+    /// actions.
+    void processPending(Timestamp now);
+    void collectActions();
+    void collectEntryActions();
+    /// False where the sender is an earlier incarnation, whose messages are void.
+    [[nodiscard]] bool recordIncarnation(const HostId& host, Incarnation incarnation, Timestamp now);
     void noteHostLost(const HostId& host, Timestamp now);
     [[nodiscard]] model::HostState state() const;
 
     Timestamp lastTick_;
     HostModules modules_;
     Outbox outbox_;
-    IncarnationWatch incarnations_;
-    MintForwards mintForwards_;
+    IncarnationTracker incarnations_;
+    IssuerForwards issuerForwards_;
     TargetSync targets_;
     ZoneSummary zones_;
     OwnerSync owners_;
@@ -81,7 +83,7 @@
     Startup startup_;
     PlannedStop stop_;
     MessageRouter router_;
-    HttpGate http_;
+    HttpRouter http_;
     PeriodicTimer summaryTimer_;
 };
 
--- a/src/host/internal/hostfinder.cpp
+++ b/src/host/internal/hostliveness.cpp
@@ -3,19 +3,19 @@
  * saltvane: global traffic steering
  * Copyright (c) 2026 the saltvane authors
  */
-#include "host/internal/hostfinder.h"
+#include "host/internal/hostliveness.h"
 
 #include <utility>
 
 namespace saltvane::host {
 
-HostFinder::HostFinder(membership::HostIdentity self, const membership::IHostTable& hosts)
+HostLiveness::HostLiveness(membership::HostIdentity self, const membership::IHostTable& hosts)
     : self_(std::move(self))
     , hosts_(hosts)
 {
 }
 
-bool HostFinder::isAlive(const HostId& host, Incarnation incarnation) const
+bool HostLiveness::isAlive(const HostId& host, Incarnation incarnation) const
 {
     if (host == self_.host)
         return incarnation == self_.incarnation;
--- a/src/host/internal/hostfinder.h
+++ b/src/host/internal/hostliveness.h
@@ -11,11 +11,11 @@
 
 namespace saltvane::host {
 
-/// Finds hosts for the entry side of requests, by the host table.
-class HostFinder : public requests::IHostFinder {
+/// Tells the entry side of requests which incarnations of hosts are alive, by the host table.
+class HostLiveness : public requests::IHostFinder {
 public:
-    /// `hosts` must outlive the finder.
-    HostFinder(membership::HostIdentity self, const membership::IHostTable& hosts);
+    /// `hosts` must outlive the object.
+    HostLiveness(membership::HostIdentity self, const membership::IHostTable& hosts);
     [[nodiscard]] bool isAlive(const HostId& host, Incarnation incarnation) const override;
 
 private:
--- a/src/host/internal/hostmodules.cpp
+++ b/src/host/internal/hostmodules.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-// Modules draw from unlike seeds, so that their sequences are independent.
+// A seed for each module, so that their random sequences are independent.
 constexpr uint64_t SteeringSeed = 0x9e3779b97f4a7c15;
 constexpr uint64_t PoolSeed = 0xbf58476d1ce4e5b9;
 constexpr uint64_t EntrySeed = 0x94d049bb133111eb;
@@ -68,13 +68,13 @@
     , directory(membership::makeTargetDirectory({.self = self, .hosts = hostTable.get(), .counters = &counters}))
     , pool(steering::makeTargetPool({.seed = options.seed ^ PoolSeed, .counters = &counters}))
     , owner(requests::makeOwnerRequests({.self = self, .pool = pool.get(), .counters = &counters}))
-    , issuer(membership::makeCreditIssuer({.counters = &counters}))
-    , wallet(membership::makeCreditWallet({.counters = &counters}))
+    , creditIssuer(membership::makeCreditIssuer({.counters = &counters}))
+    , creditStore(membership::makeCreditWallet({.counters = &counters}))
     , retryBudget(steering::makeRetryBudget({}))
     , minter(requests::makeTokenMinter(
           {.host = self.host, .incarnation = self.incarnation, .macKey = options.settings.tokenKey}))
-    , finder(std::make_unique<HostFinder>(self, *hostTable))
-    , holder(control::makeBundleHolder({.self = self.host, .counters = &counters}))
+    , hostLiveness(std::make_unique<HostLiveness>(self, *hostTable))
+    , bundleReplica(control::makeBundleHolder({.self = self.host, .counters = &counters}))
     , replica(makeReplica(options, &counters))
 {
 }
@@ -91,10 +91,10 @@
         entry = requests::makeEntryRequests({
             .self = self,
             .steering = steering.get(),
-            .credits = wallet.get(),
+            .credits = creditStore.get(),
             .retryBudget = retryBudget.get(),
             .minter = minter.get(),
-            .hosts = finder.get(),
+            .hosts = hostLiveness.get(),
             .counters = &counters,
             .seed = options.seed ^ EntrySeed,
         });
@@ -106,8 +106,8 @@
 void HostModules::noteHostLost(const HostId& host, Timestamp now)
 {
     owner->noteHostLost(host, now);
-    issuer->noteHostLost(host, now);
-    wallet->noteOwnerLost(host, now);
+    creditIssuer->noteHostLost(host, now);
+    creditStore->noteOwnerLost(host, now);
     if (entry)
         entry->noteHostLost(host, now);
 }
@@ -116,8 +116,8 @@
 
 uint32_t HostModules::cutAll(Timestamp now)
 {
-    const uint32_t cutAtEntry = entry ? entry->cutAll(now) : 0;
-    return cutAtEntry + owner->cutAll(now);
+    const uint32_t terminatedAtEntry = entry ? entry->cutAll(now) : 0;
+    return terminatedAtEntry + owner->cutAll(now);
 }
 
 } // namespace saltvane::host
--- a/src/host/internal/hostmodules.h
+++ b/src/host/internal/hostmodules.h
@@ -8,7 +8,7 @@
 #include "control/ibundleholder.h"
 #include "control/icontrolreplica.h"
 #include "host/ihostcore.h"
-#include "host/internal/hostfinder.h"
+#include "host/internal/hostliveness.h"
 #include "membership/icredits.h"
 #include "membership/ihosttable.h"
 #include "membership/itargetdirectory.h"
@@ -25,34 +25,34 @@
 
 namespace saltvane::host {
 
-/// The modules of one host, declared in the order in which they depend on each other.
+/// The modules of one host; each is declared after those that it depends on.
 struct HostModules {
     explicit HostModules(HostCoreOptions options);
 
-    /// Takes a bundle into force; the first one also makes steering and the entry side of requests.
+    /// Installs a bundle that came into force; the first one also creates steering and the entry side of requests.
     void install(model::DeploymentPtr installed, Timestamp now);
-    /// The host is gone or restarted: what was under way there has no other answer.
+    /// The host is down or restarted: requests in flight there get no response any more.
     void noteHostLost(const HostId& host, Timestamp now);
     [[nodiscard]] uint32_t requestsInFlight() const;
-    /// Ends what is in flight on both sides; returns how many requests that cut.
+    /// Terminates the requests in flight on the entry and owner sides; returns how many there were.
     uint32_t cutAll(Timestamp now);
 
     HostCoreOptions options;
     membership::HostIdentity self;
     model::Counters counters;
-    model::HostRecord ownRecord; ///< As last handed to the host table.
+    model::HostRecord ownRecord; ///< As last passed to the host table.
     std::unique_ptr<membership::IHostTable> hostTable;
     std::unique_ptr<membership::ITargetDirectory> directory;
     std::unique_ptr<steering::ITargetPool> pool;
     std::unique_ptr<requests::IOwnerRequests> owner;
-    std::unique_ptr<membership::ICreditIssuer> issuer;
-    std::unique_ptr<membership::ICreditWallet> wallet;
+    std::unique_ptr<membership::ICreditIssuer> creditIssuer;
+    std::unique_ptr<membership::ICreditWallet> creditStore;
     std::unique_ptr<steering::IRetryBudget> retryBudget;
     std::unique_ptr<requests::ITokenMinter> minter;
-    std::unique_ptr<HostFinder> finder;
-    std::unique_ptr<control::IBundleHolder> holder;
+    std::unique_ptr<HostLiveness> hostLiveness;
+    std::unique_ptr<control::IBundleHolder> bundleReplica;
     std::unique_ptr<control::IControlReplica> replica; ///< Null without the control role.
-    model::DeploymentPtr deployment; ///< Null, like the next two, before the first bundle.
+    model::DeploymentPtr deployment; ///< Null before the first bundle, as are the next two members.
     std::unique_ptr<steering::ISteering> steering;
     std::unique_ptr<requests::IEntryRequests> entry;
 };
--- a/src/host/internal/httpgate.cpp
+++ b/src/host/internal/httprouter.cpp
@@ -3,7 +3,7 @@
  * saltvane: global traffic steering
  * Copyright (c) 2026 the saltvane authors
  */
-#include "host/internal/httpgate.h"
+#include "host/internal/httprouter.h"
 
 #include "host/internal/statusapi.h"
 
@@ -18,23 +18,23 @@
 constexpr std::string_view ApiPrefix = "/v1/";
 constexpr std::string_view HealthPath = "/healthz";
 constexpr std::string_view ServiceHeader = "Saltvane-Service";
-constexpr std::string_view KeyHeader = "Idempotency-Key";
+constexpr std::string_view IdempotencyKeyHeader = "Idempotency-Key";
 constexpr size_t NoBody = 0;
-constexpr size_t LargestAnnouncement = 16 * 1024;
-constexpr size_t LargestOperatorRequest = 40 * 1024 * 1024;
+constexpr size_t MaxAnnouncementBytes = 16 * 1024;
+constexpr size_t MaxOperatorRequestBytes = 40 * 1024 * 1024;
 
 requests::HttpHandle handleOf(const requests::HttpEvent& event)
 {
-    return std::visit([](const auto& one) { return one.handle; }, event);
+    return std::visit([](const auto& concrete) { return concrete.handle; }, event);
 }
 
 } // namespace
 
-struct HttpGate::Route {
+struct HttpRouter::Route {
     std::string_view method;
     std::string_view path;
     bool isPrefix = false;
-    size_t largestBody = NoBody;
+    size_t maxBodyBytes = NoBody;
     Handler handler = nullptr;
 
     [[nodiscard]] bool matches(std::string_view requestPath) const
@@ -43,24 +43,26 @@
     }
 };
 
-std::span<const HttpGate::Route> HttpGate::routes()
+std::span<const HttpRouter::Route> HttpRouter::routes()
 {
     static constexpr std::array Routes {
-        Route {"GET", "/v1/entry", false, NoBody, &HttpGate::lookUp},
-        Route {"POST", "/v1/announce", false, LargestAnnouncement, &HttpGate::announce},
-        Route {"GET", HealthPath, false, NoBody, &HttpGate::health},
-        Route {"GET", "/v1/status", false, NoBody, &HttpGate::hostStatus},
-        Route {"POST", "/v1/control/propose", false, LargestOperatorRequest, &HttpGate::control<&ControlApi::propose>},
-        Route {"POST", "/v1/control/approve", false, LargestOperatorRequest, &HttpGate::control<&ControlApi::approve>},
-        Route {"POST", "/v1/control/revert", false, LargestOperatorRequest, &HttpGate::control<&ControlApi::revert>},
-        Route {"GET", "/v1/control/bundles", false, NoBody, &HttpGate::control<&ControlApi::listBundles>},
-        Route {"GET", "/v1/control/bundles/", true, NoBody, &HttpGate::control<&ControlApi::showBundle>},
-        Route {"GET", "/v1/control/replicas", false, NoBody, &HttpGate::control<&ControlApi::listReplicas>},
+        Route {"GET", "/v1/entry", false, NoBody, &HttpRouter::lookUp},
+        Route {"POST", "/v1/announce", false, MaxAnnouncementBytes, &HttpRouter::announce},
+        Route {"GET", HealthPath, false, NoBody, &HttpRouter::health},
+        Route {"GET", "/v1/status", false, NoBody, &HttpRouter::hostStatus},
+        Route {
+            "POST", "/v1/control/propose", false, MaxOperatorRequestBytes, &HttpRouter::control<&ControlApi::propose>},
+        Route {
+            "POST", "/v1/control/approve", false, MaxOperatorRequestBytes, &HttpRouter::control<&ControlApi::approve>},
+        Route {"POST", "/v1/control/revert", false, MaxOperatorRequestBytes, &HttpRouter::control<&ControlApi::revert>},
+        Route {"GET", "/v1/control/bundles", false, NoBody, &HttpRouter::control<&ControlApi::listBundles>},
+        Route {"GET", "/v1/control/bundles/", true, NoBody, &HttpRouter::control<&ControlApi::showBundle>},
+        Route {"GET", "/v1/control/replicas", false, NoBody, &HttpRouter::control<&ControlApi::listReplicas>},
     };
     return Routes;
 }
 
-const HttpGate::Route* HttpGate::findRoute(std::string_view path, std::string_view method)
+const HttpRouter::Route* HttpRouter::findRoute(std::string_view path, std::string_view method)
 {
     for (const Route& route : routes()) {
         if (route.matches(path) && route.method == method)
@@ -69,7 +71,7 @@
     return nullptr;
 }
 
-std::string HttpGate::allowedMethods(std::string_view path)
+std::string HttpRouter::allowedMethods(std::string_view path)
 {
     for (const Route& route : routes()) {
         if (route.matches(path))
@@ -78,7 +80,7 @@
     return {};
 }
 
-HttpGate::HttpGate(
+HttpRouter::HttpRouter(
     HostModules& modules, TargetSync& targets, Outbox& outbox, std::function<HostStatus(Timestamp)> status)
     : modules_(modules)
     , outbox_(outbox)
@@ -89,7 +91,7 @@
 {
 }
 
-void HttpGate::handle(requests::HttpEvent event, Timestamp now)
+void HttpRouter::handle(requests::HttpEvent event, Timestamp now)
 {
     if (auto* started = std::get_if<requests::HttpRequestStarted>(&event)) {
         if (isApiPath(*started))
@@ -104,7 +106,7 @@
         return;
     }
     if (const auto* body = std::get_if<requests::HttpRequestBody>(&event)) {
-        take(*body, exchange->second, now);
+        handleBody(*body, exchange->second, now);
         return;
     }
     const bool isOver = std::holds_alternative<requests::HttpRequestAborted>(event)
@@ -113,18 +115,18 @@
         exchanges_.erase(exchange);
 }
 
-bool HttpGate::isApiPath(const requests::HttpRequestStarted& started) const
+bool HttpRouter::isApiPath(const requests::HttpRequestStarted& started) const
 {
     const std::string_view path = withoutQuery(started.path);
     if (!allowedMethods(path).empty())
         return true;
     if (!path.starts_with(ApiPrefix))
         return false;
-    // A service may have paths of its own below the API's prefix; the caller's header tells.
+    // A service may use paths below the API's prefix; the caller's service header distinguishes its requests.
     return !ApiRequest {.headers = started.headers}.header(ServiceHeader).has_value();
 }
 
-void HttpGate::start(requests::HttpRequestStarted started, Timestamp now)
+void HttpRouter::start(requests::HttpRequestStarted started, Timestamp now)
 {
     const requests::HttpHandle handle = started.handle;
     Exchange& exchange = exchanges_[handle];
@@ -143,7 +145,7 @@
         respond(handle, std::move(error));
         return;
     }
-    if (started.bodyLength.value_or(0) > exchange.route->largestBody) {
+    if (started.bodyLength.value_or(0) > exchange.route->maxBodyBytes) {
         modules_.counters.add(model::Counter::BadHttpRequests);
         respond(handle, makeError(413, "body-too-large", "body"));
         return;
@@ -153,12 +155,12 @@
         run(handle, exchange, now);
 }
 
-void HttpGate::take(const requests::HttpRequestBody& body, Exchange& exchange, Timestamp now)
+void HttpRouter::handleBody(const requests::HttpRequestBody& body, Exchange& exchange, Timestamp now)
 {
     if (exchange.isAnswered)
         return;
-    exchange.received += body.bytes.size();
-    if (exchange.received > exchange.route->largestBody) {
+    exchange.receivedBytes += body.bytes.size();
+    if (exchange.receivedBytes > exchange.route->maxBodyBytes) {
         modules_.counters.add(model::Counter::BadHttpRequests);
         respond(body.handle, makeError(413, "body-too-large", "body"));
         return;
@@ -171,7 +173,7 @@
     run(body.handle, exchange, now);
 }
 
-void HttpGate::toEntry(requests::HttpEvent event, Timestamp now)
+void HttpRouter::toEntry(requests::HttpEvent event, Timestamp now)
 {
     if (modules_.entry) {
         modules_.entry->handle(std::move(event), now);
@@ -181,10 +183,10 @@
         refuseNotReady(*started);
 }
 
-void HttpGate::refuseNotReady(const requests::HttpRequestStarted& started)
+void HttpRouter::refuseNotReady(const requests::HttpRequestStarted& started)
 {
-    // A host without a bundle knows of no key: an earlier call with it may have run, here or elsewhere.
-    const bool hasKey = ApiRequest {.headers = started.headers}.header(KeyHeader).has_value();
+    // A host without a bundle cannot look up the key: an earlier request with it may have run, here or elsewhere.
+    const bool hasKey = ApiRequest {.headers = started.headers}.header(IdempotencyKeyHeader).has_value();
     const model::Outcome outcome = hasKey ? model::Outcome::Unknown : model::Outcome::NotRun;
     modules_.counters.add(model::Counter::Requests);
     modules_.counters.add(hasKey ? model::Counter::RequestsUnknown : model::Counter::RequestsNotRun);
@@ -201,11 +203,11 @@
     respond(started.handle, std::move(response));
 }
 
-void HttpGate::run(requests::HttpHandle handle, Exchange& exchange, Timestamp now)
+void HttpRouter::run(requests::HttpHandle handle, Exchange& exchange, Timestamp now)
 {
     std::optional<std::vector<QueryParameter>> query = parseQuery(exchange.pathWithQuery);
     if (!query) {
-        respond(handle, makeError(400, "bad-request", "query", "has a broken escape"));
+        respond(handle, makeError(400, "bad-request", "query", "has an invalid percent escape"));
         return;
     }
     exchange.request.query = std::move(*query);
@@ -217,7 +219,7 @@
     respond(handle, std::move(std::get<ApiResponse>(result)));
 }
 
-void HttpGate::respond(requests::HttpHandle handle, ApiResponse response)
+void HttpRouter::respond(requests::HttpHandle handle, ApiResponse response)
 {
     Exchange& exchange = exchanges_.at(handle);
     exchange.isAnswered = true;
@@ -231,7 +233,7 @@
     outbox_.add(requests::Action(std::move(action)));
 }
 
-void HttpGate::answerSubmissions()
+void HttpRouter::answerSubmissions()
 {
     if (!modules_.replica)
         return;
@@ -241,19 +243,19 @@
             continue;
         const requests::HttpHandle handle = submission->second;
         submissions_.erase(submission);
-        // The operator may have gone away meanwhile.
+        // The operator may have disconnected meanwhile.
         if (exchanges_.contains(handle))
             respond(handle, controlApi_.answer(answer));
     }
 }
 
-ApiResult HttpGate::lookUp(const ApiRequest& request, Timestamp now) { return lookUpApi_.answer(request, now); }
+ApiResult HttpRouter::lookUp(const ApiRequest& request, Timestamp now) { return lookUpApi_.answer(request, now); }
 
-ApiResult HttpGate::announce(const ApiRequest& request, Timestamp now) { return announceApi_.answer(request, now); }
+ApiResult HttpRouter::announce(const ApiRequest& request, Timestamp now) { return announceApi_.answer(request, now); }
 
-ApiResult HttpGate::health(const ApiRequest&, Timestamp now) { return answerHealth(status_(now)); }
+ApiResult HttpRouter::health(const ApiRequest&, Timestamp now) { return answerHealth(status_(now)); }
 
-ApiResult HttpGate::hostStatus(const ApiRequest&, Timestamp now)
+ApiResult HttpRouter::hostStatus(const ApiRequest&, Timestamp now)
 {
     return answerStatus(status_(now), modules_.counters);
 }
--- a/src/host/internal/httpgate.h
+++ b/src/host/internal/httprouter.h
@@ -21,34 +21,34 @@
 
 namespace saltvane::host {
 
-/// Parts callers' requests from those to the host's own HTTP API, and answers the latter.
-class HttpGate {
+/// Routes callers' requests to the entry side and answers those to the host's own HTTP API.
+class HttpRouter {
 public:
-    /// All must outlive the gate; `status` makes the host's status at a time.
-    HttpGate(HostModules& modules, TargetSync& targets, Outbox& outbox, std::function<HostStatus(Timestamp)> status);
+    /// All references must outlive the object; `status` returns the host's status at the given time.
+    HttpRouter(HostModules& modules, TargetSync& targets, Outbox& outbox, std::function<HostStatus(Timestamp)> status);
     void handle(requests::HttpEvent event, Timestamp now);
-    /// Answers operators' requests that the control part has settled.
+    /// Responds to operators' requests that the control replica has completed.
     void answerSubmissions();
 
 private:
     struct Route;
-    using Handler = ApiResult (HttpGate::*)(const ApiRequest&, Timestamp);
-    /// One exchange with the API, until its answer is out.
+    using Handler = ApiResult (HttpRouter::*)(const ApiRequest&, Timestamp);
+    /// One exchange with the API, until its response is sent.
     struct Exchange {
         ApiRequest request;
         std::string pathWithQuery;
         const Route* route = nullptr;
-        uint64_t received = 0;
+        uint64_t receivedBytes = 0;
         bool isAnswered = false;
     };
 
     [[nodiscard]] static std::span<const Route> routes();
-    /// The best match for a request; null where the path is none of the API's.
+    /// The route of a request; null where no route has this path and method.
     [[nodiscard]] static const Route* findRoute(std::string_view path, std::string_view method);
     [[nodiscard]] static std::string allowedMethods(std::string_view path);
 
     void start(requests::HttpRequestStarted started, Timestamp now);
-    void take(const requests::HttpRequestBody& body, Exchange& exchange, Timestamp now);
+    void handleBody(const requests::HttpRequestBody& body, Exchange& exchange, Timestamp now);
     void toEntry(requests::HttpEvent event, Timestamp now);
     void refuseNotReady(const requests::HttpRequestStarted& started);
     void run(requests::HttpHandle handle, Exchange& exchange, Timestamp now);
--- a/src/host/internal/incarnationwatch.cpp
+++ b/src/host/internal/incarnationtracker.cpp
@@ -3,11 +3,11 @@
  * saltvane: global traffic steering
  * Copyright (c) 2026 the saltvane authors
  */
-#include "host/internal/incarnationwatch.h"
+#include "host/internal/incarnationtracker.h"
 
 namespace saltvane::host {
 
-IncarnationWatch::Verdict IncarnationWatch::note(const HostId& host, Incarnation incarnation)
+IncarnationTracker::Verdict IncarnationTracker::record(const HostId& host, Incarnation incarnation)
 {
     const auto [entry, isNew] = newest_.try_emplace(host, incarnation);
     if (isNew || entry->second == incarnation)
--- a/src/host/internal/mintforwards.cpp
+++ b/src/host/internal/issuerforwards.cpp
@@ -3,15 +3,15 @@
  * saltvane: global traffic steering
  * Copyright (c) 2026 the saltvane authors
  */
-#include "host/internal/mintforwards.h"
+#include "host/internal/issuerforwards.h"
 
 namespace saltvane::host {
 
-void MintForwards::add(const HostId& from, CorrelationId correlation) { open_.insert({from, correlation}); }
+void IssuerForwards::add(const HostId& from, CorrelationId correlation) { open_.insert({from, correlation}); }
 
-void MintForwards::remove(const HostId& from, CorrelationId correlation) { open_.erase({from, correlation}); }
+void IssuerForwards::remove(const HostId& from, CorrelationId correlation) { open_.erase({from, correlation}); }
 
-void MintForwards::removeAll(const HostId& from)
+void IssuerForwards::removeAll(const HostId& from)
 {
     const auto first = open_.lower_bound({from, {}});
     auto last = first;
@@ -20,7 +20,7 @@
     open_.erase(first, last);
 }
 
-bool MintForwards::contains(const HostId& from, CorrelationId correlation) const
+bool IssuerForwards::contains(const HostId& from, CorrelationId correlation) const
 {
     return !open_.empty() && open_.contains({from, correlation});
 }
--- a/src/host/internal/mintforwards.h
+++ b/src/host/internal/issuerforwards.h
@@ -12,9 +12,9 @@
 
 namespace saltvane::host {
 
-/// Requests that other hosts forwarded to this one because it minted their keys. Frames with the same correlation
-/// otherwise belong to the owner's side.
-class MintForwards {
+/// Open requests that other hosts forwarded to this one because it issued their keys. Their frames go to the entry
+/// side; all other forwarded frames go to the owner side.
+class IssuerForwards {
 public:
     void add(const HostId& from, CorrelationId correlation);
     void remove(const HostId& from, CorrelationId correlation);
--- a/src/host/internal/linkplanner.cpp
+++ b/src/host/internal/linkplanner.cpp
@@ -29,25 +29,25 @@
 
 std::vector<LinksWanted::Peer> LinkPlanner::wantedPeers(const std::set<HostId>& ownerHosts) const
 {
-    std::map<HostId, model::Address> named;
+    std::map<HostId, model::Address> knownHosts;
     std::set<model::Address> addresses;
     std::vector<model::Address> seeds;
     for (const settings::ControlHost& control : modules_.options.settings.controlHosts)
-        named.try_emplace(control.host, control.linkAddress);
+        knownHosts.try_emplace(control.host, control.linkAddress);
     for (const membership::IHostTable::Peer& peer : modules_.hostTable->wantedPeers()) {
         if (peer.host.isEmpty())
             seeds.push_back(peer.linkAddress);
         else
-            named.insert_or_assign(peer.host, peer.linkAddress);
+            knownHosts.insert_or_assign(peer.host, peer.linkAddress);
     }
     for (const HostId& owner : ownerHosts) {
         if (const membership::HostView* view = modules_.hostTable->find(owner))
-            named.insert_or_assign(owner, view->record.linkAddress);
+            knownHosts.insert_or_assign(owner, view->record.linkAddress);
     }
-    named.erase(modules_.self.host);
+    knownHosts.erase(modules_.self.host);
     std::vector<LinksWanted::Peer> peers;
     addresses.insert(modules_.self.linkAddress);
-    for (const auto& [host, address] : named) {
+    for (const auto& [host, address] : knownHosts) {
         peers.push_back({host, address});
         addresses.insert(address);
     }
--- a/src/host/internal/linkplanner.h
+++ b/src/host/internal/linkplanner.h
@@ -13,12 +13,13 @@
 
 namespace saltvane::host {
 
-/// Which links this host wants: those that membership needs, the owners it may send requests to, the control hosts.
+/// Computes the links that this host needs: to the peers of membership, to owners that it may send requests to and to
+/// the control hosts.
 class LinkPlanner {
 public:
     /// Both must outlive the object.
     LinkPlanner(const HostModules& modules, Outbox& outbox);
-    /// Emits the set when it differs from the one before.
+    /// Emits the set of links when it has changed.
     void update(const std::set<HostId>& ownerHosts);
 
 private:
--- a/src/host/internal/lookupapi.cpp
+++ b/src/host/internal/lookupapi.cpp
@@ -14,7 +14,7 @@
 
 LookUpApi::LookUpApi(HostModules& modules)
     : modules_(modules)
-    // Hosts start their rotations apart, so that their answers do not all name one host first.
+    // Hosts start their rotations at different offsets, so that they do not all list the same entry host first.
     , rotation_(std::hash<HostId> {}(modules.self.host))
 {
 }
@@ -39,7 +39,7 @@
     for (const QueryParameter& parameter : request.query) {
         if (parameter.name == "service") {
             if (!query.service.empty())
-                return makeError(400, "bad-request", "service", "stands twice");
+                return makeError(400, "bad-request", "service", "is listed twice");
             query.service = parameter.value;
         } else if (parameter.name == "client") {
             if (!isIpAddress(parameter.value))
@@ -69,30 +69,31 @@
             {"entry_hosts", entryHosts(service, clientRegion)},
             {"ttl_ms", toMilliseconds(modules_.steering->entryTtl(service))},
             {"bundle_version", deployment.bundle().version.value},
-            {"state_age_ms", toMilliseconds(modules_.holder->age(now))}, {"token", modules_.minter->mint(name, now)}});
+            {"state_age_ms", toMilliseconds(modules_.bundleReplica->age(now))},
+            {"token", modules_.minter->mint(name, now)}});
 }
 
 std::vector<LookUpApi::Tier> LookUpApi::tiers(ServiceIndex service, RegionIndex clientRegion) const
 {
     struct Ranked {
         Duration delay;
-        bool isOffRow = false; ///< The service's traffic does not go there now.
+        bool isOutsideRow = false; ///< The region's row of the service has no share for this zone now.
         ZoneIndex zone;
         // NOLINTNEXTLINE(modernize-use-nullptr): clang-tidy 14 misreads a defaulted comparison
         auto operator<=>(const Ranked&) const = default;
     };
     const model::Deployment& deployment = *modules_.deployment;
-    const std::vector<ZoneIndex> onRow = modules_.steering->entryZones(service, clientRegion);
+    const std::vector<ZoneIndex> rowZones = modules_.steering->entryZones(service, clientRegion);
     std::vector<Ranked> ranked;
     for (const ZoneIndex zone : deployment.zonesByDelay(clientRegion)) {
-        const bool isOffRow = std::find(onRow.begin(), onRow.end(), zone) == onRow.end();
-        ranked.push_back({deployment.delay(clientRegion, deployment.regionOf(zone)), isOffRow, zone});
+        const bool isOutsideRow = std::find(rowZones.begin(), rowZones.end(), zone) == rowZones.end();
+        ranked.push_back({deployment.delay(clientRegion, deployment.regionOf(zone)), isOutsideRow, zone});
     }
     std::sort(ranked.begin(), ranked.end());
     std::vector<Tier> tiers;
     for (size_t i = 0; i < ranked.size(); ++i) {
         const bool isSameTier
-            = i > 0 && ranked[i].delay == ranked[i - 1].delay && ranked[i].isOffRow == ranked[i - 1].isOffRow;
+            = i > 0 && ranked[i].delay == ranked[i - 1].delay && ranked[i].isOutsideRow == ranked[i - 1].isOutsideRow;
         if (!isSameTier)
             tiers.emplace_back();
         tiers.back().push_back(ranked[i].zone);
@@ -107,11 +108,11 @@
     for (const Tier& tier : tiers(service, clientRegion)) {
         std::vector<model::HostRecord> hosts;
         for (const ZoneIndex zone : tier) {
-            std::vector<model::HostRecord> ofZone
+            std::vector<model::HostRecord> zoneHosts
                 = modules_.hostTable->servingHosts(modules_.deployment->zone(zone).name);
-            std::move(ofZone.begin(), ofZone.end(), std::back_inserter(hosts));
+            std::move(zoneHosts.begin(), zoneHosts.end(), std::back_inserter(hosts));
         }
-        // Rotated, so that the callers of one region do not all choose the same host.
+        // Rotated, so that callers of one region do not all choose the same host.
         if (!hosts.empty())
             std::rotate(hosts.begin(), hosts.begin() + static_cast<ptrdiff_t>(rotation_ % hosts.size()), hosts.end());
         for (const model::HostRecord& host : hosts) {
--- a/src/host/internal/lookupapi.h
+++ b/src/host/internal/lookupapi.h
@@ -25,7 +25,7 @@
         std::string service;
         std::string client;
     };
-    /// Zones that are equally good as a way in for a client region.
+    /// Zones that are equally good entries for a client region.
     using Tier = std::vector<ZoneIndex>;
 
     [[nodiscard]] std::optional<ApiResponse> readQuery(const ApiRequest& request, Query& query) const;
--- a/src/host/internal/messagerouter.cpp
+++ b/src/host/internal/messagerouter.cpp
@@ -32,9 +32,9 @@
 
 } // namespace
 
-MessageRouter::MessageRouter(HostModules& modules, MintForwards& mintForwards, Startup& startup, Outbox& outbox)
+MessageRouter::MessageRouter(HostModules& modules, IssuerForwards& issuerForwards, Startup& startup, Outbox& outbox)
     : modules_(modules)
-    , mintForwards_(mintForwards)
+    , issuerForwards_(issuerForwards)
     , startup_(startup)
     , outbox_(outbox)
 {
@@ -50,15 +50,15 @@
         else if constexpr (LogMessage<T>)
             toReplica(delivery, now);
         else if constexpr (DistributionMessage<T>)
-            modules_.holder->handle(delivery, now);
+            modules_.bundleReplica->handle(delivery, now);
         else if constexpr (ReplyToEntry<T>)
             toEntry(delivery, now);
         else if constexpr (std::same_as<T, model::CreditRequest>)
-            modules_.issuer->handle(delivery.from, message, now);
+            modules_.creditIssuer->handle(delivery.from, message, now);
         else if constexpr (std::same_as<T, model::CreditGrant>)
-            modules_.wallet->handle(delivery.from, message, now);
+            modules_.creditStore->handle(delivery.from, message, now);
         else if constexpr (std::same_as<T, model::RowsRequest>)
-            answerRows(delivery);
+            replyWithRows(delivery);
         else if constexpr (std::same_as<T, model::RowsReply>)
             startup_.handle(message, now);
         else if constexpr (std::same_as<T, model::ClaimRequest>)
@@ -73,9 +73,9 @@
                                                             : toReceiver(delivery, message.correlation, now);
         else if constexpr (OneOf<T, model::TargetReport, model::TargetLoads, model::SuspectReport,
                                model::LimitCreditRequest, model::LimitCreditReply, model::BackpressureReport>)
-            modules_.counters.add(model::Counter::StaleMessages); // For gateways of route plans only.
+            modules_.counters.add(model::Counter::StaleMessages); // Handled by gateways with a route plan only.
         else {
-            static_assert(std::same_as<T, model::ForwardCancel>, "each message has a route");
+            static_assert(std::same_as<T, model::ForwardCancel>, "a message type has no handler");
             cancelForward(delivery, message, now);
         }
     };
@@ -109,7 +109,7 @@
 
 void MessageRouter::toReceiver(const model::Delivery& delivery, CorrelationId correlation, Timestamp now)
 {
-    if (mintForwards_.contains(delivery.from, correlation))
+    if (issuerForwards_.contains(delivery.from, correlation))
         toEntry(delivery, now);
     else
         toOwner(delivery, now);
@@ -122,16 +122,16 @@
         return;
     }
     if (!modules_.entry) {
-        refuseMint(delivery, request);
+        refuseIssuerForward(delivery, request);
         return;
     }
-    mintForwards_.add(delivery.from, request.correlation);
+    issuerForwards_.add(delivery.from, request.correlation);
     toEntry(delivery, now);
 }
 
-void MessageRouter::refuseMint(const model::Delivery& delivery, const model::ForwardRequest& request)
+void MessageRouter::refuseIssuerForward(const model::Delivery& delivery, const model::ForwardRequest& request)
 {
-    // A host without a bundle has minted nothing: an earlier incarnation may have run the request.
+    // A host without a bundle has not issued this key; an earlier incarnation of it did and may have run the request.
     outbox_.send({delivery.from,
         model::ForwardEnd {.correlation = request.correlation,
             .outcome = model::Outcome::Unknown,
@@ -141,10 +141,10 @@
 void MessageRouter::cancelForward(const model::Delivery& delivery, const model::ForwardCancel& cancel, Timestamp now)
 {
     toReceiver(delivery, cancel.correlation, now);
-    mintForwards_.remove(delivery.from, cancel.correlation);
+    issuerForwards_.remove(delivery.from, cancel.correlation);
 }
 
-void MessageRouter::answerRows(const model::Delivery& delivery)
+void MessageRouter::replyWithRows(const model::Delivery& delivery)
 {
     if (!startup_.isServing() || !modules_.steering)
         return;
--- a/src/host/internal/messagerouter.h
+++ b/src/host/internal/messagerouter.h
@@ -6,18 +6,18 @@
 #pragma once
 
 #include "host/internal/hostmodules.h"
-#include "host/internal/mintforwards.h"
+#include "host/internal/issuerforwards.h"
 #include "host/internal/outbox.h"
 #include "host/internal/startup.h"
 #include "model/message.h"
 
 namespace saltvane::host {
 
-/// Hands each message from another host, or from this one to itself, to the module that it is for.
+/// Dispatches each message, from another host or from this one to itself, to the module that handles it.
 class MessageRouter {
 public:
-    /// All must outlive the router.
-    MessageRouter(HostModules& modules, MintForwards& mintForwards, Startup& startup, Outbox& outbox);
+    /// All references must outlive the router.
+    MessageRouter(HostModules& modules, IssuerForwards& issuerForwards, Startup& startup, Outbox& outbox);
     void route(const model::Delivery& delivery, Timestamp now);
 
 private:
@@ -27,12 +27,12 @@
     void toEntry(const model::Delivery& delivery, Timestamp now);
     void toReceiver(const model::Delivery& delivery, CorrelationId correlation, Timestamp now);
     void beginForward(const model::Delivery& delivery, const model::ForwardRequest& request, Timestamp now);
-    void refuseMint(const model::Delivery& delivery, const model::ForwardRequest& request);
+    void refuseIssuerForward(const model::Delivery& delivery, const model::ForwardRequest& request);
     void cancelForward(const model::Delivery& delivery, const model::ForwardCancel& cancel, Timestamp now);
-    void answerRows(const model::Delivery& delivery);
+    void replyWithRows(const model::Delivery& delivery);
 
     HostModules& modules_;
-    MintForwards& mintForwards_;
+    IssuerForwards& issuerForwards_;
     Startup& startup_;
     Outbox& outbox_;
 };
--- a/src/host/internal/milliseconds.h
+++ b/src/host/internal/milliseconds.h
@@ -11,7 +11,7 @@
 
 namespace saltvane::host {
 
-/// Whole milliseconds, as the HTTP API tells times.
+/// Whole milliseconds, the unit of durations in the HTTP API.
 [[nodiscard]] constexpr int64_t toMilliseconds(Duration duration)
 {
     return std::chrono::duration_cast<std::chrono::milliseconds>(duration).count();
--- a/src/host/internal/outbox.cpp
+++ b/src/host/internal/outbox.cpp
@@ -43,8 +43,8 @@
 
 void Outbox::send(std::vector<model::Outgoing> outgoing)
 {
-    for (model::Outgoing& one : outgoing)
-        send(std::move(one));
+    for (model::Outgoing& message : outgoing)
+        send(std::move(message));
 }
 
 void Outbox::log(LogSeverity severity, std::string text)
@@ -54,7 +54,7 @@
 
 std::vector<Action> Outbox::takeActions() { return std::exchange(actions_, {}); }
 
-std::optional<model::Delivery> Outbox::takeOwnDelivery()
+std::optional<model::Delivery> Outbox::popOwnDelivery()
 {
     if (ownDeliveries_.empty())
         return std::nullopt;
--- a/src/host/internal/outbox.h
+++ b/src/host/internal/outbox.h
@@ -15,7 +15,7 @@
 
 namespace saltvane::host {
 
-/// Collects the core's actions in order; messages of the host to itself come back as deliveries.
+/// Queues the core's actions in order; messages of the host to itself are returned as deliveries instead.
 class Outbox {
 public:
     Outbox(HostId self, Incarnation incarnation);
@@ -29,7 +29,7 @@
 
     [[nodiscard]] std::vector<Action> takeActions();
     /// The next message of the host to itself, in the order sent.
-    [[nodiscard]] std::optional<model::Delivery> takeOwnDelivery();
+    [[nodiscard]] std::optional<model::Delivery> popOwnDelivery();
     [[nodiscard]] bool hasOwnDelivery() const { return !ownDeliveries_.empty(); }
 
 private:
--- a/src/host/internal/ownersync.cpp
+++ b/src/host/internal/ownersync.cpp
@@ -18,16 +18,17 @@
 
 void OwnerSync::updateCapacities(Timestamp now)
 {
-    std::set<ServiceName> gone = std::exchange(servicesWithCapacity_, {});
-    // A stopping host that cannot hand its targets over would otherwise renew its windows until the time limit.
+    std::set<ServiceName> withoutCapacity = std::exchange(servicesWithCapacity_, {});
+    // A leaving host grants no credits: if it cannot hand its targets over, it would otherwise renew its credit windows
+    // until the time limit of the stop.
     const bool isLeaving = modules_.ownRecord.state == model::HostState::Leaving;
     for (const steering::PoolRoom& room : modules_.pool->rooms()) {
-        modules_.issuer->setCapacity(room.service, isLeaving ? 0 : creditCapacity(room), now);
-        gone.erase(room.service);
+        modules_.creditIssuer->setCapacity(room.service, isLeaving ? 0 : creditCapacity(room), now);
+        withoutCapacity.erase(room.service);
         servicesWithCapacity_.insert(room.service);
     }
-    for (const ServiceName& service : gone)
-        modules_.issuer->setCapacity(service, 0, now);
+    for (const ServiceName& service : withoutCapacity)
+        modules_.creditIssuer->setCapacity(service, 0, now);
 }
 
 void OwnerSync::updateOwners(Timestamp now)
@@ -41,7 +42,7 @@
         if (view->health == membership::HostHealth::Alive)
             addOwner(view->record);
     }
-    modules_.wallet->setOwners(owners_, now);
+    modules_.creditStore->setOwners(owners_, now);
 }
 
 void OwnerSync::addOwner(const model::HostRecord& record)
--- a/src/host/internal/ownersync.h
+++ b/src/host/internal/ownersync.h
@@ -12,14 +12,14 @@
 
 namespace saltvane::host {
 
-/// Tells the credit wallet which owners exist, and the credit issuer what this host's own targets hold.
+/// Updates the credit store's list of owners and the credit issuer's capacity of this host's own targets.
 class OwnerSync {
 public:
     /// `modules` must outlive the object.
     explicit OwnerSync(HostModules& modules);
     void updateCapacities(Timestamp now);
     void updateOwners(Timestamp now);
-    /// Hosts that own targets now, without this one.
+    /// Other hosts that own targets with usable capacity now.
     [[nodiscard]] const std::set<HostId>& ownerHosts() const { return ownerHosts_; }
 
 private:
--- a/src/host/internal/ownrecord.cpp
+++ b/src/host/internal/ownrecord.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-/// Waiting places per usable slot that credits are given out for; as OwnerRequestsOptions::queuePerRoom.
-constexpr double QueuePerRoom = 1.0;
+/// Queued requests per usable slot that credits are granted for; same value as OwnerRequestsOptions::queuePerRoom.
+constexpr double MaxQueuedPerSlot = 1.0;
 
 std::vector<model::ServiceRoom> serviceRooms(const HostModules& modules, Timestamp now)
 {
@@ -93,8 +93,8 @@
 {
     if (room.room == 0)
         return 0;
-    const auto waitingPlaces = static_cast<uint32_t>(room.room * QueuePerRoom);
-    return room.room + std::max(1U, waitingPlaces);
+    const auto queueCapacity = static_cast<uint32_t>(room.room * MaxQueuedPerSlot);
+    return room.room + std::max(1U, queueCapacity);
 }
 
 } // namespace saltvane::host
--- a/src/host/internal/ownrecord.h
+++ b/src/host/internal/ownrecord.h
@@ -9,16 +9,17 @@
 
 namespace saltvane::host {
 
-/// What this host says of itself in its next heartbeat; the host table fills in identity and sequence.
+/// This host's record for its next heartbeat; the host table fills in identity and sequence.
 [[nodiscard]] model::HostRecord makeOwnRecord(const HostModules& modules, model::HostState state, Timestamp now);
 
-/// This host leads the control part and has a quorum's proof of it.
+/// True if this host is the control leader and holds a quorum's proof of it.
 [[nodiscard]] bool isProvenLeader(const HostModules& modules, Timestamp now);
 
-/// The control host that leads, as far as this host knows; empty where none is known.
+/// The control leader known to this host; empty where none is known.
 [[nodiscard]] HostId knownControlLeader(const HostModules& modules, Timestamp now);
 
-/// What the owner is ready to hold of a service: usable slots and the waiting places that go with them.
+/// Requests of a service that the owner grants credits for: its usable slots plus the queue capacity that goes with
+/// them.
 [[nodiscard]] uint32_t creditCapacity(const steering::PoolRoom& room);
 
 } // namespace saltvane::host
--- a/src/host/internal/periodictimer.h
+++ b/src/host/internal/periodictimer.h
@@ -9,25 +9,25 @@
 
 namespace saltvane::host {
 
-/// Says once a period that it is due; the first time at once.
+/// Paces work that is checked at each tick: true at the first call, then at most once an interval.
 class PeriodicTimer {
 public:
-    explicit PeriodicTimer(Duration period)
-        : period_(period)
+    explicit PeriodicTimer(Duration interval)
+        : interval_(interval)
     {
     }
-    [[nodiscard]] bool isDue(Timestamp now)
+    [[nodiscard]] bool isTimeToRun(Timestamp now)
     {
-        if (hasRun_ && now - last_ < period_)
+        if (hasRun_ && now - lastRun_ < interval_)
             return false;
         hasRun_ = true;
-        last_ = now;
+        lastRun_ = now;
         return true;
     }
 
 private:
-    Duration period_;
-    Timestamp last_;
+    Duration interval_;
+    Timestamp lastRun_;
     bool hasRun_ = false;
 };
 
--- a/src/host/internal/plannedstop.cpp
+++ b/src/host/internal/plannedstop.cpp
@@ -11,8 +11,9 @@
 
 namespace {
 
-/// Idle for so long before the end: messages sent to this host before the others heard of the stop are then in.
-constexpr Duration SettleTime = 500ms;
+/// The host must be idle for this long before it finishes, so that messages that others sent before they learned of the
+/// stop have arrived.
+constexpr Duration MinIdleTime = 500ms;
 
 } // namespace
 
@@ -40,14 +41,14 @@
         finish(modules_.cutAll(now));
         return;
     }
-    const bool isIdle = hasHandedOver() && modules_.requestsInFlight() == 0 && !hasCreditsOut(now);
+    const bool isIdle = hasHandedOver() && modules_.requestsInFlight() == 0 && !hasOutstandingCredits(now);
     if (!isIdle) {
         idleSince_.reset();
         return;
     }
     if (!idleSince_)
         idleSince_ = now;
-    if (now - *idleSince_ >= SettleTime)
+    if (now - *idleSince_ >= MinIdleTime)
         finish(0);
 }
 
@@ -77,13 +78,13 @@
         [this](const model::HostRecord& record) { return record.host != modules_.self.host; });
 }
 
-bool PlannedStop::hasCreditsOut(Timestamp now) const
+bool PlannedStop::hasOutstandingCredits(Timestamp now) const
 {
     if (!modules_.deployment)
         return false;
     const std::vector<model::Service>& services = modules_.deployment->bundle().services;
     return std::any_of(services.begin(), services.end(),
-        [&](const model::Service& service) { return modules_.issuer->outstanding(service.name, now) > 0; });
+        [&](const model::Service& service) { return modules_.creditIssuer->outstanding(service.name, now) > 0; });
 }
 
 } // namespace saltvane::host
--- a/src/host/internal/plannedstop.h
+++ b/src/host/internal/plannedstop.h
@@ -12,8 +12,8 @@
 
 namespace saltvane::host {
 
-/// A planned stop: leave the look-ups, hand the targets over, finish what is in flight, then end. A second request to
-/// stop, or the time limit, cuts what is left.
+/// A planned stop: leaves the look-ups, hands the targets over, completes the requests in flight, then finishes. A
+/// second request to stop, or the time limit, terminates the remaining requests.
 class PlannedStop {
 public:
     /// Both must outlive the object.
@@ -28,7 +28,7 @@
     void finish(uint32_t requestsCut);
     [[nodiscard]] bool hasHandedOver() const;
     [[nodiscard]] bool hasZonePeer() const;
-    [[nodiscard]] bool hasCreditsOut(Timestamp now) const;
+    [[nodiscard]] bool hasOutstandingCredits(Timestamp now) const;
 
     HostModules& modules_;
     Outbox& outbox_;
--- a/src/host/internal/startup.cpp
+++ b/src/host/internal/startup.cpp
@@ -11,10 +11,10 @@
 
 namespace {
 
-constexpr Duration RowsWait = 300ms;
-constexpr Duration AskPeriod = 50ms;
-constexpr Duration AskOtherZonesAfter = 100ms;
-constexpr size_t LargestOtherSources = 3;
+constexpr Duration RowsTimeout = 300ms;
+constexpr Duration RowsRequestInterval = 50ms;
+constexpr Duration OtherZonesDelay = 100ms;
+constexpr size_t MaxOtherZoneSources = 3;
 
 bool canShareRows(const membership::HostView& view)
 {
@@ -26,7 +26,7 @@
 Startup::Startup(HostModules& modules, Outbox& outbox)
     : modules_(modules)
     , outbox_(outbox)
-    , askTimer_(AskPeriod)
+    , rowsRequestTimer_(RowsRequestInterval)
 {
 }
 
@@ -34,18 +34,18 @@
 {
     if (isServing_ || !modules_.options.settings.isEntry)
         return;
-    if (!modules_.deployment || !modules_.holder->isReady()) {
+    if (!modules_.deployment || !modules_.bundleReplica->isReady()) {
         readySince_.reset();
         return;
     }
     if (!readySince_)
         readySince_ = now;
-    if (hasAdoptedAll() || now - *readySince_ >= RowsWait) {
+    if (hasAdoptedAll() || now - *readySince_ >= RowsTimeout) {
         startServing();
         return;
     }
-    if (askTimer_.isDue(now))
-        askForRows(now);
+    if (rowsRequestTimer_.isTimeToRun(now))
+        requestRows(now);
 }
 
 void Startup::handle(const model::RowsReply& reply, Timestamp now)
@@ -61,9 +61,9 @@
     return hasAdoptedRows_ && modules_.steering->servedRows().size() == modules_.steering->rows().size();
 }
 
-void Startup::askForRows(Timestamp now)
+void Startup::requestRows(Timestamp now)
 {
-    const bool withOtherZones = now - *readySince_ >= AskOtherZonesAfter;
+    const bool withOtherZones = now - *readySince_ >= OtherZonesDelay;
     for (const HostId& source : rowSources(withOtherZones))
         outbox_.send({source, model::RowsRequest {}});
 }
@@ -102,7 +102,7 @@
     if (!withOtherZones && !sources.empty())
         return sources;
     std::sort(others.begin(), others.end());
-    others.resize(std::min(others.size(), LargestOtherSources));
+    others.resize(std::min(others.size(), MaxOtherZoneSources));
     for (Candidate& other : others)
         sources.push_back(std::move(other.host));
     return sources;
--- a/src/host/internal/startup.h
+++ b/src/host/internal/startup.h
@@ -14,8 +14,8 @@
 
 namespace saltvane::host {
 
-/// From the start of the process to the first request: hold the current state, then join the shift where the other
-/// hosts' rows stand, then serve.
+/// The steps from the start of the process to the first request: obtain the current state, adopt the other hosts' rows
+/// in order to join a shift at their progress, then serve.
 class Startup {
 public:
     /// Both must outlive the object.
@@ -25,15 +25,15 @@
     [[nodiscard]] bool isServing() const { return isServing_; }
 
 private:
-    void askForRows(Timestamp now);
-    /// Rows of every service: one peer may have served only some of them.
+    void requestRows(Timestamp now);
+    /// True once rows of every service are adopted; a single peer may serve only some services.
     [[nodiscard]] bool hasAdoptedAll() const;
     void startServing();
     [[nodiscard]] std::vector<HostId> rowSources(bool withOtherZones) const;
 
     HostModules& modules_;
     Outbox& outbox_;
-    PeriodicTimer askTimer_;
+    PeriodicTimer rowsRequestTimer_;
     std::optional<Timestamp> readySince_;
     bool hasAdoptedRows_ = false;
     bool isServing_ = false;
--- a/src/host/internal/statusapi.h
+++ b/src/host/internal/statusapi.h
@@ -11,10 +11,10 @@
 
 namespace saltvane::host {
 
-/// GET /healthz: 200 while the host takes requests, else 503 with the reason.
+/// GET /healthz: 200 while the host serves requests, otherwise 503 with the host's state.
 [[nodiscard]] ApiResponse answerHealth(const HostStatus& status);
 
-/// GET /v1/status: what the host knows of itself and the others (docs/METRICS.md).
+/// GET /v1/status: the state of this host and its view of the others (docs/METRICS.md).
 [[nodiscard]] ApiResponse answerStatus(const HostStatus& status, const model::Counters& counters);
 
 } // namespace saltvane::host
--- a/src/host/internal/targetsync.cpp
+++ b/src/host/internal/targetsync.cpp
@@ -17,16 +17,16 @@
 
 void TargetSync::reportUse()
 {
-    std::set<TargetId> idleNow = std::exchange(busy_, {});
+    std::set<TargetId> newlyIdle = std::exchange(busy_, {});
     for (const steering::PoolTargetStatus& status : modules_.pool->targets()) {
         modules_.directory->noteUse(status.target, status.inFlight, status.concurrencyLimit);
-        idleNow.erase(status.target);
+        newlyIdle.erase(status.target);
         if (status.inFlight > 0)
             busy_.insert(status.target);
         if (const auto peak = peaks_.find(status.target); peak != peaks_.end())
             peak->second.current = std::max(peak->second.current, status.inFlight);
     }
-    for (const TargetId& target : idleNow)
+    for (const TargetId& target : newlyIdle)
         modules_.directory->noteUse(target, 0, 0);
 }
 
@@ -64,13 +64,13 @@
 
 uint32_t TargetSync::busyElsewhere(const membership::TargetChange& change)
 {
-    // The report is older than this host's own count: what ran here lately may be in it still.
+    // The target's report is older than this host's own count and may still include requests that ran here recently.
     Peak& peak = peaks_[change.announcement.target];
-    const uint32_t ownLately = std::max(peak.current, peak.previous);
+    const uint32_t ownRecentPeak = std::max(peak.current, peak.previous);
     peak.previous = std::exchange(peak.current, 0);
-    const uint32_t explained = ownLately + change.foreignInFlight;
+    const uint32_t accountedFor = ownRecentPeak + change.foreignInFlight;
     const uint32_t busy = change.announcement.busySlots;
-    return busy > explained ? busy - explained : 0;
+    return busy > accountedFor ? busy - accountedFor : 0;
 }
 
 } // namespace saltvane::host
--- a/src/host/internal/targetsync.h
+++ b/src/host/internal/targetsync.h
@@ -12,19 +12,21 @@
 
 namespace saltvane::host {
 
-/// Keeps the directory's leases and the pool's targets in step: what is owned goes to the pool, what is in flight
-/// goes to the directory for hand-overs.
+/// Synchronizes the target directory and the target pool: passes owned targets to the pool, and in-flight counts to the
+/// directory for hand-overs.
 class TargetSync {
 public:
     /// `modules` must outlive the object.
     explicit TargetSync(HostModules& modules);
-    /// Before each call of the directory that may hand a target over, so that the figures told are exact.
+    /// To be called before each call of the directory that may hand a target over, so that the reported counts are
+    /// exact.
     void reportUse();
-    /// After each call of the directory; true when a target changed.
+    /// To be called after each call of the directory; true when a target changed.
     bool applyChanges(Timestamp now);
 
 private:
-    /// Most of this host's requests in flight on a target, in this announcement period and the one before.
+    /// Maximum of this host's requests in flight on a target, in the current announcement interval and the previous
+    /// one.
     struct Peak {
         uint32_t current = 0;
         uint32_t previous = 0;
@@ -34,7 +36,7 @@
 
     HostModules& modules_;
     std::unordered_map<TargetId, Peak> peaks_;
-    std::set<TargetId> busy_; ///< In flight at the last report.
+    std::set<TargetId> busy_; ///< Targets with requests in flight at the last report.
 };
 
 } // namespace saltvane::host
--- a/src/host/internal/zonesummary.h
+++ b/src/host/internal/zonesummary.h
@@ -12,14 +12,14 @@
 
 namespace saltvane::host {
 
-/// What the live hosts' records say of room and demand, summed by zone and by client region for steering.
+/// Usable capacity by zone and demand by client region, summed from the live hosts' records for steering.
 class ZoneSummary {
 public:
-    /// Sums anew; `modules` has a deployment.
+    /// Recomputes the sums; `modules` must have a deployment.
     void update(const HostModules& modules);
     [[nodiscard]] const std::vector<steering::ZoneRoom>& rooms() const { return rooms_; }
     [[nodiscard]] const std::vector<steering::RegionDemand>& demands() const { return demands_; }
-    /// Services that other hosts steer requests of.
+    /// Services with demand at other hosts.
     [[nodiscard]] const std::set<ServiceIndex>& servedElsewhere() const { return servedElsewhere_; }
     [[nodiscard]] std::vector<ZoneStatus> statuses(const model::Deployment& deployment) const;
 
--- a/src/host/routedlinks.h
+++ b/src/host/routedlinks.h
@@ -17,13 +17,13 @@
 
 [[nodiscard]] std::vector<HostId> hostIdsOf(std::span<const model::Address> addresses);
 
-/// What both kinds of routed hosts tell of themselves; the caller adds its role, entry address and state.
+/// The common part of a gateway's or registry host's own record; the caller adds role, entry address and state.
 [[nodiscard]] model::HostRecord routedRecord(const settings::RoutedHostSettings& settings, Incarnation incarnation);
 
-/// Asks for links to a set of hosts, once each time the set changes.
+/// Requests links to a set of hosts each time the set changes.
 class RoutedLinks {
 public:
-    /// The action to carry out; none where nothing changed.
+    /// The action to carry out; no value where the set is unchanged.
     [[nodiscard]] std::optional<LinksWanted> update(std::vector<HostId> hosts);
 
 private:
--- a/src/host/tests/atmostoncetests.cpp
+++ b/src/host/tests/atmostoncetests.cpp
@@ -13,16 +13,16 @@
 
 namespace {
 
-/// A correction by a client of Guayaquil, with a key of a look-up at the host.
+/// A correction by a client of Guayaquil, with a key that the given host issued in a look-up.
 class Correction {
 public:
-    Correction(FakeDeployment& deployment, const HostId& minter)
+    Correction(FakeDeployment& deployment, const HostId& issuer)
         : deployment_(deployment)
     {
-        const HttpReply reply = deployment.callAndWait({.host = minter,
+        const HttpReply reply = deployment.callAndWait({.host = issuer,
             .path = "/v1/entry?service=valuator",
             .remoteAddress = Client,
-            .oneWay = deployment.clientDelay(RegionName("guayaquil"), minter)});
+            .oneWayDelay = deployment.clientDelay(RegionName("guayaquil"), issuer)});
         key = nlohmann::json::parse(reply.body)["token"].get<std::string>() + ".correction";
     }
 
@@ -34,7 +34,7 @@
             .headers = {{"Saltvane-Service", "valuator"}, {"Idempotency-Key", key}},
             .body = "12.50",
             .remoteAddress = Client,
-            .oneWay = deployment_.clientDelay(RegionName("guayaquil"), host)};
+            .oneWayDelay = deployment_.clientDelay(RegionName("guayaquil"), host)};
     }
 
     [[nodiscard]] HttpReply sendAt(const HostId& host) { return deployment_.callAndWait(callAt(host)); }
@@ -47,7 +47,7 @@
     FakeDeployment& deployment_;
 };
 
-const HostId Minter("gye-urdesa-1");
+const HostId Issuer("gye-urdesa-1");
 const HostId Other("uio-cumbaya-1");
 
 void setServiceTime(FakeDeployment& deployment, Duration serviceTime)
@@ -58,13 +58,13 @@
 
 } // namespace
 
-TEST(AtMostOnceTests, ResendElsewhereWhileTheFirstRunsWaitsForItsAnswer)
+TEST(AtMostOnceTests, ResendAtAnotherHostWaitsForTheFirstResponse)
 {
     ServingDeployment serving({.requestsPerSecond = 20});
     setServiceTime(serving.deployment, 400ms);
-    Correction correction(serving.deployment, Minter);
+    Correction correction(serving.deployment, Issuer);
     HttpReply first;
-    serving.deployment.http().send(correction.callAt(Minter), [&](const HttpReply& reply) { first = reply; });
+    serving.deployment.http().send(correction.callAt(Issuer), [&](const HttpReply& reply) { first = reply; });
     serving.run(150ms);
     const HttpReply second = correction.sendAt(Other);
     serving.run(1s);
@@ -75,20 +75,20 @@
     serving.finish();
 }
 
-TEST(AtMostOnceTests, RestartedMinterNeverRunsAKeyOfItsEarlierLife)
+TEST(AtMostOnceTests, RestartedIssuerNeverRunsAKeyOfItsEarlierIncarnation)
 {
     ServingDeployment serving({.requestsPerSecond = 20});
     setServiceTime(serving.deployment, 300ms);
-    Correction correction(serving.deployment, Minter);
-    serving.deployment.http().send(correction.callAt(Minter), [](const HttpReply&) {});
+    Correction correction(serving.deployment, Issuer);
+    serving.deployment.http().send(correction.callAt(Issuer), [](const HttpReply&) {});
     serving.run(200ms);
-    serving.deployment.host(Minter).kill();
+    serving.deployment.host(Issuer).kill();
     serving.run(100ms);
     const HttpReply whileDown = correction.sendAt(Other);
     EXPECT_EQ(whileDown.header("Saltvane-Outcome"), "unknown") << whileDown.body;
-    serving.deployment.host(Minter).start();
+    serving.deployment.host(Issuer).start();
     ASSERT_TRUE(serving.deployment.time().runUntil([&] { return serving.deployment.areAllServing(); }, 5s));
-    for (const HostId& host : {Minter, Other}) {
+    for (const HostId& host : {Issuer, Other}) {
         const HttpReply reply = correction.sendAt(host);
         EXPECT_EQ(reply.header("Saltvane-Outcome"), "unknown") << reply.body;
         EXPECT_EQ(reply.header("Saltvane-Reason"), "minter-gone") << reply.body;
@@ -116,7 +116,7 @@
     serving.finish();
 }
 
-TEST(AtMostOnceTests, KeysOfTheCallersOwnRunOnceWhileControlHostsFail)
+TEST(AtMostOnceTests, CallerMadeKeysRunOnceWhileControlHostsFail)
 {
     ServingDeployment serving({.requestsPerSecond = 20});
     FakeDeployment& deployment = serving.deployment;
@@ -144,7 +144,7 @@
     serving.finish();
 }
 
-TEST(AtMostOnceTests, StormOfResendsWhileEveryHostRestartsInTurn)
+TEST(AtMostOnceTests, ResentRequestsRunOnceWhileEveryHostRestartsInTurn)
 {
     ServingDeployment serving({.folder = MagnoliaFolder, .requestsPerSecond = 50});
     FakeDeployment& deployment = serving.deployment;
--- a/src/host/tests/bundletests.cpp
+++ b/src/host/tests/bundletests.cpp
@@ -11,21 +11,21 @@
 
 namespace {
 
-constexpr Duration InForceTime = 5s;
+constexpr Duration InForceTimeout = 5s;
 
 std::string nextBundle(const FakeDeployment& deployment, uint64_t version)
 {
     return edited(deployment.plan().bundles.front(), "version: 1", "version: " + std::to_string(version));
 }
 
-bool spreads(FakeDeployment& deployment, uint64_t version)
+bool isInForceEverywhereSoon(FakeDeployment& deployment, uint64_t version)
 {
-    return deployment.time().runUntil([&] { return deployment.isInForceEverywhere({version}); }, InForceTime);
+    return deployment.time().runUntil([&] { return deployment.isInForceEverywhere({version}); }, InForceTimeout);
 }
 
 } // namespace
 
-TEST(BundleTests, AcceptedBundleIsInForceEverywhereThoughTheLeaderDies)
+TEST(BundleTests, AcceptedBundleIsInForceEverywhereAfterTheLeaderDies)
 {
     ServingDeployment serving({.requestsPerSecond = 50});
     FakeDeployment& deployment = serving.deployment;
@@ -34,7 +34,7 @@
         const HostId leader = deployment.controlLeader();
         ASSERT_FALSE(leader.isEmpty());
         deployment.host(leader).kill(true);
-        EXPECT_TRUE(spreads(deployment, version)) << deployment.describe();
+        EXPECT_TRUE(isInForceEverywhereSoon(deployment, version)) << deployment.describe();
         deployment.host(leader).start();
         serving.run(3s);
     }
@@ -42,7 +42,7 @@
     serving.finish();
 }
 
-TEST(BundleTests, LossOfMessagesDoesNotKeepABundleFromAnyHost)
+TEST(BundleTests, BundleReachesEveryHostDespiteMessageLoss)
 {
     ServingDeployment serving({.requestsPerSecond = 50});
     FakeDeployment& deployment = serving.deployment;
@@ -51,12 +51,12 @@
         return std::holds_alternative<model::BundlePush>(outgoing.message) && ++pushes % 3 != 0;
     });
     ASSERT_TRUE(deployment.putInForce(nextBundle(deployment, 2), {2}));
-    EXPECT_TRUE(spreads(deployment, 2)) << deployment.describe();
+    EXPECT_TRUE(isInForceEverywhereSoon(deployment, 2)) << deployment.describe();
     EXPECT_GT(pushes, 0U);
     serving.finish();
 }
 
-TEST(BundleTests, HealedZoneTakesTheNewestAndNeverAnOlderBundle)
+TEST(BundleTests, HealedZoneInstallsTheNewestAndNeverAnOlderBundle)
 {
     ServingDeployment serving({.requestsPerSecond = 50});
     FakeDeployment& deployment = serving.deployment;
@@ -67,21 +67,21 @@
     serving.run(2s);
     EXPECT_EQ(deployment.host(HostId("uio-carolina-2")).status().inForceVersion, BundleVersion {1});
     deployment.heal();
-    EXPECT_TRUE(spreads(deployment, 3)) << deployment.describe();
+    EXPECT_TRUE(isInForceEverywhereSoon(deployment, 3)) << deployment.describe();
     serving.finish();
 }
 
-TEST(BundleTests, ResentProposalIsTheSameAndAnotherContentOfItsNumberConflicts)
+TEST(BundleTests, ResentProposalIsAcceptedAndOtherContentOfItsVersionConflicts)
 {
     FakeDeployment deployment({.plan = loadDeploymentPlan(ValoriaFolder)});
     ASSERT_TRUE(deployment.bringUp()) << deployment.describe();
     const std::string second = nextBundle(deployment, 2);
     ASSERT_TRUE(deployment.putInForce(second, {2}));
-    EXPECT_TRUE(deployment.putInForce(second, {2})) << "the same request again must get the same answer";
+    EXPECT_TRUE(deployment.putInForce(second, {2})) << "a repeated request must get the same response";
     const std::string other = edited(second, "share: 0.1", "share: 0.2");
     EXPECT_FALSE(deployment.putInForce(other, {2}, 1s));
     EXPECT_EQ(deployment.lastOperatorReply().status, 409) << deployment.lastOperatorReply().body;
-    EXPECT_TRUE(spreads(deployment, 2));
+    EXPECT_TRUE(isInForceEverywhereSoon(deployment, 2));
 }
 
 } // namespace saltvane::host
--- a/src/host/tests/wholeanswertests.cpp
+++ b/src/host/tests/completeresponsetests.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr size_t LargeAnswer = 3 * 1024 * 1024;
+constexpr size_t LargeResponseBytes = 3 * 1024 * 1024;
 
 HttpCall fileOf(FakeDeployment& deployment, const HostId& host)
 {
@@ -19,13 +19,13 @@
         .path = "/files/end-of-day",
         .headers = {{"Saltvane-Service", "valuator"}},
         .remoteAddress = "10.20.0.9",
-        .oneWay = deployment.clientDelay(RegionName("guayaquil"), host)};
+        .oneWayDelay = deployment.clientDelay(RegionName("guayaquil"), host)};
 }
 
 std::string largeText()
 {
     std::string text;
-    while (text.size() < LargeAnswer)
+    while (text.size() < LargeResponseBytes)
         text += "line " + std::to_string(text.size()) + "\n";
     return text;
 }
@@ -33,24 +33,24 @@
 void answerWith(FakeDeployment& deployment, const std::string& text)
 {
     for (FakeTarget* target : deployment.targets())
-        target->setAnswer(
-            [text](const requests::TargetStart&, const std::string&) { return TargetAnswer {.body = text}; });
+        target->setResponder(
+            [text](const requests::TargetStart&, const std::string&) { return TargetResponse {.body = text}; });
 }
 
 } // namespace
 
-TEST(WholeAnswerTests, LargeAnswerCrossesRegionsWhole)
+TEST(CompleteResponseTests, LargeResponseCrossesRegionsComplete)
 {
     FakeDeployment deployment({.plan = loadDeploymentPlan(ValoriaFolder)});
     ASSERT_TRUE(deployment.bringUp()) << deployment.describe();
     const std::string text = largeText();
     answerWith(deployment, text);
     const HttpReply reply = deployment.callAndWait(fileOf(deployment, HostId("cue-ricaurte-1")), 60s);
-    EXPECT_TRUE(reply.isWhole);
+    EXPECT_TRUE(reply.isComplete);
     EXPECT_TRUE(reply.body == text);
 }
 
-TEST(WholeAnswerTests, AnswerThatBreaksHalfWayNeverLooksWhole)
+TEST(CompleteResponseTests, TruncatedResponseNeverLooksComplete)
 {
     ServingDeployment serving({});
     for (FakeTarget* target : serving.deployment.targets())
@@ -60,7 +60,7 @@
     EXPECT_GT(serving.load.record().unknown + serving.load.record().broken, 0U) << serving.load.summary();
 }
 
-TEST(WholeAnswerTests, LargeAnswerOfADyingTargetIsVisiblyBroken)
+TEST(CompleteResponseTests, LargeResponseOfAKilledTargetIsVisiblyIncomplete)
 {
     FakeDeployment deployment({.plan = loadDeploymentPlan(ValoriaFolder)});
     ASSERT_TRUE(deployment.bringUp()) << deployment.describe();
@@ -68,8 +68,8 @@
     answerWith(deployment, text);
     HttpReply reply;
     bool isDone = false;
-    deployment.http().send(fileOf(deployment, HostId("cue-ricaurte-1")), [&](const HttpReply& got) {
-        reply = got;
+    deployment.http().send(fileOf(deployment, HostId("cue-ricaurte-1")), [&](const HttpReply& received) {
+        reply = received;
         isDone = true;
     });
     deployment.time().runFor(200ms);
@@ -77,12 +77,12 @@
     for (FakeTarget* target : deployment.targets())
         target->kill();
     ASSERT_TRUE(deployment.time().runUntil([&] { return isDone; }, 10s));
-    EXPECT_FALSE(reply.isWhole);
+    EXPECT_FALSE(reply.isComplete);
     EXPECT_LT(reply.body.size(), text.size());
     EXPECT_TRUE(text.starts_with(reply.body));
 }
 
-TEST(WholeAnswerTests, LargeAnswerOverACutLinkIsVisiblyBroken)
+TEST(CompleteResponseTests, LargeResponseOverACutLinkIsVisiblyIncomplete)
 {
     FakeDeployment deployment({.plan = loadDeploymentPlan(ValoriaFolder)});
     ASSERT_TRUE(deployment.bringUp()) << deployment.describe();
@@ -90,15 +90,15 @@
     answerWith(deployment, text);
     HttpReply reply;
     bool isDone = false;
-    deployment.http().send(fileOf(deployment, HostId("cue-ricaurte-1")), [&](const HttpReply& got) {
-        reply = got;
+    deployment.http().send(fileOf(deployment, HostId("cue-ricaurte-1")), [&](const HttpReply& received) {
+        reply = received;
         isDone = true;
     });
     deployment.time().runFor(200ms);
     ASSERT_FALSE(isDone);
     deployment.cutOff(ZoneName("cue-ricaurte"));
     ASSERT_TRUE(deployment.time().runUntil([&] { return isDone; }, 10s));
-    EXPECT_FALSE(reply.isWhole);
+    EXPECT_FALSE(reply.isComplete);
     EXPECT_TRUE(text.starts_with(reply.body));
 }
 
--- a/src/host/tests/controlcutofftests.cpp
+++ b/src/host/tests/controlcutofftests.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// A follower's proof, or a former leader's, holds so long.
+/// Time for which the proof of a follower or a former leader is valid.
 constexpr Duration ProofLease = 1s;
 
 std::string errorOf(const HttpReply& reply) { return nlohmann::json::parse(reply.body)["error"].get<std::string>(); }
@@ -30,7 +30,7 @@
 
 } // namespace
 
-TEST(ControlCutOffTests, CutOffFollowerSaysThatItIsNotCurrent)
+TEST(ControlCutOffTests, CutOffFollowerReportsThatItIsNotCurrent)
 {
     ServingDeployment serving({.requestsPerSecond = 20});
     FakeDeployment& deployment = serving.deployment;
@@ -56,7 +56,7 @@
     serving.run(ProofLease + 200ms);
     const HttpReply reply = deployment.get(leader, "/v1/control/bundles");
     EXPECT_EQ(errorOf(reply), "not-current") << reply.body;
-    // The rest goes on without it, and a long time later it still does not believe itself current.
+    // The other control hosts continue without it; it does not report itself as current even a long time later.
     serving.run(3s);
     const std::string second = edited(deployment.plan().bundles.front(), "version: 1", "version: 2");
     ASSERT_TRUE(deployment.putInForce(second, {2})) << deployment.describe();
@@ -68,21 +68,21 @@
     serving.finish();
 }
 
-TEST(ControlCutOffTests, LeaderThatStoodStillIsNotCurrentWhenItWakes)
+TEST(ControlCutOffTests, LeaderIsNotCurrentAfterAStall)
 {
     ServingDeployment serving({.requestsPerSecond = 20});
     FakeDeployment& deployment = serving.deployment;
     const HostId leader = deployment.controlLeader();
     deployment.host(leader).pause();
     HttpReply reply;
-    deployment.http().send(
-        {.host = leader, .path = "/v1/control/bundles", .oneWay = 1ms}, [&](const HttpReply& got) { reply = got; });
+    deployment.http().send({.host = leader, .path = "/v1/control/bundles", .oneWayDelay = 1ms},
+        [&](const HttpReply& received) { reply = received; });
     serving.run(4s);
     const std::string second = edited(deployment.plan().bundles.front(), "version: 1", "version: 2");
     ASSERT_TRUE(deployment.putInForce(second, {2})) << deployment.describe();
     deployment.host(leader).resume();
     serving.run(100ms);
-    // It waited through the change: an answer of the old state would be false.
+    // The request waited while the bundle changed: a response with the old state would be wrong.
     EXPECT_EQ(errorOf(reply), "not-current") << reply.body;
     serving.run(3s);
     EXPECT_TRUE(deployment.isInForceEverywhere({2})) << deployment.describe();
@@ -98,7 +98,7 @@
     deployment.host(follower).disk().replace();
     deployment.host(follower).start();
     serving.run(4s);
-    // The repaired replica must count again: another one may be lost now.
+    // The repaired replica must be a voter again: the quorum must survive the loss of another one now.
     const HostId leader = deployment.controlLeader();
     ASSERT_FALSE(leader.isEmpty());
     deployment.host(leader).kill(true);
--- a/src/host/tests/cutoffzonetests.cpp
+++ b/src/host/tests/cutoffzonetests.cpp
@@ -16,7 +16,7 @@
 const ZoneName Zone("gye-urdesa");
 const HostId Inside("gye-urdesa-2");
 
-/// Answers to clients of the zone's region at a host in it.
+/// Sends requests of a client of the zone's region to a host in the zone; returns how many were answered with 200.
 uint32_t answersInside(FakeDeployment& deployment, int requests)
 {
     uint32_t answered = 0;
@@ -25,7 +25,7 @@
             .path = "/nav/fund-" + std::to_string(i),
             .headers = {{"Saltvane-Service", "valuator"}},
             .remoteAddress = "10.20.0.9",
-            .oneWay = 8ms});
+            .oneWayDelay = 8ms});
         answered += reply.status == 200 ? 1 : 0;
     }
     return answered;
@@ -33,7 +33,7 @@
 
 } // namespace
 
-TEST(CutOffZoneTests, ZoneGoesOnServingWhatItCan)
+TEST(CutOffZoneTests, ZoneContinuesToServe)
 {
     ServingDeployment serving({.requestsPerSecond = 50});
     FakeDeployment& deployment = serving.deployment;
@@ -42,7 +42,7 @@
     EXPECT_TRUE(deployment.host(Inside).status().isCutOff);
     EXPECT_GE(answersInside(deployment, 40), 36U) << deployment.describe();
     const HttpReply lookUp = deployment.callAndWait(
-        {.host = Inside, .path = "/v1/entry?service=valuator", .remoteAddress = "10.20.0.9", .oneWay = 8ms});
+        {.host = Inside, .path = "/v1/entry?service=valuator", .remoteAddress = "10.20.0.9", .oneWayDelay = 8ms});
     ASSERT_EQ(lookUp.status, 200) << lookUp.body;
     const std::string key = nlohmann::json::parse(lookUp.body)["token"].get<std::string>() + ".1";
     const HttpReply correction = deployment.callAndWait({.host = Inside,
@@ -51,7 +51,7 @@
         .headers = {{"Saltvane-Service", "valuator"}, {"Idempotency-Key", key}},
         .body = "1",
         .remoteAddress = "10.20.0.9",
-        .oneWay = 8ms});
+        .oneWayDelay = 8ms});
     EXPECT_EQ(correction.status, 200) << correction.body;
     EXPECT_EQ(deployment.runsOf(key), 1U);
     deployment.heal();
@@ -72,7 +72,7 @@
         .headers = {{"Saltvane-Service", "valuator"}, {"Idempotency-Key", "made-by-the-caller"}},
         .body = "1",
         .remoteAddress = "10.20.0.9",
-        .oneWay = 8ms});
+        .oneWayDelay = 8ms});
     EXPECT_EQ(reply.header("Saltvane-Outcome"), "unknown") << reply.body;
     EXPECT_EQ(deployment.runsOf("made-by-the-caller"), 0U);
     deployment.heal();
@@ -80,7 +80,7 @@
     serving.finish();
 }
 
-TEST(CutOffZoneTests, PlannedShiftStandsStillInsideAndGoesOnWithinItsCapAfterwards)
+TEST(CutOffZoneTests, PlannedShiftPausesInsideAndContinuesWithinItsCapAfterwards)
 {
     ServingDeployment serving({.requestsPerSecond = 100});
     FakeDeployment& deployment = serving.deployment;
@@ -88,7 +88,7 @@
     serving.run(3s);
     deployment.cutOff(ZoneName("uio-carolina"));
     serving.run(4s);
-    // Rows of a host that never served may stand anywhere.
+    // Rows of a host that has routed no request yet are not bound to the shift.
     const ServiceName valuator("valuator");
     const bool isFirst = deployment.hasServed(HostId("uio-carolina-1"), valuator);
     const HostId inside(isFirst ? "uio-carolina-1" : "uio-carolina-2");
--- a/src/host/tests/deploymenttests.cpp
+++ b/src/host/tests/deploymenttests.cpp
@@ -21,7 +21,7 @@
 
 HttpCall lookUp(const HostId& host, const std::string& service, const std::string& client)
 {
-    return {.host = host, .path = "/v1/entry?service=" + service, .remoteAddress = client, .oneWay = 8ms};
+    return {.host = host, .path = "/v1/entry?service=" + service, .remoteAddress = client, .oneWayDelay = 8ms};
 }
 
 HttpCall priceQuery(const HostId& host, const std::string& client)
@@ -30,7 +30,7 @@
         .path = "/nav/fund-7",
         .headers = {{"Saltvane-Service", "valuator"}},
         .remoteAddress = client,
-        .oneWay = 8ms};
+        .oneWayDelay = 8ms};
 }
 
 } // namespace
@@ -46,15 +46,15 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(Deployments, DeploymentTests, ::testing::Values(Valoria, Magnolia),
-    [](const auto& one) { return one.param == Valoria ? "Valoria" : "Magnolia"; });
+    [](const auto& deploymentInfo) { return deploymentInfo.param == Valoria ? "Valoria" : "Magnolia"; });
 
 TEST(DeploymentCallTests, GetThroughAHostOfAnotherRegionReturnsTheTargetsBytes)
 {
     FakeDeployment deployment({.plan = loadDeploymentPlan(Valoria)});
     ASSERT_TRUE(deployment.bringUp()) << deployment.describe();
-    // A client of Guayaquil asks a host in Cuenca; its row leads to a target in Guayaquil.
+    // A client of Guayaquil calls a host in Cuenca; the client region's row leads to a target in Guayaquil.
     const HttpReply reply = deployment.callAndWait(priceQuery(HostId("cue-ricaurte-1"), "10.20.0.9"));
-    ASSERT_TRUE(reply.isWhole);
+    ASSERT_TRUE(reply.isComplete);
     ASSERT_EQ(reply.status, 200) << reply.body;
     EXPECT_EQ(reply.header("Saltvane-Outcome"), "answered");
     const FakeTarget& target = deployment.target(TargetId(reply.header("X-Target")));
@@ -78,7 +78,7 @@
         .headers = {{"Saltvane-Service", "valuator"}, {"Idempotency-Key", key}},
         .body = "12.50",
         .remoteAddress = "10.20.0.9",
-        .oneWay = 8ms};
+        .oneWayDelay = 8ms};
     const HttpReply first = deployment.callAndWait(correction);
     ASSERT_EQ(first.status, 200) << first.body;
     correction.host = HostId("uio-cumbaya-1");
@@ -89,7 +89,7 @@
     EXPECT_EQ(deployment.runsOf(key), 1U);
 }
 
-TEST(DeploymentCallTests, KeyOfTheCallersOwnMakingIsClaimedAndRunsOnce)
+TEST(DeploymentCallTests, CallerMadeKeyIsClaimedAndRunsOnce)
 {
     FakeDeployment deployment({.plan = loadDeploymentPlan(Valoria)});
     ASSERT_TRUE(deployment.bringUp()) << deployment.describe();
@@ -99,7 +99,7 @@
         .headers = {{"Saltvane-Service", "settlebox"}, {"Idempotency-Key", "subscription-9"}},
         .body = "yes",
         .remoteAddress = "10.30.0.9",
-        .oneWay = 8ms};
+        .oneWayDelay = 8ms};
     const HttpReply first = deployment.callAndWait(confirmation);
     ASSERT_EQ(first.status, 200) << first.body;
     confirmation.host = HostId("gye-ceibos-1");
--- a/src/host/tests/fakes/callerload.cpp
+++ b/src/host/tests/fakes/callerload.cpp
@@ -14,9 +14,9 @@
 
 namespace {
 
-constexpr uint32_t LargestCalls = 4;
-constexpr Duration ResendAfter = 200ms;
-constexpr Duration Patience = 9s; ///< Over every deadline of the deployments.
+constexpr uint32_t MaxCalls = 4;
+constexpr Duration ResendDelay = 200ms;
+constexpr Duration CallerTimeout = 9s; ///< Longer than every deadline of the deployments.
 constexpr uint32_t FailuresBeforeLookUp = 2;
 const std::string WritePath = "/changes/";
 const std::string CallHeader = "X-Call";
@@ -50,26 +50,26 @@
 {
     for (size_t i = 0; i < callers_.size(); ++i)
         lookUp(i);
-    scheduleNext(++life_);
+    scheduleNext(++generation_);
 }
 
 void CallerLoad::finish()
 {
     stop();
-    (void)time_.runUntil([this] { return jobs_.empty(); }, LargestCalls * (Patience + ResendAfter));
+    (void)time_.runUntil([this] { return jobs_.empty(); }, MaxCalls * (CallerTimeout + ResendDelay));
     for (const auto& [id, job] : jobs_)
-        record_.violations.push_back("request " + std::to_string(id) + " never ended");
-    for (const auto& [id, what] : lastNotRun_) {
+        record_.violations.push_back("request " + std::to_string(id) + " never completed");
+    for (const auto& [id, request] : lastNotRun_) {
         if (runsOf(id) > 0)
-            record_.violations.push_back(what + " was told not-run last, yet it ran");
+            record_.violations.push_back(request + " had the last outcome not-run, but it ran");
     }
 }
 
 std::string CallerLoad::violations() const
 {
     std::string text;
-    for (const std::string& one : record_.violations)
-        text += one + "\n";
+    for (const std::string& violation : record_.violations)
+        text += violation + "\n";
     return text;
 }
 
@@ -89,14 +89,14 @@
     return found == record_.reasons.end() ? 0 : found->second;
 }
 
-void CallerLoad::scheduleNext(uint64_t life)
+void CallerLoad::scheduleNext(uint64_t generation)
 {
     const auto gap = fromSeconds(1.0 / options_.requestsPerSecond);
-    time_.after(gap, [this, life] {
-        if (life != life_)
+    time_.after(gap, [this, generation] {
+        if (generation != generation_)
             return;
         startJob();
-        scheduleNext(life);
+        scheduleNext(generation);
     });
 }
 
@@ -142,22 +142,22 @@
     HttpCall call {.host = host,
         .path = "/v1/entry?service=" + caller.service.value(),
         .remoteAddress = caller.address,
-        .oneWay = deployment_.clientDelay(caller.region, host)};
-    const FakeHttp::CallId id
-        = deployment_.http().send(std::move(call), [this, index](const HttpReply& reply) { takeLookUp(index, reply); });
+        .oneWayDelay = deployment_.clientDelay(caller.region, host)};
+    const FakeHttp::CallId id = deployment_.http().send(
+        std::move(call), [this, index](const HttpReply& reply) { handleLookUpReply(index, reply); });
     time_.after(1s, [this, index, id] {
-        // The host stands still.
+        // No reply: the host is stalled.
         if (deployment_.http().abort(id))
-            takeLookUp(index, {});
+            handleLookUpReply(index, {});
     });
 }
 
-void CallerLoad::takeLookUp(size_t index, const HttpReply& reply)
+void CallerLoad::handleLookUpReply(size_t index, const HttpReply& reply)
 {
     Caller& caller = callers_[index];
     caller.isLookingUp = false;
-    if (!reply.isWhole || reply.status != 200) {
-        time_.after(ResendAfter, [this, index] {
+    if (!reply.isComplete || reply.status != 200) {
+        time_.after(ResendDelay, [this, index] {
             if (!callers_[index].isLookingUp)
                 lookUp(index);
         });
@@ -179,92 +179,93 @@
     const uint32_t callNumber = ++job.calls;
     job.isAwaiting = true;
     job.call.host = caller.hosts[(job.calls - 1 + caller.failures) % caller.hosts.size()];
-    job.call.oneWay = deployment_.clientDelay(caller.region, job.call.host);
-    job.callId = deployment_.http().send(HttpCall(job.call), [this, id](const HttpReply& reply) { take(id, reply); });
-    time_.after(Patience, [this, id, callNumber] { giveUp(id, callNumber); });
+    job.call.oneWayDelay = deployment_.clientDelay(caller.region, job.call.host);
+    job.callId
+        = deployment_.http().send(HttpCall(job.call), [this, id](const HttpReply& reply) { handleReply(id, reply); });
+    time_.after(CallerTimeout, [this, id, callNumber] { onCallerTimeout(id, callNumber); });
 }
 
-void CallerLoad::giveUp(JobId id, uint32_t call)
+void CallerLoad::onCallerTimeout(JobId id, uint32_t call)
 {
     const auto job = jobs_.find(id);
     if (job == jobs_.end() || !job->second.isAwaiting || job->second.calls != call)
         return;
     (void)deployment_.http().abort(job->second.callId);
-    take(id, {});
+    handleReply(id, {});
 }
 
-void CallerLoad::take(JobId id, const HttpReply& reply)
+void CallerLoad::handleReply(JobId id, const HttpReply& reply)
 {
     Job& job = jobs_.at(id);
     job.isAwaiting = false;
-    if (!reply.isWhole) {
+    if (!reply.isComplete) {
         ++record_.broken;
         ++callers_[job.caller].failures;
         const std::string expected = expectedBody(job, reply.header("X-Target"));
         if (reply.status == 200 && !expected.starts_with(reply.body))
-            violate(id, job, "got bytes of something else: " + reply.body);
-        resendOrEnd(id, job, false);
+            addViolation(id, job, "received bytes of another response: " + reply.body);
+        resendOrFinish(id, job, false);
         return;
     }
     const std::string outcome = reply.header("Saltvane-Outcome");
     if (outcome == "answered") {
-        takeAnswer(id, job, reply);
+        handleAnswered(id, job, reply);
         jobs_.erase(id);
         return;
     }
     ++record_.reasons[outcome + ":" + reply.header("Saltvane-Reason")];
     if (outcome == "not-run") {
-        takeNotRun(id, job, reply);
+        handleNotRun(id, job, reply);
         return;
     }
     if (outcome != "unknown")
-        violate(id, job, "got an answer without an outcome, status " + std::to_string(reply.status));
+        addViolation(id, job, "received a response without an outcome, status " + std::to_string(reply.status));
     ++record_.unknown;
-    resendOrEnd(id, job, false);
+    resendOrFinish(id, job, false);
 }
 
-void CallerLoad::takeAnswer(JobId id, const Job& job, const HttpReply& reply)
+void CallerLoad::handleAnswered(JobId id, const Job& job, const HttpReply& reply)
 {
     ++record_.answered;
     if (reply.status != 200)
         return;
     const std::string target = reply.header("X-Target");
     if (reply.body != expectedBody(job, target))
-        violate(id, job, "got another answer than its own: " + reply.body);
+        addViolation(id, job, "received another request's response: " + reply.body);
     if (runsOf(id) == 0)
-        violate(id, job, "was answered, yet no target ran it");
+        addViolation(id, job, "was answered, but no target ran it");
 }
 
-void CallerLoad::takeNotRun(JobId id, Job& job, const HttpReply& reply)
+void CallerLoad::handleNotRun(JobId id, Job& job, const HttpReply& reply)
 {
     ++record_.notRun;
     const std::string reason = reply.header("Saltvane-Reason");
     if (reason == "stopping" || reason == "not-ready")
         ++callers_[job.caller].failures;
-    // A repeatable request may have run in an earlier call; what may not be repeated is one request in all its calls.
+    // A repeatable request may have run in an earlier call; a non-repeatable one must not have run in any of its calls.
     const bool isSure = job.kind != Kind::Repeatable || job.calls == 1;
     if (isSure && runsOf(id) > 0)
-        violate(id, job, "was told not-run, " + reason + ", yet it ran");
-    resendOrEnd(id, job, isSure);
+        addViolation(id, job, "had the outcome not-run, " + reason + ", but it ran");
+    resendOrFinish(id, job, isSure);
 }
 
-void CallerLoad::resendOrEnd(JobId id, Job& job, bool wasToldNotRun)
+void CallerLoad::resendOrFinish(JobId id, Job& job, bool wasReportedNotRun)
 {
-    const bool isOver = job.calls >= LargestCalls || job.kind == Kind::Repeatable || draw(4) == 0;
+    const bool isOver = job.calls >= MaxCalls || job.kind == Kind::Repeatable || draw(4) == 0;
     if (isOver) {
-        if (wasToldNotRun)
+        if (wasReportedNotRun)
             lastNotRun_[id] = "request " + std::to_string(id) + " with key '" + job.key + "'";
         jobs_.erase(id);
         return;
     }
     ++record_.resends;
-    time_.after(ResendAfter, [this, id] { send(id); });
+    time_.after(ResendDelay, [this, id] { send(id); });
 }
 
-void CallerLoad::violate(JobId id, const Job& job, const std::string& what)
+void CallerLoad::addViolation(JobId id, const Job& job, const std::string& text)
 {
     record_.violations.push_back("request " + std::to_string(id) + " with key '" + job.key + "' at "
-        + job.call.host.value() + ", call " + std::to_string(job.calls) + ", " + what);
+        + job.call.host.value() + ", call " + std::to_string(job.calls) + ", " + text);
 }
 
 std::string CallerLoad::expectedBody(const Job& job, const std::string& target) const
--- a/src/host/tests/fakes/callerload.h
+++ b/src/host/tests/fakes/callerload.h
@@ -17,29 +17,28 @@
 struct CallerLoadOptions {
     FakeDeployment* deployment = nullptr; ///< Must outlive the load.
     double requestsPerSecond = 100;
-    /// Of each hundred requests.
-    uint32_t tokenKeyPercent = 25; ///< May not be repeated, key of a look-up answer.
-    uint32_t ownKeyPercent = 5; ///< May not be repeated, key of the caller's own making.
+    uint32_t tokenKeyPercent = 25; ///< Non-repeatable requests with a key from a look-up's token.
+    uint32_t ownKeyPercent = 5; ///< Non-repeatable requests with a key made by the caller.
     std::vector<ServiceName> services; ///< Empty: all of the first bundle.
     std::vector<RegionName> regions; ///< Empty: all of the first bundle.
-    std::string name = "load"; ///< Unlike that of any other load on the deployment.
+    std::string name = "load"; ///< Unique among the loads on the deployment.
     uint64_t seed = 1;
 };
 
-/// What callers were told, and what of it was false.
+/// Outcomes that callers received, and violations found in them.
 struct CallerLoadRecord {
     uint64_t requests = 0;
     uint64_t answered = 0;
-    uint64_t notRun = 0; ///< Calls told not-run, each resend counted.
+    uint64_t notRun = 0; ///< Calls with the outcome not-run, counting each resend.
     uint64_t unknown = 0;
-    uint64_t broken = 0; ///< No whole answer came.
+    uint64_t broken = 0; ///< No complete response arrived.
     uint64_t resends = 0;
-    std::map<std::string, uint64_t> reasons; ///< Saltvane-Reason of what was not answered.
+    std::map<std::string, uint64_t> reasons; ///< Calls that were not answered, by "outcome:reason".
     std::vector<std::string> violations;
 };
 
-/// Callers as docs/REQUESTS.md describes them: they look up entry hosts, keep the answer for its time, resend what may
-/// not be repeated with the same key at another host, and check everything they are told against the targets' records.
+/// Callers as docs/REQUESTS.md describes them: they look up entry hosts, cache the result for its time to live, resend
+/// non-repeatable requests with the same key to another host, and check every outcome against the targets' records.
 class CallerLoad {
 public:
     explicit CallerLoad(CallerLoadOptions options);
@@ -47,14 +46,14 @@
     CallerLoad& operator=(const CallerLoad&) = delete;
 
     void start();
-    /// No new requests; those under way go on.
-    void stop() { ++life_; }
-    /// Stops, waits for what is under way, and checks what was told last of each request.
+    /// Starts no new requests; open ones continue.
+    void stop() { ++generation_; }
+    /// Stops, waits for the open requests and checks the last outcome of each request.
     void finish();
     [[nodiscard]] const CallerLoadRecord& record() const { return record_; }
-    /// Answers of this outcome and reason, as "not-run:no-room".
+    /// Calls with this outcome and reason, such as "not-run:no-room".
     [[nodiscard]] uint64_t countOf(const std::string& outcomeAndReason) const;
-    [[nodiscard]] size_t underWay() const { return jobs_.size(); }
+    [[nodiscard]] size_t openRequests() const { return jobs_.size(); }
     /// All violations, one a line.
     [[nodiscard]] std::string violations() const;
     [[nodiscard]] std::string summary() const;
@@ -67,7 +66,7 @@
         RegionName region;
         std::string address;
         std::string readPath;
-        std::vector<HostId> hosts; ///< As the last look-up named them.
+        std::vector<HostId> hosts; ///< From the last look-up.
         std::string token;
         Timestamp expiry;
         bool isLookingUp = false;
@@ -84,17 +83,17 @@
     };
     using JobId = uint64_t;
 
-    void scheduleNext(uint64_t life);
+    void scheduleNext(uint64_t generation);
     void startJob();
     void lookUp(size_t index);
-    void takeLookUp(size_t index, const HttpReply& reply);
+    void handleLookUpReply(size_t index, const HttpReply& reply);
     void send(JobId id);
-    void take(JobId id, const HttpReply& reply);
-    void giveUp(JobId id, uint32_t call);
-    void takeAnswer(JobId id, const Job& job, const HttpReply& reply);
-    void takeNotRun(JobId id, Job& job, const HttpReply& reply);
-    void resendOrEnd(JobId id, Job& job, bool wasToldNotRun);
-    void violate(JobId id, const Job& job, const std::string& what);
+    void handleReply(JobId id, const HttpReply& reply);
+    void onCallerTimeout(JobId id, uint32_t call);
+    void handleAnswered(JobId id, const Job& job, const HttpReply& reply);
+    void handleNotRun(JobId id, Job& job, const HttpReply& reply);
+    void resendOrFinish(JobId id, Job& job, bool wasReportedNotRun);
+    void addViolation(JobId id, const Job& job, const std::string& text);
     [[nodiscard]] std::string expectedBody(const Job& job, const std::string& target) const;
     [[nodiscard]] std::string callName(JobId id) const { return options_.name + "-" + std::to_string(id); }
     [[nodiscard]] uint64_t runsOf(JobId id) const { return deployment_.runsOfCall(callName(id)); }
@@ -108,9 +107,9 @@
     CallerLoadRecord record_;
     std::vector<Caller> callers_;
     std::map<JobId, Job> jobs_;
-    std::map<JobId, std::string> lastNotRun_; ///< Requests whose last word was not-run, with how they were sent.
+    std::map<JobId, std::string> lastNotRun_; ///< Requests whose last outcome was not-run, with a description.
     JobId lastJob_ = 0;
-    uint64_t life_ = 0;
+    uint64_t generation_ = 0;
 };
 
 } // namespace saltvane::host::fakes
--- a/src/host/tests/fakes/deploymentplan.cpp
+++ b/src/host/tests/fakes/deploymentplan.cpp
@@ -61,7 +61,7 @@
     const int code = sodium_base642bin(
         key.data(), key.size(), line.data(), line.size(), nullptr, &size, nullptr, sodium_base64_VARIANT_ORIGINAL);
     if (code != 0 || size != key.size())
-        throw std::runtime_error(path.string() + ": no Ed25519 key");
+        throw std::runtime_error(path.string() + ": does not contain an Ed25519 key");
     return {OperatorName(path.stem().string()), std::string(key.begin(), key.end())};
 }
 
@@ -106,7 +106,7 @@
     target.connections = node["connections"].as<uint32_t>();
     target.serviceTime = std::chrono::milliseconds(node["service_time_ms"].as<int64_t>());
     target.announceKey = announceKeyOf(plan, target.service);
-    target.firstHosts = hostsOfZone(plan, target.zone);
+    target.initialHosts = hostsOfZone(plan, target.zone);
     return target;
 }
 
@@ -144,10 +144,10 @@
 
 std::string edited(std::string content, const std::string& from, const std::string& to)
 {
-    const size_t place = content.find(from);
-    if (place == std::string::npos)
+    const size_t offset = content.find(from);
+    if (offset == std::string::npos)
         throw std::runtime_error("not in the bundle: " + from);
-    return content.replace(place, from.size(), to);
+    return content.replace(offset, from.size(), to);
 }
 
 } // namespace saltvane::host::fakes
--- a/src/host/tests/fakes/fakedeployment.cpp
+++ b/src/host/tests/fakes/fakedeployment.cpp
@@ -45,25 +45,25 @@
 
 void FakeDeployment::makeHosts()
 {
-    const FakeHostWorld world {
+    const FakeHostEnvironment environment {
         .time = &time_,
         .network = network_.get(),
         .http = http_.get(),
         .toTarget = [this](const HostId& id, Incarnation incarnation,
                         requests::Action action) { carryOut(id, incarnation, std::move(action)); },
-        .onAccess = [this](const HostId& id, const requests::AccessRecord& record) { noteAccess(id, record); },
+        .onAccess = [this](const HostId& id, const requests::AccessRecord& record) { recordAccess(id, record); },
     };
     Duration phase {};
     for (const settings::HostSettings& settings : options_.plan.hosts) {
         phase += TickPhaseStep;
         hosts_[settings.host] = std::make_unique<FakeHost>(
-            settings, phase % TickPeriod, options_.seed * 1000 + hosts_.size() * 17, world);
+            settings, phase % TickInterval, options_.seed * 1000 + hosts_.size() * 17, environment);
     }
 }
 
 void FakeDeployment::makeTargets()
 {
-    const FakeTargetWorld world {
+    const FakeTargetEnvironment environment {
         .time = &time_,
         .http = http_.get(),
         .delay = [this](const HostId& from, const ZoneName& zone) { return zoneDelay(zoneOf(from), zone); },
@@ -72,9 +72,9 @@
         .isCut = [this](const ZoneName& zone, const HostId& to) { return areZonesCut(zone, zoneOf(to)); },
     };
     for (const FakeTargetOptions& target : options_.plan.targets) {
-        auto made = std::make_unique<FakeTarget>(target, world);
-        targetsByAddress_[target.address] = made.get();
-        targets_[target.target] = std::move(made);
+        auto created = std::make_unique<FakeTarget>(target, environment);
+        targetsByAddress_[target.address] = created.get();
+        targets_[target.target] = std::move(created);
     }
 }
 
@@ -167,12 +167,12 @@
         .path = path,
         .headers = {{"Content-Type", "application/json"}},
         .body = json,
-        .oneWay = OperatorDelay});
+        .oneWayDelay = OperatorDelay});
 }
 
 HttpReply FakeDeployment::get(const HostId& host, const std::string& path)
 {
-    return callAndWait({.host = host, .path = path, .oneWay = OperatorDelay});
+    return callAndWait({.host = host, .path = path, .oneWayDelay = OperatorDelay});
 }
 
 void FakeDeployment::cutZones(ZoneCut cut)
@@ -199,7 +199,7 @@
     applyCuts();
 }
 
-void FakeDeployment::noteAccess(const HostId& id, const requests::AccessRecord& record)
+void FakeDeployment::recordAccess(const HostId& id, const requests::AccessRecord& record)
 {
     access_.push_back(record);
     if (!record.isOwnerSide && !record.zone.isEmpty())
@@ -248,13 +248,13 @@
     return all;
 }
 
-uint32_t FakeDeployment::slotOverfills()
+uint32_t FakeDeployment::overfilledTargets()
 {
     return static_cast<uint32_t>(std::count_if(targets_.begin(), targets_.end(),
-        [](const auto& item) { return item.second->record().largestInFlight > item.second->options().slots; }));
+        [](const auto& item) { return item.second->record().maxInFlight > item.second->options().slots; }));
 }
 
-uint32_t FakeDeployment::doubleRuns()
+uint32_t FakeDeployment::duplicateRuns()
 {
     std::map<std::string, uint64_t> runs;
     for (const auto& [id, target] : targets_) {
@@ -286,7 +286,7 @@
 Duration FakeDeployment::zoneDelay(const ZoneName& from, const ZoneName& to) const
 {
     const model::Deployment& first = *options_.plan.first;
-    return std::max(options_.withinZone, first.delay(*first.findZone(from), *first.findZone(to)));
+    return std::max(options_.sameZoneDelay, first.delay(*first.findZone(from), *first.findZone(to)));
 }
 
 const ZoneName& FakeDeployment::zoneOf(const HostId& host) const { return zones_.at(host); }
@@ -298,18 +298,18 @@
 
 void FakeDeployment::carryOut(const HostId& host, Incarnation incarnation, requests::Action action)
 {
-    const auto one = [&](auto&& typed) {
+    const auto dispatch = [&](auto&& typed) {
         using Type = std::decay_t<decltype(typed)>;
         if constexpr (std::is_same_v<Type, requests::TargetStart>) {
             FakeTarget* target = targetsByAddress_.at(typed.address);
             dispatches_[{host, typed.dispatch.value}] = target;
-            target->take(host, incarnation, std::move(typed));
+            target->handle(host, incarnation, std::move(typed));
         } else if constexpr (requires { typed.dispatch; }) {
             if (const auto found = dispatches_.find({host, typed.dispatch.value}); found != dispatches_.end())
-                found->second->take(host, incarnation, typed);
+                found->second->handle(host, incarnation, typed);
         }
     };
-    std::visit(one, std::move(action));
+    std::visit(dispatch, std::move(action));
 }
 
 } // namespace saltvane::host::fakes
--- a/src/host/tests/fakes/fakedeployment.h
+++ b/src/host/tests/fakes/fakedeployment.h
@@ -23,11 +23,11 @@
 struct FakeDeploymentOptions {
     DeploymentPlan plan;
     uint64_t seed = 1;
-    Duration withinZone = 200us; ///< One-way delay between machines of one zone.
+    Duration sameZoneDelay = 200us; ///< One-way delay between machines of one zone.
     Duration linkTimeout = 1500ms;
 };
 
-/// A whole deployment in virtual time: the hosts of a plan, its targets, the network between them.
+/// A complete deployment in virtual time: the hosts and targets of a plan and the network between them.
 class FakeDeployment {
 public:
     explicit FakeDeployment(FakeDeploymentOptions options);
@@ -36,43 +36,44 @@
 
     void startHosts();
     void startTargets();
-    /// Starts all, puts the plan's first bundle in force and waits until every host serves and owns its targets.
+    /// Starts all hosts and targets, puts the plan's first bundle in force and waits until every host serves and every
+    /// target is owned.
     [[nodiscard]] bool bringUp(Duration limit = 20s);
 
-    /// Proposes and approves; true once the control part has answered both with 200.
+    /// Proposes and approves a bundle; true once the leader has answered both requests with 200.
     [[nodiscard]] bool putInForce(const std::string& content, BundleVersion version, Duration limit = 10s);
-    /// Newest version in force at any host.
+    /// The newest version in force at any host.
     [[nodiscard]] BundleVersion newestVersion();
-    /// Proposes and approves without waiting, again and again until both are answered with 200.
+    /// Proposes and approves without waiting, and retries until both requests are answered with 200.
     void submit(std::string content, BundleVersion version, std::function<void()> accepted);
-    /// To the last propose or approve request.
+    /// The reply to the last propose or approve request.
     [[nodiscard]] const HttpReply& lastOperatorReply() const { return lastOperatorReply_; }
     [[nodiscard]] bool isInForceEverywhere(BundleVersion version);
     [[nodiscard]] bool areAllServing();
     [[nodiscard]] bool areAllTargetsOwned();
-    /// Control host that proves to lead; empty while none does.
+    /// The proven control leader; empty while there is none.
     [[nodiscard]] HostId controlLeader();
 
-    /// The state of all hosts and the last refusal of an operator's request, for failing tests.
+    /// The state of all hosts and the last refusal of an operator's request, for messages of failed tests.
     [[nodiscard]] std::string describe();
 
-    /// One call and its answer, with time running until it is there.
+    /// Sends a call and runs virtual time until its reply arrives.
     [[nodiscard]] HttpReply callAndWait(HttpCall call, Duration limit = 30s);
-    /// Delay from a client region to a host, and the call's host and delay set to it.
+    /// One-way delay from a client region to a host.
     [[nodiscard]] Duration clientDelay(const RegionName& region, const HostId& host) const;
     [[nodiscard]] HttpReply post(const HostId& host, const std::string& path, const std::string& json);
     [[nodiscard]] HttpReply get(const HostId& host, const std::string& path);
 
     using ZoneCut = std::function<bool(const ZoneName&, const ZoneName&)>;
     using HostCut = std::function<bool(const HostId&, const HostId&)>;
-    /// Cuts between zones reach hosts and targets alike; an empty function heals.
+    /// Cuts zones off from each other, for hosts and targets alike; an empty function heals the cuts.
     void cutZones(ZoneCut cut);
     /// Cuts a zone off from all others.
     void cutOff(const ZoneName& zone);
     /// Cuts a host off from all other hosts; it still reaches targets and callers.
     void cutOff(const HostId& host);
     void heal();
-    /// Whether a cut parts the host from any other.
+    /// True if a cut separates the host from any other host.
     [[nodiscard]] bool isCutOff(const HostId& host) const;
 
     [[nodiscard]] VirtualTime& time() { return time_; }
@@ -86,12 +87,12 @@
     [[nodiscard]] const DeploymentPlan& plan() const { return options_.plan; }
     [[nodiscard]] const std::vector<requests::AccessRecord>& accessRecords() const { return access_; }
 
-    /// The host has chosen a zone for a request of the service since it started.
+    /// True if the host has chosen a zone for a request of the service since it started.
     [[nodiscard]] bool hasServed(const HostId& host, const ServiceName& service) const;
 
-    // Checks of what must always hold.
-    [[nodiscard]] uint32_t slotOverfills(); ///< Targets that ever held more than their slots.
-    [[nodiscard]] uint32_t doubleRuns(); ///< Idempotency keys that ran more than once, over all targets.
+    // Checks of invariants.
+    [[nodiscard]] uint32_t overfilledTargets(); ///< Targets that ever ran more requests than they have slots.
+    [[nodiscard]] uint32_t duplicateRuns(); ///< Idempotency keys that ran more than once, over all targets.
     [[nodiscard]] uint64_t runsOf(const std::string& idempotencyKey);
     [[nodiscard]] uint64_t runsOfCall(const std::string& call); ///< By X-Call.
 
@@ -102,11 +103,11 @@
     [[nodiscard]] const ZoneName& zoneOf(const HostId& host) const;
     [[nodiscard]] bool areZonesCut(const ZoneName& first, const ZoneName& second) const;
     void applyCuts();
-    void noteAccess(const HostId& id, const requests::AccessRecord& record);
+    void recordAccess(const HostId& id, const requests::AccessRecord& record);
     [[nodiscard]] uint64_t sumOver(std::map<std::string, uint32_t> TargetRecord::*runs, const std::string& name) const;
     void carryOut(const HostId& host, Incarnation incarnation, requests::Action action);
     [[nodiscard]] bool proposeAndApprove(const std::string& content, BundleVersion version);
-    void ask(HttpCall call, std::function<void()> refused, std::function<void()> accepted);
+    void sendOperatorRequest(HttpCall call, std::function<void()> refused, std::function<void()> accepted);
     [[nodiscard]] std::string proposalJson(const std::string& content, BundleVersion version) const;
     [[nodiscard]] std::string approvalJson(const std::string& content, BundleVersion version) const;
 
--- a/src/host/tests/fakes/fakedeploymentbundles.cpp
+++ b/src/host/tests/fakes/fakedeploymentbundles.cpp
@@ -10,13 +10,13 @@
 #include <algorithm>
 #include <nlohmann/json.hpp>
 
-/// What operators do.
+/// Operators' requests.
 namespace saltvane::host::fakes {
 
 namespace {
 
-constexpr Duration RetryAfter = 100ms;
-constexpr Duration OperatorPatience = 2s;
+constexpr Duration RetryDelay = 100ms;
+constexpr Duration OperatorTimeout = 2s;
 constexpr Duration OperatorDelay = 5ms;
 constexpr int StatusOk = 200;
 
@@ -27,7 +27,7 @@
         .path = path,
         .headers = {{"Content-Type", "application/json"}},
         .body = std::move(json),
-        .oneWay = OperatorDelay};
+        .oneWayDelay = OperatorDelay};
 }
 
 } // namespace
@@ -38,7 +38,7 @@
     while (time_.now() < end) {
         if (proposeAndApprove(content, version))
             return true;
-        time_.runFor(RetryAfter);
+        time_.runFor(RetryDelay);
     }
     return false;
 }
@@ -48,37 +48,38 @@
     const HostId leader = controlLeader();
     if (leader.isEmpty())
         return false;
-    const auto ask = [&](const std::string& path, std::string json) {
-        lastOperatorReply_ = callAndWait(operatorCall(leader, path, std::move(json)), OperatorPatience);
+    const auto sendOperatorRequest = [&](const std::string& path, std::string json) {
+        lastOperatorReply_ = callAndWait(operatorCall(leader, path, std::move(json)), OperatorTimeout);
         return lastOperatorReply_.status == StatusOk;
     };
-    return ask("/v1/control/propose", proposalJson(content, version))
-        && ask("/v1/control/approve", approvalJson(content, version));
+    return sendOperatorRequest("/v1/control/propose", proposalJson(content, version))
+        && sendOperatorRequest("/v1/control/approve", approvalJson(content, version));
 }
 
 void FakeDeployment::submit(std::string content, BundleVersion version, std::function<void()> accepted)
 {
-    const auto again = [this, content, version, accepted] {
-        time_.after(RetryAfter, [this, content, version, accepted] { submit(content, version, accepted); });
+    const auto retryLater = [this, content, version, accepted] {
+        time_.after(RetryDelay, [this, content, version, accepted] { submit(content, version, accepted); });
     };
     const HostId leader = controlLeader();
     if (leader.isEmpty()) {
-        again();
+        retryLater();
         return;
     }
-    ask(operatorCall(leader, "/v1/control/propose", proposalJson(content, version)), again,
-        [this, leader, content, version, accepted, again] {
-            ask(operatorCall(leader, "/v1/control/approve", approvalJson(content, version)), again, accepted);
+    sendOperatorRequest(operatorCall(leader, "/v1/control/propose", proposalJson(content, version)), retryLater,
+        [this, leader, content, version, accepted, retryLater] {
+            sendOperatorRequest(
+                operatorCall(leader, "/v1/control/approve", approvalJson(content, version)), retryLater, accepted);
         });
 }
 
-void FakeDeployment::ask(HttpCall call, std::function<void()> refused, std::function<void()> accepted)
+void FakeDeployment::sendOperatorRequest(HttpCall call, std::function<void()> refused, std::function<void()> accepted)
 {
     const FakeHttp::CallId id = http_->send(std::move(call), [this, refused, accepted](const HttpReply& reply) {
         lastOperatorReply_ = reply;
         reply.status == StatusOk ? accepted() : refused();
     });
-    time_.after(OperatorPatience, [this, id, refused] {
+    time_.after(OperatorTimeout, [this, id, refused] {
         if (http_->abort(id))
             refused();
     });
--- a/src/host/tests/fakes/fakedeploymentstate.cpp
+++ b/src/host/tests/fakes/fakedeploymentstate.cpp
@@ -8,12 +8,12 @@
 #include <algorithm>
 #include <sstream>
 
-/// What a failing test prints.
+/// Description of a deployment for messages of failed tests.
 namespace saltvane::host::fakes {
 
 namespace {
 
-constexpr size_t LastLogs = 4;
+constexpr size_t MaxLogLines = 4;
 
 void describeHost(std::ostringstream& text, FakeHost& host)
 {
@@ -29,7 +29,7 @@
          << " known=" << status.hosts.size() << " owned=" << status.hosts.front().ownedTargets.size()
          << " in_flight=" << status.requestsInFlight << "+" << status.dispatchesInFlight;
     const std::vector<LogLine>& logs = host.logs();
-    for (size_t i = logs.size() - std::min(LastLogs, logs.size()); i < logs.size(); ++i)
+    for (size_t i = logs.size() - std::min(MaxLogLines, logs.size()); i < logs.size(); ++i)
         text << "\n    " << logs[i].text;
     const model::Counters& counters = host.core().counters();
     for (size_t i = 0; i < counters.refusals.size(); ++i) {
--- a/src/host/tests/fakes/fakedisk.h
+++ b/src/host/tests/fakes/fakedisk.h
@@ -11,14 +11,14 @@
 
 namespace saltvane::host::fakes {
 
-/// The data folder of one control host: what was acknowledged survives a restart.
+/// The data folder of one control host: acknowledged writes survive a restart.
 class FakeDisk {
 public:
     explicit FakeDisk(std::string name);
     /// False when the disk is full.
     [[nodiscard]] bool write(const control::StorageWrite& write);
     [[nodiscard]] control::RecoveredState recover() const;
-    /// Another, empty disk in the place of this one.
+    /// Replaces the disk by an empty one.
     void replace();
     void setFull(bool isFull) { isFull_ = isFull; }
     [[nodiscard]] uint64_t writes() const { return writes_; }
--- a/src/host/tests/fakes/fakehost.h
+++ b/src/host/tests/fakes/fakehost.h
@@ -18,8 +18,8 @@
 
 namespace saltvane::host::fakes {
 
-/// What a host's actions reach.
-struct FakeHostWorld {
+/// What a host's actions act on.
+struct FakeHostEnvironment {
     VirtualTime* time = nullptr;
     FakeNetwork* network = nullptr;
     FakeHttp* http = nullptr;
@@ -28,53 +28,54 @@
     std::function<void(const HostId&, const requests::AccessRecord&)> onAccess;
 };
 
-/// Drives one HostCore in virtual time: events, ticks, disk.
+/// Drives one host core in virtual time with events, ticks and a disk.
 class FakeHost {
 public:
-    FakeHost(settings::HostSettings settings, Duration tickPhase, uint64_t seed, const FakeHostWorld& world);
+    FakeHost(
+        settings::HostSettings settings, Duration tickPhase, uint64_t seed, const FakeHostEnvironment& environment);
 
     void start();
-    /// The process dies; silent where its machine goes too.
-    void kill(bool isSilent = false);
-    /// SIGTERM.
+    /// Kills the process; with its machine, peers notice only after the link timeout.
+    void kill(bool isMachineDown = false);
+    /// Delivers SIGTERM.
     void requestStop();
-    /// The process stands still (a pause of its machine) until resumed: events wait.
+    /// Stalls the process until it is resumed; events are queued meanwhile.
     void pause() { isPaused_ = true; }
     void resume();
-    /// False when it is down.
+    /// False when the host is down.
     bool deliver(Event event);
     bool deliver(Incarnation incarnation, Event event);
 
     [[nodiscard]] const settings::HostSettings& settings() const { return settings_; }
     [[nodiscard]] bool isUp() const { return core_ != nullptr; }
     [[nodiscard]] IHostCore& core() { return *core_; }
-    [[nodiscard]] HostStatus status() const { return core_->status(world_.time->now()); }
+    [[nodiscard]] HostStatus status() const { return core_->status(environment_.time->now()); }
     [[nodiscard]] FakeDisk& disk() { return disk_; }
     [[nodiscard]] Incarnation incarnation() const { return incarnation_; }
-    /// How the last planned stop ended; none before.
+    /// The result of the last planned stop; no value before it finishes.
     [[nodiscard]] const std::optional<StopFinished>& stopFinished() const { return stopFinished_; }
     [[nodiscard]] const std::vector<LogLine>& logs() const { return logs_; }
-    /// The monotonic clock of this host runs ahead of virtual time by so much.
+    /// Sets how far this host's monotonic clock is ahead of virtual time.
     void setClockOffset(Duration offset) { clockOffset_ = offset; }
 
 private:
-    void scheduleTick(uint64_t life);
+    void scheduleTick(uint64_t generation);
     void carryOutAll();
     void carryOut(Action action);
     void carryOut(requests::Action action);
     void carryOut(control::StorageWrite write);
-    [[nodiscard]] Timestamp hostNow() const { return world_.time->now() + clockOffset_; }
+    [[nodiscard]] Timestamp hostNow() const { return environment_.time->now() + clockOffset_; }
 
     settings::HostSettings settings_;
     Duration tickPhase_;
     uint64_t seed_;
-    FakeHostWorld world_;
+    FakeHostEnvironment environment_;
     FakeDisk disk_;
     Incarnation incarnation_;
-    uint64_t life_ = 0;
+    uint64_t generation_ = 0;
     bool isPaused_ = false;
     Duration clockOffset_ {};
-    std::vector<Event> waiting_; ///< While paused.
+    std::vector<Event> pendingEvents_; ///< Received while paused.
     std::unique_ptr<IHostCore> core_;
     std::optional<StopFinished> stopFinished_;
     std::vector<LogLine> logs_;
--- a/src/host/tests/fakes/fakehttp.cpp
+++ b/src/host/tests/fakes/fakehttp.cpp
@@ -13,15 +13,15 @@
 
 namespace {
 
-constexpr uint64_t PieceSize = 64 * 1024;
+constexpr uint64_t MaxChunkBytes = 64 * 1024;
 
 } // namespace
 
 std::string HttpReply::header(std::string_view name) const
 {
-    for (const model::Header& one : headers) {
-        if (one.name.size() == name.size() && strncasecmp(one.name.data(), name.data(), name.size()) == 0)
-            return one.value;
+    for (const model::Header& header : headers) {
+        if (header.name.size() == name.size() && strncasecmp(header.name.data(), name.data(), name.size()) == 0)
+            return header.value;
     }
     return {};
 }
@@ -34,9 +34,9 @@
 FakeHttp::CallId FakeHttp::send(HttpCall call, Done done)
 {
     const CallId id = ++lastCall_;
-    const Duration oneWay = call.oneWay;
+    const Duration oneWayDelay = call.oneWayDelay;
     exchanges_[id] = {.call = std::move(call), .done = std::move(done), .started = options_.time->now()};
-    options_.time->after(oneWay, [this, id] { arrive(id); });
+    options_.time->after(oneWayDelay, [this, id] { arrive(id); });
     return id;
 }
 
@@ -46,7 +46,7 @@
     if (exchange == nullptr)
         return;
     if (isCut(*exchange)) {
-        breakLater(id, options_.timeout);
+        scheduleBreak(id, options_.timeout);
         return;
     }
     const HttpCall& call = exchange->call;
@@ -57,7 +57,7 @@
         .bodyLength = call.body.size(),
         .remoteAddress = call.remoteAddress};
     if (!options_.deliver(call.host, requests::HttpEvent(std::move(started)))) {
-        breakLater(id, call.oneWay);
+        scheduleBreak(id, call.oneWayDelay);
         return;
     }
     if (find(id) != nullptr && !exchange->call.body.empty())
@@ -69,7 +69,7 @@
     while (Exchange* exchange = find(id)) {
         const std::string& body = exchange->call.body;
         const uint64_t size
-            = std::min({PieceSize, body.size() - exchange->bodySent, exchange->bodyAllowed - exchange->bodySent});
+            = std::min({MaxChunkBytes, body.size() - exchange->bodySent, exchange->bodyWindow - exchange->bodySent});
         if (exchange->isEndSent || size == 0)
             return;
         requests::HttpRequestBody event {.handle = {id}, .bytes = body.substr(exchange->bodySent, size)};
@@ -86,17 +86,17 @@
     if (exchange == nullptr)
         return false;
     const HostId host = exchange->call.host;
-    options_.time->after(exchange->call.oneWay,
+    options_.time->after(exchange->call.oneWayDelay,
         [this, host, id] { (void)options_.deliver(host, requests::HttpEvent(requests::HttpRequestAborted {{id}})); });
     exchanges_.erase(id);
     return true;
 }
 
-void FakeHttp::hostDown(const HostId& host)
+void FakeHttp::onHostDown(const HostId& host)
 {
     for (const auto& [id, exchange] : exchanges_) {
         if (exchange.call.host == host)
-            breakLater(id, exchange.call.oneWay);
+            scheduleBreak(id, exchange.call.oneWayDelay);
     }
 }
 
@@ -122,7 +122,7 @@
 {
     const Exchange* exchange = find(action.handle.value);
     if (exchange != nullptr && exchange->call.host == host)
-        breakLater(action.handle.value, exchange->call.oneWay);
+        scheduleBreak(action.handle.value, exchange->call.oneWayDelay);
 }
 
 void FakeHttp::carryOut(const HostId& host, const requests::HttpRequestWindow& action)
@@ -130,7 +130,7 @@
     Exchange* exchange = find(action.handle.value);
     if (exchange == nullptr || exchange->call.host != host)
         return;
-    exchange->bodyAllowed += action.bytes;
+    exchange->bodyWindow += action.bytes;
     options_.time->after({}, [this, id = action.handle.value] { sendBody(id); });
 }
 
@@ -147,7 +147,7 @@
                 (void)options_.deliver(host, requests::HttpEvent(requests::HttpResponseDone {{id}}));
         });
     }
-    options_.time->after(exchange.call.oneWay, [this, id, carried = std::move(bytes), isLast] {
+    options_.time->after(exchange.call.oneWayDelay, [this, id, carried = std::move(bytes), isLast] {
         Exchange* open = find(id);
         if (open == nullptr)
             return;
@@ -157,7 +157,7 @@
     });
 }
 
-void FakeHttp::finish(CallId id, bool isWhole)
+void FakeHttp::finish(CallId id, bool isComplete)
 {
     Exchange* exchange = find(id);
     if (exchange == nullptr)
@@ -166,13 +166,13 @@
     exchanges_.erase(id);
     const bool isHead = ended.call.method == "HEAD";
     const bool hasLength = isHead || !ended.announcedLength || *ended.announcedLength == ended.reply.body.size();
-    ended.reply.isWhole = isWhole && hasLength;
-    ended.reply.took = options_.time->now() - ended.started;
+    ended.reply.isComplete = isComplete && hasLength;
+    ended.reply.duration = options_.time->now() - ended.started;
     if (ended.done)
         ended.done(ended.reply);
 }
 
-void FakeHttp::breakLater(CallId id, Duration delay)
+void FakeHttp::scheduleBreak(CallId id, Duration delay)
 {
     options_.time->after(delay, [this, id] { finish(id, false); });
 }
--- a/src/host/tests/fakes/fakehttp.h
+++ b/src/host/tests/fakes/fakehttp.h
@@ -24,27 +24,27 @@
     std::vector<model::Header> headers;
     std::string body;
     std::string remoteAddress = "10.10.0.1";
-    Duration oneWay {}; ///< Delay from the caller to the host.
-    ZoneName origin; ///< Of targets; empty for callers, which cuts between zones do not touch.
+    Duration oneWayDelay {}; ///< Delay from the caller to the host.
+    ZoneName origin; ///< Zone of a target; empty for callers, which are not affected by cuts between zones.
 };
 
-/// What the caller saw.
+/// The response that the caller received.
 struct HttpReply {
-    int status = 0; ///< 0: no answer came.
+    int status = 0; ///< 0: no response arrived.
     std::vector<model::Header> headers;
     std::string body;
-    bool isWhole = false; ///< False: the connection broke before the end.
-    Duration took {};
+    bool isComplete = false; ///< False: the connection broke before the end of the response.
+    Duration duration {};
 
     [[nodiscard]] std::string header(std::string_view name) const; ///< Empty where absent.
 };
 
 struct FakeHttpOptions {
     VirtualTime* time = nullptr;
-    /// Hands an event to the host; false when it is down.
+    /// Delivers an event to the host; false when the host is down.
     std::function<bool(const HostId&, Event)> deliver;
     std::function<bool(const ZoneName& origin, const HostId&)> isCut;
-    Duration timeout = 1s; ///< Of a caller that hears nothing because of a cut.
+    Duration timeout = 1s; ///< Until a caller that is cut off from the host gives up.
 };
 
 /// HTTP exchanges with hosts in virtual time.
@@ -56,10 +56,10 @@
     explicit FakeHttp(FakeHttpOptions options);
 
     CallId send(HttpCall call, Done done);
-    /// The caller goes away; its `done` is not called. False where the call was over.
+    /// The caller disconnects and its `done` is not called. False where the call had already completed.
     bool abort(CallId call);
-    /// The host's process is gone: its exchanges break.
-    void hostDown(const HostId& host);
+    /// The host's process is down: its exchanges break.
+    void onHostDown(const HostId& host);
     [[nodiscard]] size_t openCalls() const { return exchanges_.size(); }
 
     // Actions of hosts.
@@ -76,15 +76,15 @@
         HttpReply reply;
         std::optional<uint64_t> announcedLength;
         uint64_t bodySent = 0;
-        uint64_t bodyAllowed = requests::InitialBodyWindow;
+        uint64_t bodyWindow = requests::InitialBodyWindow;
         bool isEndSent = false;
     };
 
     void arrive(CallId id);
     void sendBody(CallId id);
     void receive(CallId id, std::string bytes, bool isLast);
-    void finish(CallId id, bool isWhole);
-    void breakLater(CallId id, Duration delay);
+    void finish(CallId id, bool isComplete);
+    void scheduleBreak(CallId id, Duration delay);
     [[nodiscard]] Exchange* find(CallId id);
     [[nodiscard]] bool isCut(const Exchange& exchange) const;
 
--- a/src/host/tests/fakes/fakenetwork.cpp
+++ b/src/host/tests/fakes/fakenetwork.cpp
@@ -12,9 +12,9 @@
 
 namespace {
 
-/// One-way trips until both ends of a new link have authenticated each other.
+/// One-way delays until both ends of a new link have authenticated each other.
 constexpr int HandshakeTrips = 3;
-constexpr Duration ReconnectAfter = 200ms;
+constexpr Duration ReconnectDelay = 200ms;
 
 } // namespace
 
@@ -24,27 +24,27 @@
 {
 }
 
-void FakeNetwork::hostUp(const HostId& host, Incarnation incarnation, const model::Address& linkAddress)
+void FakeNetwork::onHostUp(const HostId& host, Incarnation incarnation, const model::Address& linkAddress)
 {
     hosts_[host] = {.incarnation = incarnation, .address = linkAddress, .isUp = true};
-    considerAll();
+    connectAllWanted();
 }
 
-void FakeNetwork::hostDown(const HostId& host, bool isSilent)
+void FakeNetwork::onHostDown(const HostId& host, bool isMachineDown)
 {
     hosts_[host].isUp = false;
     for (auto& [pair, link] : links_) {
         if (pair.first != host && pair.second != host)
             continue;
-        const bool isUnseen = isSilent || isCut(pair.first, pair.second);
-        takeDown(pair, isUnseen ? options_.linkTimeout : options_.delay(pair.first, pair.second));
+        const bool isNoticedLate = isMachineDown || isCut(pair.first, pair.second);
+        takeDown(pair, isNoticedLate ? options_.linkTimeout : options_.delay(pair.first, pair.second));
     }
 }
 
-void FakeNetwork::setWanted(const HostId& host, const LinksWanted& wanted)
+void FakeNetwork::setWantedLinks(const HostId& host, const LinksWanted& wanted)
 {
     hosts_[host].wanted = wanted.peers;
-    considerAll();
+    connectAllWanted();
 }
 
 void FakeNetwork::send(const HostId& from, model::Outgoing outgoing)
@@ -56,9 +56,9 @@
     ++messagesSent_;
     Duration delay = options_.delay(from, outgoing.to);
     if (loss_ > 0 && boost::random::uniform_01<double>()(random_) < loss_)
-        delay += options_.retransmission;
-    const size_t way = from == pair.first ? 0 : 1;
-    schedule(pair, way, {from, hosts_[from].incarnation, std::move(outgoing.message)}, delay);
+        delay += options_.retransmissionDelay;
+    const size_t channel = from == pair.first ? 0 : 1;
+    schedule(pair, channel, {from, hosts_[from].incarnation, std::move(outgoing.message)}, delay);
 }
 
 void FakeNetwork::setCut(Cut cut)
@@ -68,11 +68,11 @@
         if (!link.isUp)
             continue;
         if (isCut(pair.first, pair.second))
-            watchCut(pair);
+            scheduleLinkTimeout(pair);
         else
             flushStalled(pair);
     }
-    considerAll();
+    connectAllWanted();
 }
 
 bool FakeNetwork::isCut(const HostId& first, const HostId& second) const
@@ -91,9 +91,10 @@
         const auto found = hosts_.find(host);
         if (found == hosts_.end())
             return false;
-        return std::any_of(found->second.wanted.begin(), found->second.wanted.end(), [&](const LinksWanted::Peer& one) {
-            return (one.host.isEmpty() ? hostAt(one.address) : one.host) == peer;
-        });
+        return std::any_of(
+            found->second.wanted.begin(), found->second.wanted.end(), [&](const LinksWanted::Peer& wanted) {
+                return (wanted.host.isEmpty() ? hostAt(wanted.address) : wanted.host) == peer;
+            });
     };
     return wants(pair.first, pair.second) || wants(pair.second, pair.first);
 }
@@ -107,15 +108,15 @@
     return {};
 }
 
-void FakeNetwork::considerAll()
+void FakeNetwork::connectAllWanted()
 {
     for (auto first = hosts_.begin(); first != hosts_.end(); ++first) {
         for (auto second = std::next(first); second != hosts_.end(); ++second)
-            consider({first->first, second->first});
+            connectIfWanted({first->first, second->first});
     }
 }
 
-void FakeNetwork::consider(const Pair& pair)
+void FakeNetwork::connectIfWanted(const Pair& pair)
 {
     Link& link = links_[pair];
     if (link.isUp || link.isConnecting || !hosts_[pair.first].isUp || !hosts_[pair.second].isUp)
@@ -133,7 +134,7 @@
     link.isConnecting = false;
     const bool isPossible = hosts_[pair.first].isUp && hosts_[pair.second].isUp && !isCut(pair.first, pair.second);
     if (link.generation != generation || !isPossible) {
-        options_.time->after(ReconnectAfter, [this, pair] { consider(pair); });
+        options_.time->after(ReconnectDelay, [this, pair] { connectIfWanted(pair); });
         return;
     }
     link = {.generation = generation + 1, .isUp = true};
@@ -143,7 +144,7 @@
     deliverIfUp(pair.second, second.incarnation, LinkUp {pair.first, first.incarnation});
 }
 
-void FakeNetwork::takeDown(const Pair& pair, Duration noticedAfter)
+void FakeNetwork::takeDown(const Pair& pair, Duration noticeDelay)
 {
     Link& link = links_[pair];
     const bool wasUp = link.isUp;
@@ -151,18 +152,18 @@
     if (!wasUp)
         return;
     const auto notice = [&](const HostId& host, const HostId& peer) {
-        options_.time->after(noticedAfter, [this, pair, host, peer, incarnation = hosts_[host].incarnation] {
-            // A link that came back meanwhile told of the new incarnation already.
+        options_.time->after(noticeDelay, [this, pair, host, peer, incarnation = hosts_[host].incarnation] {
+            // If the link is up again, its LinkUp has already reported the new incarnation.
             if (!links_[pair].isUp)
                 deliverIfUp(host, incarnation, LinkDown {peer});
         });
     };
     notice(pair.first, pair.second);
     notice(pair.second, pair.first);
-    options_.time->after(noticedAfter + ReconnectAfter, [this, pair] { consider(pair); });
+    options_.time->after(noticeDelay + ReconnectDelay, [this, pair] { connectIfWanted(pair); });
 }
 
-void FakeNetwork::watchCut(const Pair& pair)
+void FakeNetwork::scheduleLinkTimeout(const Pair& pair)
 {
     options_.time->after(options_.linkTimeout, [this, pair, generation = links_[pair].generation] {
         const Link& link = links_[pair];
@@ -171,27 +172,27 @@
     });
 }
 
-void FakeNetwork::schedule(const Pair& pair, size_t way, model::Delivery delivery, Duration delay)
+void FakeNetwork::schedule(const Pair& pair, size_t channel, model::Delivery delivery, Duration delay)
 {
     Link& link = links_[pair];
-    Way& direction = link.ways[way];
+    Channel& direction = link.channels[channel];
     direction.lastArrival = std::max(direction.lastArrival, options_.time->now() + delay);
     options_.time->at(direction.lastArrival,
-        [this, pair, way, generation = link.generation, carried = std::move(delivery)]() mutable {
-            arrive(pair, generation, way, std::move(carried));
+        [this, pair, channel, generation = link.generation, carried = std::move(delivery)]() mutable {
+            arrive(pair, generation, channel, std::move(carried));
         });
 }
 
-void FakeNetwork::arrive(const Pair& pair, uint64_t generation, size_t way, model::Delivery delivery)
+void FakeNetwork::arrive(const Pair& pair, uint64_t generation, size_t channel, model::Delivery delivery)
 {
     Link& link = links_[pair];
     if (!link.isUp || link.generation != generation)
         return;
     if (isCut(pair.first, pair.second)) {
-        link.ways[way].stalled.push_back(std::move(delivery));
+        link.channels[channel].stalled.push_back(std::move(delivery));
         return;
     }
-    const HostId& to = way == 0 ? pair.second : pair.first;
+    const HostId& to = channel == 0 ? pair.second : pair.first;
     deliverIfUp(to, hosts_[to].incarnation, std::move(delivery));
 }
 
@@ -199,10 +200,10 @@
 {
     Link& link = links_[pair];
     const Duration delay = options_.delay(pair.first, pair.second);
-    for (size_t way = 0; way < link.ways.size(); ++way) {
-        std::deque<model::Delivery> stalled = std::exchange(link.ways[way].stalled, {});
+    for (size_t channel = 0; channel < link.channels.size(); ++channel) {
+        std::deque<model::Delivery> stalled = std::exchange(link.channels[channel].stalled, {});
         for (model::Delivery& delivery : stalled)
-            schedule(pair, way, std::move(delivery), delay);
+            schedule(pair, channel, std::move(delivery), delay);
     }
 }
 
--- a/src/host/tests/fakes/fakenetwork.h
+++ b/src/host/tests/fakes/fakenetwork.h
@@ -24,30 +24,31 @@
     /// One-way delay between two hosts.
     std::function<Duration(const HostId&, const HostId&)> delay;
     std::function<void(const HostId&, Event)> deliver;
-    Duration linkTimeout = 1500ms; ///< A cut link is noticed after so long.
-    Duration retransmission = 200ms; ///< What a lost segment costs.
+    Duration linkTimeout = 1500ms; ///< Time until a host notices a cut link.
+    Duration retransmissionDelay = 200ms; ///< Additional delay of a lost message.
     uint64_t seed = 1;
 };
 
-/// Links between hosts in virtual time: ordered as TCP is, up while one end wants them, silent when cut.
+/// Links between hosts in virtual time: messages stay in order as over TCP, a link is up while either end wants it, and
+/// a cut link stalls without an error.
 class FakeNetwork {
 public:
     using Cut = std::function<bool(const HostId&, const HostId&)>;
 
     explicit FakeNetwork(FakeNetworkOptions options);
 
-    void hostUp(const HostId& host, Incarnation incarnation, const model::Address& linkAddress);
-    /// The process is gone. Peers notice at once, or when its machine went too, after the link timeout.
-    void hostDown(const HostId& host, bool isSilent = false);
-    void setWanted(const HostId& host, const LinksWanted& wanted);
+    void onHostUp(const HostId& host, Incarnation incarnation, const model::Address& linkAddress);
+    /// The process is down. Peers notice at once or, if its machine is down too, after the link timeout.
+    void onHostDown(const HostId& host, bool isMachineDown = false);
+    void setWantedLinks(const HostId& host, const LinksWanted& wanted);
     void send(const HostId& from, model::Outgoing outgoing);
 
-    /// Hosts between which nothing passes from now on; an empty function heals everything.
+    /// Cuts the links between hosts for which `cut` is true; an empty function heals all links.
     void setCut(Cut cut);
     [[nodiscard]] bool isCut(const HostId& first, const HostId& second) const;
-    /// Share of messages that need a retransmission.
+    /// Sets the fraction of messages that need a retransmission.
     void setLoss(double share) { loss_ = share; }
-    /// Messages for which this is true vanish, as if the link had broken and come back at once.
+    /// Drops the messages for which this is true, as if the link had failed and recovered at once.
     void setDrop(std::function<bool(const HostId& from, const model::Outgoing&)> drop) { drop_ = std::move(drop); }
     [[nodiscard]] uint64_t messagesSent() const { return messagesSent_; }
 
@@ -58,28 +59,28 @@
         bool isUp = false;
         std::vector<LinksWanted::Peer> wanted;
     };
-    struct Way {
+    struct Channel {
         Timestamp lastArrival;
-        std::deque<model::Delivery> stalled; ///< Sent into a cut.
+        std::deque<model::Delivery> stalled; ///< Sent while the link was cut.
     };
     struct Link {
         uint64_t generation = 0;
         bool isUp = false;
         bool isConnecting = false;
-        std::array<Way, 2> ways; ///< From the lower id to the higher, and back.
+        std::array<Channel, 2> channels; ///< From the lower id to the higher, and back.
     };
     using Pair = std::pair<HostId, HostId>; ///< Lower id first.
 
     [[nodiscard]] static Pair pairOf(const HostId& first, const HostId& second);
     [[nodiscard]] bool isWanted(const Pair& pair) const;
     [[nodiscard]] HostId hostAt(const model::Address& address) const;
-    void considerAll();
-    void consider(const Pair& pair);
+    void connectAllWanted();
+    void connectIfWanted(const Pair& pair);
     void connect(const Pair& pair, uint64_t generation);
-    void takeDown(const Pair& pair, Duration noticedAfter);
-    void watchCut(const Pair& pair);
-    void schedule(const Pair& pair, size_t way, model::Delivery delivery, Duration delay);
-    void arrive(const Pair& pair, uint64_t generation, size_t way, model::Delivery delivery);
+    void takeDown(const Pair& pair, Duration noticeDelay);
+    void scheduleLinkTimeout(const Pair& pair);
+    void schedule(const Pair& pair, size_t channel, model::Delivery delivery, Duration delay);
+    void arrive(const Pair& pair, uint64_t generation, size_t channel, model::Delivery delivery);
     void flushStalled(const Pair& pair);
     void deliverIfUp(const HostId& host, Incarnation incarnation, Event event);
 
--- a/src/host/tests/fakes/faketarget.cpp
+++ b/src/host/tests/fakes/faketarget.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr uint64_t PieceSize = 64 * 1024;
+constexpr uint64_t MaxChunkBytes = 64 * 1024;
 
 std::string headerOf(const requests::TargetStart& start, std::string_view name)
 {
@@ -21,26 +21,27 @@
 
 } // namespace
 
-FakeTarget::FakeTarget(FakeTargetOptions options, const FakeTargetWorld& world)
+FakeTarget::FakeTarget(FakeTargetOptions options, const FakeTargetEnvironment& environment)
     : options_(std::move(options))
-    , world_(world)
+    , environment_(environment)
 {
-    setAnswer([this](const requests::TargetStart& start, const std::string& body) {
-        return TargetAnswer {.body = options_.target.value() + " " + start.method + " " + start.path + " " + body};
+    setResponder([this](const requests::TargetStart& start, const std::string& body) {
+        return TargetResponse {.body = options_.target.value() + " " + start.method + " " + start.path + " " + body};
     });
 }
 
-void FakeTarget::setAnswer(std::function<TargetAnswer(const requests::TargetStart&, const std::string& body)> answer)
+void FakeTarget::setResponder(
+    std::function<TargetResponse(const requests::TargetStart&, const std::string& body)> responder)
 {
-    answer_ = std::move(answer);
+    responder_ = std::move(responder);
 }
 
 void FakeTarget::kill()
 {
     isUp_ = false;
-    ++life_;
+    ++generation_;
     for (const auto& [key, run] : runs_)
-        fail(key, true);
+        sendFailure(key, true);
     runs_.clear();
     running_ = 0;
 }
@@ -53,35 +54,37 @@
     lease_ = {};
     announceTo_ = {};
     isLeaving_ = false;
-    answeredSinceStart_ = 0;
+    completedSinceStart_ = 0;
     start();
 }
 
-void FakeTarget::take(const HostId& host, Incarnation incarnation, requests::TargetStart start)
+void FakeTarget::handle(const HostId& host, Incarnation incarnation, requests::TargetStart start)
 {
     const RunKey key {host, incarnation, start.dispatch};
-    const Duration travel = world_.delay(host, options_.zone) + options_.connectTime;
-    world_.time->after(travel, [this, key, carried = std::move(start)]() mutable { arrive(key, std::move(carried)); });
+    const Duration travel = environment_.delay(host, options_.zone) + options_.connectTime;
+    environment_.time->after(
+        travel, [this, key, carried = std::move(start)]() mutable { arrive(key, std::move(carried)); });
 }
 
 void FakeTarget::arrive(const RunKey& key, requests::TargetStart start)
 {
-    const bool isRefused = !isUp_ || behaviour_ == TargetBehaviour::Refusing || world_.isCut(options_.zone, key.host);
+    const bool isRefused
+        = !isUp_ || behaviour_ == TargetBehaviour::Refusing || environment_.isCut(options_.zone, key.host);
     if (isRefused) {
-        fail(key, false);
+        sendFailure(key, false);
         return;
     }
     const bool hasBody = !start.bodyLength || *start.bodyLength > 0;
     runs_[key] = {.start = std::move(start)};
     if (!hasBody)
-        begin(key);
+        startRun(key);
 }
 
-void FakeTarget::take(const HostId& host, Incarnation incarnation, const requests::TargetRequestBody& body)
+void FakeTarget::handle(const HostId& host, Incarnation incarnation, const requests::TargetRequestBody& body)
 {
     const RunKey key {host, incarnation, body.dispatch};
-    const Duration travel = world_.delay(host, options_.zone) + options_.connectTime;
-    world_.time->after(travel, [this, key, body] {
+    const Duration travel = environment_.delay(host, options_.zone) + options_.connectTime;
+    environment_.time->after(travel, [this, key, body] {
         Run* run = find(key);
         if (run == nullptr)
             return;
@@ -89,58 +92,58 @@
         if (!body.bytes.empty())
             send(key, requests::TargetRequestProgress {key.dispatch, body.bytes.size()});
         if (body.isLast)
-            begin(key);
+            startRun(key);
     });
 }
 
-void FakeTarget::take(const HostId& host, Incarnation incarnation, const requests::TargetResponseWindow& window)
+void FakeTarget::handle(const HostId& host, Incarnation incarnation, const requests::TargetResponseWindow& window)
 {
     const RunKey key {host, incarnation, window.dispatch};
-    world_.time->after({}, [this, key, bytes = window.bytes] {
+    environment_.time->after({}, [this, key, bytes = window.bytes] {
         Run* run = find(key);
         if (run == nullptr)
             return;
         run->window += bytes;
         if (!run->isRunning)
-            sendAnswer(key);
+            sendResponse(key);
     });
 }
 
-void FakeTarget::take(const HostId& host, Incarnation incarnation, const requests::TargetCancel& cancel)
+void FakeTarget::handle(const HostId& host, Incarnation incarnation, const requests::TargetCancel& cancel)
 {
     const RunKey key {host, incarnation, cancel.dispatch};
-    world_.time->after(world_.delay(host, options_.zone) + options_.connectTime, [this, key] {
+    environment_.time->after(environment_.delay(host, options_.zone) + options_.connectTime, [this, key] {
         if (find(key) == nullptr)
             return;
         ++record_.cancelled;
-        endRun(key);
+        removeRun(key);
     });
 }
 
-void FakeTarget::begin(const RunKey& key)
+void FakeTarget::startRun(const RunKey& key)
 {
     if (behaviour_ == TargetBehaviour::Shedding) {
-        answerUnrun(key, 503, {{"Saltvane-Shed", "1"}});
+        respondWithoutRunning(key, 503, {{"Saltvane-Shed", "1"}});
         return;
     }
     if (behaviour_ == TargetBehaviour::Failing) {
-        answerUnrun(key, 500, {});
+        respondWithoutRunning(key, 500, {});
         return;
     }
     Run& run = runs_[key];
     run.isRunning = true;
     ++running_;
     ++record_.runs;
-    record_.largestInFlight = std::max(record_.largestInFlight, running_);
-    record_.lastNewWork = world_.time->now();
+    record_.maxInFlight = std::max(record_.maxInFlight, running_);
+    record_.lastNewWork = environment_.time->now();
     if (const std::string idempotencyKey = headerOf(run.start, "Idempotency-Key"); !idempotencyKey.empty())
         ++record_.runsByKey[idempotencyKey];
     if (const std::string call = headerOf(run.start, "X-Call"); !call.empty())
         ++record_.runsByCall[call];
     if (behaviour_ == TargetBehaviour::Stalled)
         return;
-    world_.time->after(nextServiceTime(), [this, key, life = life_] {
-        if (life == life_ && find(key) != nullptr)
+    environment_.time->after(nextServiceTime(), [this, key, generation = generation_] {
+        if (generation == generation_ && find(key) != nullptr)
             finishRun(key);
     });
 }
@@ -150,41 +153,41 @@
     Run& run = runs_[key];
     run.isRunning = false;
     --running_;
-    ++answeredSinceStart_;
-    TargetAnswer answer = answer_(run.start, run.body);
+    ++completedSinceStart_;
+    TargetResponse response = responder_(run.start, run.body);
     const bool isHead = run.start.method == "HEAD";
     requests::TargetResponseHead head {.dispatch = key.dispatch,
-        .status = answer.status,
+        .status = response.status,
         .headers = {{"Content-Type", "text/plain"}, {"X-Target", options_.target.value()}},
-        .bodyLength = answer.body.size()};
-    run.answer = isHead ? std::string() : std::move(answer.body);
+        .bodyLength = response.body.size()};
+    run.response = isHead ? std::string() : std::move(response.body);
     send(key, std::move(head));
     if (behaviour_ == TargetBehaviour::Truncating) {
-        const std::string half = run.answer.substr(0, run.answer.size() / 2);
+        const std::string half = run.response.substr(0, run.response.size() / 2);
         send(key, requests::TargetResponseBody {key.dispatch, half});
-        fail(key, true);
+        sendFailure(key, true);
         runs_.erase(key);
         return;
     }
-    sendAnswer(key);
+    sendResponse(key);
 }
 
-void FakeTarget::sendAnswer(const RunKey& key)
+void FakeTarget::sendResponse(const RunKey& key)
 {
     Run& run = runs_[key];
-    while (!run.answer.empty() && run.window > 0) {
-        const uint64_t size = std::min<uint64_t>({PieceSize, run.window, run.answer.size()});
-        send(key, requests::TargetResponseBody {key.dispatch, run.answer.substr(0, size)});
-        run.answer.erase(0, size);
+    while (!run.response.empty() && run.window > 0) {
+        const uint64_t size = std::min<uint64_t>({MaxChunkBytes, run.window, run.response.size()});
+        send(key, requests::TargetResponseBody {key.dispatch, run.response.substr(0, size)});
+        run.response.erase(0, size);
         run.window -= size;
     }
-    if (!run.answer.empty())
+    if (!run.response.empty())
         return;
     send(key, requests::TargetResponseDone {key.dispatch});
     runs_.erase(key);
 }
 
-void FakeTarget::answerUnrun(const RunKey& key, int status, std::vector<model::Header> headers)
+void FakeTarget::respondWithoutRunning(const RunKey& key, int status, std::vector<model::Header> headers)
 {
     send(key,
         requests::TargetResponseHead {
@@ -193,34 +196,34 @@
     runs_.erase(key);
 }
 
-void FakeTarget::endRun(const RunKey& key)
+void FakeTarget::removeRun(const RunKey& key)
 {
     if (runs_[key].isRunning)
         --running_;
     runs_.erase(key);
 }
 
-void FakeTarget::fail(const RunKey& key, bool mayHaveReached)
+void FakeTarget::sendFailure(const RunKey& key, bool mayHaveReached)
 {
     send(key,
         requests::TargetFailed {
-            .dispatch = key.dispatch, .mayHaveReachedTarget = mayHaveReached, .message = "connection ended"});
+            .dispatch = key.dispatch, .mayHaveReachedTarget = mayHaveReached, .message = "connection closed"});
 }
 
 void FakeTarget::send(const RunKey& key, requests::TargetEvent event)
 {
-    world_.time->after(world_.delay(key.host, options_.zone), [this, key, carried = std::move(event)] {
-        if (!world_.isCut(options_.zone, key.host))
-            world_.deliver(key.host, key.incarnation, carried);
+    environment_.time->after(environment_.delay(key.host, options_.zone), [this, key, carried = std::move(event)] {
+        if (!environment_.isCut(options_.zone, key.host))
+            environment_.deliver(key.host, key.incarnation, carried);
     });
 }
 
 Duration FakeTarget::nextServiceTime()
 {
-    if (answeredSinceStart_ >= options_.warmAfter)
+    if (completedSinceStart_ >= options_.warmUpRequests)
         return options_.serviceTime;
-    const double left = 1.0 - static_cast<double>(answeredSinceStart_) / options_.warmAfter;
-    return fromSeconds(toSeconds(options_.serviceTime) * (1.0 + (options_.coldFactor - 1.0) * left));
+    const double left = 1.0 - static_cast<double>(completedSinceStart_) / options_.warmUpRequests;
+    return fromSeconds(toSeconds(options_.serviceTime) * (1.0 + (options_.coldServiceTimeFactor - 1.0) * left));
 }
 
 FakeTarget::Run* FakeTarget::find(const RunKey& key)
--- a/src/host/tests/fakes/faketarget.h
+++ b/src/host/tests/fakes/faketarget.h
@@ -22,13 +22,13 @@
 enum class TargetBehaviour {
     Normal,
     Refusing, ///< Refuses connections.
-    Shedding, ///< Answers 503 with the mark that the request was not run.
-    Failing, ///< Answers 500 without running.
-    Stalled, ///< Runs the request, never answers.
-    Truncating ///< Runs the request, breaks its answer off half-way.
+    Shedding, ///< Responds 503 with the header that marks the request as not run.
+    Failing, ///< Responds 500 without running the request.
+    Stalled, ///< Runs the request and never responds.
+    Truncating ///< Runs the request and closes the connection in the middle of the response.
 };
 
-struct TargetAnswer {
+struct TargetResponse {
     int status = 200;
     std::string body;
 };
@@ -42,26 +42,26 @@
     uint32_t slots = 3;
     uint32_t connections = 300;
     Duration serviceTime = 10ms;
-    double coldFactor = 1; ///< How much slower the first request is answered.
-    uint32_t warmAfter = 0; ///< Requests until it is warm.
+    double coldServiceTimeFactor = 1; ///< Factor on the service time of the first request.
+    uint32_t warmUpRequests = 0; ///< Requests until the service time is normal.
     Duration connectTime = 1ms;
     std::string announceKey;
-    /// Entry hosts to announce to when none was named yet, or the named one does not answer.
-    std::vector<HostId> firstHosts;
+    /// Entry hosts to announce to while no response has assigned one, or when the assigned one does not respond.
+    std::vector<HostId> initialHosts;
 };
 
-/// What a target saw; the checks of what must always hold read it.
+/// What a target observed; the checks of invariants read it.
 struct TargetRecord {
-    uint32_t largestInFlight = 0;
+    uint32_t maxInFlight = 0;
     uint64_t runs = 0;
     uint64_t cancelled = 0;
     Timestamp lastNewWork;
     std::map<std::string, uint32_t> runsByKey; ///< By Idempotency-Key.
-    std::map<std::string, uint32_t> runsByCall; ///< By X-Call, a number that the caller gave its request.
+    std::map<std::string, uint32_t> runsByCall; ///< By X-Call, the caller's name for its request.
 };
 
-/// Places a target is connected to; all in virtual time.
-struct FakeTargetWorld {
+/// What a target is connected to; all in virtual time.
+struct FakeTargetEnvironment {
     VirtualTime* time = nullptr;
     FakeHttp* http = nullptr;
     std::function<Duration(const HostId&, const ZoneName&)> delay; ///< One-way.
@@ -69,32 +69,32 @@
     std::function<bool(const ZoneName&, const HostId&)> isCut;
 };
 
-/// A target as docs/TARGETS.md describes it: announces itself over HTTP, runs requests in a few slots.
+/// A target as docs/TARGETS.md describes it: announces itself over HTTP and runs requests in its slots.
 class FakeTarget {
 public:
-    FakeTarget(FakeTargetOptions options, const FakeTargetWorld& world);
+    FakeTarget(FakeTargetOptions options, const FakeTargetEnvironment& environment);
 
-    /// Begins to announce.
+    /// Starts to announce itself.
     void start();
-    /// The process is gone: what runs breaks, new connections are refused.
+    /// Kills the process: running requests break and new connections are refused.
     void kill();
-    /// A new incarnation, cold again.
+    /// Starts a new incarnation, which is cold again.
     void restart();
     void leave() { isLeaving_ = true; }
-    /// Its announcements reach no host, while it goes on running requests.
+    /// Blocks its announcements while it continues to run requests.
     void setAnnouncementsBlocked(bool areBlocked) { areAnnouncementsBlocked_ = areBlocked; }
     void setBehaviour(TargetBehaviour behaviour) { behaviour_ = behaviour; }
     void setServiceTime(Duration serviceTime) { options_.serviceTime = serviceTime; }
-    /// Replaces the busy slots it reports by a lie; no value: the truth.
+    /// Overrides the number of busy slots that it reports; no value restores the true number.
     void setReportedBusy(std::optional<uint32_t> busy) { reportedBusy_ = busy; }
-    /// Answers a request; the default tells the target, the method and the path.
-    void setAnswer(std::function<TargetAnswer(const requests::TargetStart&, const std::string& body)> answer);
+    /// Sets the function that creates responses; the default returns the target, method, path and body.
+    void setResponder(std::function<TargetResponse(const requests::TargetStart&, const std::string& body)> responder);
 
     // Actions of hosts.
-    void take(const HostId& host, Incarnation incarnation, requests::TargetStart start);
-    void take(const HostId& host, Incarnation incarnation, const requests::TargetRequestBody& body);
-    void take(const HostId& host, Incarnation incarnation, const requests::TargetResponseWindow& window);
-    void take(const HostId& host, Incarnation incarnation, const requests::TargetCancel& cancel);
+    void handle(const HostId& host, Incarnation incarnation, requests::TargetStart start);
+    void handle(const HostId& host, Incarnation incarnation, const requests::TargetRequestBody& body);
+    void handle(const HostId& host, Incarnation incarnation, const requests::TargetResponseWindow& window);
+    void handle(const HostId& host, Incarnation incarnation, const requests::TargetCancel& cancel);
 
     [[nodiscard]] const FakeTargetOptions& options() const { return options_; }
     [[nodiscard]] const TargetRecord& record() const { return record_; }
@@ -120,43 +120,43 @@
         requests::TargetStart start;
         std::string body;
         bool isRunning = false; ///< Holds a slot.
-        std::string answer; ///< Not yet sent.
+        std::string response; ///< The part not sent yet.
         uint64_t window = requests::InitialBodyWindow;
     };
 
     void announce();
-    void handleAnswer(uint64_t sequence, const HttpReply& reply);
-    void announceLater(Duration delay);
+    void handleAnnounceReply(uint64_t sequence, const HttpReply& reply);
+    void scheduleAnnouncement(Duration delay);
     [[nodiscard]] std::string announcementBody(uint64_t sequence) const;
     [[nodiscard]] HostId announcementHost();
 
     void arrive(const RunKey& key, requests::TargetStart start);
-    void begin(const RunKey& key);
+    void startRun(const RunKey& key);
     void finishRun(const RunKey& key);
-    void sendAnswer(const RunKey& key);
-    void answerUnrun(const RunKey& key, int status, std::vector<model::Header> headers);
-    void endRun(const RunKey& key);
-    void fail(const RunKey& key, bool mayHaveReached);
+    void sendResponse(const RunKey& key);
+    void respondWithoutRunning(const RunKey& key, int status, std::vector<model::Header> headers);
+    void removeRun(const RunKey& key);
+    void sendFailure(const RunKey& key, bool mayHaveReached);
     void send(const RunKey& key, requests::TargetEvent event);
     [[nodiscard]] Duration nextServiceTime();
     [[nodiscard]] Run* find(const RunKey& key);
 
     FakeTargetOptions options_;
-    FakeTargetWorld world_;
+    FakeTargetEnvironment environment_;
     TargetRecord record_;
     TargetBehaviour behaviour_ = TargetBehaviour::Normal;
-    std::function<TargetAnswer(const requests::TargetStart&, const std::string&)> answer_;
+    std::function<TargetResponse(const requests::TargetStart&, const std::string&)> responder_;
     std::optional<uint32_t> reportedBusy_;
     bool isUp_ = false;
     bool isLeaving_ = false;
     bool areAnnouncementsBlocked_ = false;
-    uint64_t life_ = 0; ///< Steps scheduled before a kill are void after it.
+    uint64_t generation_ = 0; ///< Incremented by kill, which voids the steps scheduled before.
     uint64_t sequence_ = 0;
     HostId announceTo_;
-    size_t nextFirstHost_ = 0;
+    size_t nextInitialHost_ = 0;
     Lease lease_;
     uint32_t running_ = 0;
-    uint64_t answeredSinceStart_ = 0;
+    uint64_t completedSinceStart_ = 0;
     std::map<RunKey, Run> runs_;
 };
 
--- a/src/host/tests/fakes/faketargetannouncing.cpp
+++ b/src/host/tests/fakes/faketargetannouncing.cpp
@@ -7,25 +7,25 @@
 
 #include <nlohmann/json.hpp>
 
-/// The announcements of the target.
+/// Announcements of a FakeTarget.
 namespace saltvane::host::fakes {
 
 namespace {
 
-constexpr Duration RetryAfter = 200ms;
+constexpr Duration RetryDelay = 200ms;
 
 } // namespace
 
 void FakeTarget::start()
 {
     isUp_ = true;
-    announceLater({});
+    scheduleAnnouncement({});
 }
 
-void FakeTarget::announceLater(Duration delay)
+void FakeTarget::scheduleAnnouncement(Duration delay)
 {
-    world_.time->after(delay, [this, life = life_] {
-        if (isUp_ && life == life_)
+    environment_.time->after(delay, [this, generation = generation_] {
+        if (isUp_ && generation == generation_)
             announce();
     });
 }
@@ -33,7 +33,7 @@
 void FakeTarget::announce()
 {
     if (areAnnouncementsBlocked_) {
-        announceLater(RetryAfter);
+        scheduleAnnouncement(RetryDelay);
         return;
     }
     const uint64_t sequence = ++sequence_;
@@ -43,33 +43,33 @@
         .path = "/v1/announce",
         .headers = {{"Saltvane-Announce-Key", options_.announceKey}, {"Content-Type", "application/json"}},
         .body = announcementBody(sequence),
-        .oneWay = world_.delay(host, options_.zone),
+        .oneWayDelay = environment_.delay(host, options_.zone),
         .origin = options_.zone};
-    world_.http->send(std::move(call), [this, sequence, life = life_](const HttpReply& reply) {
-        if (isUp_ && life == life_)
-            handleAnswer(sequence, reply);
+    environment_.http->send(std::move(call), [this, sequence, generation = generation_](const HttpReply& reply) {
+        if (isUp_ && generation == generation_)
+            handleAnnounceReply(sequence, reply);
     });
 }
 
-void FakeTarget::handleAnswer(uint64_t sequence, const HttpReply& reply)
+void FakeTarget::handleAnnounceReply(uint64_t sequence, const HttpReply& reply)
 {
     if (sequence != sequence_)
         return;
-    if (!reply.isWhole || reply.status != 200) {
+    if (!reply.isComplete || reply.status != 200) {
         announceTo_ = {};
-        ++nextFirstHost_;
-        announceLater(RetryAfter);
+        ++nextInitialHost_;
+        scheduleAnnouncement(RetryDelay);
         return;
     }
-    const nlohmann::json answer = nlohmann::json::parse(reply.body);
-    if (!answer["owner"].is_null())
-        lease_ = {.owner = HostId(answer["owner"]["host"].get<std::string>()),
-            .incarnation = {answer["owner"]["incarnation"].get<uint64_t>()},
+    const nlohmann::json response = nlohmann::json::parse(reply.body);
+    if (!response["owner"].is_null())
+        lease_ = {.owner = HostId(response["owner"]["host"].get<std::string>()),
+            .incarnation = {response["owner"]["incarnation"].get<uint64_t>()},
             .sequence = sequence,
-            .receivedAt = world_.time->now()};
-    if (!answer["announce_to"].is_null())
-        announceTo_ = HostId(answer["announce_to"]["host"].get<std::string>());
-    announceLater(std::chrono::milliseconds(answer["announce_after_ms"].get<int64_t>()));
+            .receivedAt = environment_.time->now()};
+    if (!response["announce_to"].is_null())
+        announceTo_ = HostId(response["announce_to"]["host"].get<std::string>());
+    scheduleAnnouncement(std::chrono::milliseconds(response["announce_after_ms"].get<int64_t>()));
 }
 
 std::string FakeTarget::announcementBody(uint64_t sequence) const
@@ -80,7 +80,7 @@
         {"connections", options_.connections}, {"state", isLeaving_ ? "leaving" : "ready"},
         {"load", {{"busy_slots", reportedBusy_.value_or(running_)}}}};
     if (!lease_.owner.isEmpty()) {
-        const Duration age = world_.time->now() - lease_.receivedAt;
+        const Duration age = environment_.time->now() - lease_.receivedAt;
         body["lease"] = {{"owner", lease_.owner.value()}, {"incarnation", lease_.incarnation.value},
             {"sequence", lease_.sequence},
             {"age_ms", std::chrono::duration_cast<std::chrono::milliseconds>(age).count()}};
@@ -91,7 +91,7 @@
 HostId FakeTarget::announcementHost()
 {
     if (announceTo_.isEmpty())
-        announceTo_ = options_.firstHosts[nextFirstHost_ % options_.firstHosts.size()];
+        announceTo_ = options_.initialHosts[nextInitialHost_ % options_.initialHosts.size()];
     return announceTo_;
 }
 
--- a/src/host/tests/fakes/virtualtime.h
+++ b/src/host/tests/fakes/virtualtime.h
@@ -13,7 +13,8 @@
 
 namespace saltvane::host::fakes {
 
-/// Runs scheduled steps in the order of their times; steps of one time run in the order scheduled.
+/// Runs scheduled steps in the order of their times; steps with equal times run in the order in which they were
+/// scheduled.
 class VirtualTime {
 public:
     using Step = std::function<void()>;
@@ -23,7 +24,7 @@
     void after(Duration delay, Step step) { at(now_ + delay, std::move(step)); }
     void runUntil(Timestamp end);
     void runFor(Duration duration) { runUntil(now_ + duration); }
-    /// Runs until the condition holds, looking every `period`; false when it did not within `limit`.
+    /// Runs until the condition holds, checking it every `period`; false when it does not hold within `limit`.
     [[nodiscard]] bool runUntil(
         const std::function<bool()>& condition, Duration limit, Duration period = std::chrono::milliseconds(10));
 
