--- a/src/host/tests/faultmatrix.cpp
+++ b/src/host/tests/faultmatrix.cpp
@@ -24,33 +24,33 @@
 
 void restartLater(ServingDeployment& serving, const HostId& id)
 {
-    serving.deployment.time().after(FaultTime, [&serving, id] {
+    serving.deployment.time().after(FaultDuration, [&serving, id] {
         if (!serving.deployment.host(id).isUp())
             serving.deployment.host(id).start();
     });
 }
 
-void kill(ServingDeployment& serving, const HostId& id, bool isSilent)
+void kill(ServingDeployment& serving, const HostId& id, bool isMachineDown)
 {
-    serving.deployment.host(id).kill(isSilent);
+    serving.deployment.host(id).kill(isMachineDown);
     restartLater(serving, id);
 }
 
 void healLater(ServingDeployment& serving)
 {
-    serving.deployment.time().after(FaultTime, [&serving] {
+    serving.deployment.time().after(FaultDuration, [&serving] {
         serving.deployment.heal();
         serving.deployment.network().setLoss(0);
     });
 }
 
-void behave(ServingDeployment& serving, TargetBehaviour behaviour)
+void setTargetBehaviour(ServingDeployment& serving, TargetBehaviour behaviour)
 {
-    // One target of each service, chosen as the first by name.
+    // The first target of each service by name.
     for (const char* service : {"valuator", "settlebox"}) {
         FakeTarget* target = serving.deployment.targetsOf(ServiceName(service)).front();
         target->setBehaviour(behaviour);
-        serving.deployment.time().after(FaultTime, [target] { target->setBehaviour(TargetBehaviour::Normal); });
+        serving.deployment.time().after(FaultDuration, [target] { target->setBehaviour(TargetBehaviour::Normal); });
     }
 }
 
@@ -77,14 +77,14 @@
 {
     FakeDisk& disk = serving.deployment.host(leader(serving)).disk();
     disk.setFull(true);
-    serving.deployment.time().after(FaultTime, [&disk] { disk.setFull(false); });
+    serving.deployment.time().after(FaultDuration, [&disk] { disk.setFull(false); });
 }
 
-void hostStandsStill(ServingDeployment& serving)
+void hostStalls(ServingDeployment& serving)
 {
     const HostId id = owner(serving);
     serving.deployment.host(id).pause();
-    serving.deployment.time().after(FaultTime, [&serving, id] { serving.deployment.host(id).resume(); });
+    serving.deployment.time().after(FaultDuration, [&serving, id] { serving.deployment.host(id).resume(); });
 }
 
 void zoneIsCutOff(ServingDeployment& serving)
@@ -107,7 +107,7 @@
         if (!target->options().zone.value().starts_with("cue-"))
             continue;
         target->kill();
-        serving.deployment.time().after(FaultTime, [target] { target->restart(); });
+        serving.deployment.time().after(FaultDuration, [target] { target->restart(); });
     }
 }
 
@@ -121,21 +121,21 @@
 {
     FakeTarget* target = serving.deployment.targetsOf(ServiceName("valuator")).front();
     target->kill();
-    serving.deployment.time().after(FaultTime, [target] { target->restart(); });
+    serving.deployment.time().after(FaultDuration, [target] { target->restart(); });
 }
 
-void targetsStall(ServingDeployment& serving) { behave(serving, TargetBehaviour::Stalled); }
-void targetsBreakAnswers(ServingDeployment& serving) { behave(serving, TargetBehaviour::Truncating); }
-void targetsShed(ServingDeployment& serving) { behave(serving, TargetBehaviour::Shedding); }
+void targetsStall(ServingDeployment& serving) { setTargetBehaviour(serving, TargetBehaviour::Stalled); }
+void targetsBreakAnswers(ServingDeployment& serving) { setTargetBehaviour(serving, TargetBehaviour::Truncating); }
+void targetsShed(ServingDeployment& serving) { setTargetBehaviour(serving, TargetBehaviour::Shedding); }
 
-void measurementsStop(ServingDeployment& serving)
+void announcementsStop(ServingDeployment& serving)
 {
-    // Announcements of a whole zone's targets arrive nowhere.
+    // Announcements of all targets of a zone are lost.
     for (FakeTarget* target : serving.deployment.targets()) {
         if (target->options().zone != ZoneName("uio-cumbaya"))
             continue;
         target->setAnnouncementsBlocked(true);
-        serving.deployment.time().after(FaultTime, [target] { target->setAnnouncementsBlocked(false); });
+        serving.deployment.time().after(FaultDuration, [target] { target->setAnnouncementsBlocked(false); });
     }
 }
 
@@ -148,7 +148,10 @@
 // Steps.
 void steady(ServingDeployment&) { }
 
-void bundleIsProposed(ServingDeployment& serving) { serving.beginBundle(serving.deployment.plan().bundles.at(1), {2}); }
+void bundleIsProposed(ServingDeployment& serving)
+{
+    serving.submitBundle(serving.deployment.plan().bundles.at(1), {2});
+}
 
 void bundleShifts(ServingDeployment& serving)
 {
@@ -197,7 +200,7 @@
         Fault {"two control hosts die", twoControlHostsDie},
         Fault {"leader's disk is lost", leaderDiskIsLost},
         Fault {"leader's disk is full", leaderDiskIsFull},
-        Fault {"owner stands still", hostStandsStill},
+        Fault {"owner stands still", hostStalls},
         Fault {"zone is cut off", zoneIsCutOff},
         Fault {"control leader is cut off", leaderIsCutOff},
         Fault {"region dies", regionDies},
@@ -206,7 +209,7 @@
         Fault {"targets stall", targetsStall},
         Fault {"targets break answers", targetsBreakAnswers},
         Fault {"targets shed", targetsShed},
-        Fault {"announcements stop", measurementsStop},
+        Fault {"announcements stop", announcementsStop},
         Fault {"zone is cut off, host in it dies", zoneIsCutAndAHostDies},
     };
     return Faults;
--- a/src/host/tests/faultmatrix.h
+++ b/src/host/tests/faultmatrix.h
@@ -12,16 +12,16 @@
 
 namespace saltvane::host {
 
-/// A fault lasts so long; after it the machine is back, the cut is healed.
-inline constexpr Duration FaultTime = 4s;
+/// Duration of a fault; afterwards the machine is restarted or the cut is healed.
+inline constexpr Duration FaultDuration = 4s;
 
-/// Something that fails, and is mended after FaultTime.
+/// A failure that is repaired after FaultDuration.
 struct Fault {
     std::string_view name;
-    void (*strike)(ServingDeployment& serving);
+    void (*inject)(ServingDeployment& serving);
 };
 
-/// What the deployment is in the middle of when the fault strikes.
+/// The operation that is in progress when the fault is injected.
 struct Step {
     std::string_view name;
     void (*begin)(ServingDeployment& serving);
--- a/src/host/tests/faultmatrixtests.cpp
+++ b/src/host/tests/faultmatrixtests.cpp
@@ -59,7 +59,7 @@
     return cells;
 }
 
-/// Lines of the page's table: the head first, without the rule below it.
+/// Rows of the page's table with the header row first, without the separator row.
 std::vector<std::vector<std::string>> tableOfThePage()
 {
     std::ifstream page(SALTVANE_SOURCE_DIR "/docs/FAULT-MATRIX.md");
@@ -81,8 +81,8 @@
     const auto [fault, step] = GetParam();
     ServingDeployment serving({.requestsPerSecond = RequestsPerSecond, .seed = 100 + fault * steps().size() + step});
     steps()[step].begin(serving);
-    faults()[fault].strike(serving);
-    serving.run(FaultTime + 100ms);
+    faults()[fault].inject(serving);
+    serving.run(FaultDuration + 100ms);
     EXPECT_TRUE(serving.deployment.time().runUntil([&] { return serving.hasRecovered(); }, RecoveryTime))
         << serving.deployment.describe();
     const uint64_t answeredBefore = serving.load.record().answered;
--- a/src/host/tests/leavingtests.cpp
+++ b/src/host/tests/leavingtests.cpp
@@ -11,14 +11,14 @@
 
 namespace {
 
-const TargetId Leaver("valuator-gye-urdesa-1");
+const TargetId LeavingTarget("valuator-gye-urdesa-1");
 
 } // namespace
 
 TEST(LeavingTests, LeavingTargetGetsNoNewWork)
 {
     ServingDeployment serving({});
-    FakeTarget& target = serving.deployment.target(Leaver);
+    FakeTarget& target = serving.deployment.target(LeavingTarget);
     const uint64_t before = target.record().runs;
     target.leave();
     serving.run(5s);
@@ -26,20 +26,20 @@
     EXPECT_GT(before, 0U);
 }
 
-TEST(LeavingTests, HoldsWhenItsOwnerDiesAtThatMoment)
+TEST(LeavingTests, LeavingTargetGetsNoNewWorkWhenItsOwnerDies)
 {
     ServingDeployment serving({});
-    FakeTarget& target = serving.deployment.target(Leaver);
+    FakeTarget& target = serving.deployment.target(LeavingTarget);
     target.leave();
     serving.deployment.host(target.leaseOwner()).kill(true);
     serving.run(6s);
     serving.finish();
 }
 
-TEST(LeavingTests, HoldsWhenItsOwnerNoLongerHearsIt)
+TEST(LeavingTests, LeavingTargetGetsNoNewWorkWhenItsAnnouncementsAreLost)
 {
     ServingDeployment serving({});
-    FakeTarget& target = serving.deployment.target(Leaver);
+    FakeTarget& target = serving.deployment.target(LeavingTarget);
     target.setAnnouncementsBlocked(true);
     target.leave();
     serving.run(6s);
--- a/src/host/tests/notruntests.cpp
+++ b/src/host/tests/notruntests.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-void behave(FakeDeployment& deployment, const std::string& service, TargetBehaviour behaviour)
+void setTargetBehaviour(FakeDeployment& deployment, const std::string& service, TargetBehaviour behaviour)
 {
     for (FakeTarget* target : deployment.targetsOf(ServiceName(service)))
         target->setBehaviour(behaviour);
@@ -19,36 +19,36 @@
 
 } // namespace
 
-TEST(NotRunTests, ShedRequestsAreNotRunAndSaidToBe)
+TEST(NotRunTests, ShedRequestsAreReportedNotRun)
 {
     ServingDeployment serving({});
-    behave(serving.deployment, "settlebox", TargetBehaviour::Shedding);
+    setTargetBehaviour(serving.deployment, "settlebox", TargetBehaviour::Shedding);
     serving.run(2s);
     serving.finish();
     EXPECT_GT(serving.load.record().notRun, 0U) << serving.load.summary();
 }
 
-TEST(NotRunTests, RefusedConnectionsAreNotRun)
+TEST(NotRunTests, RefusedConnectionsAreReportedNotRun)
 {
     ServingDeployment serving({});
-    behave(serving.deployment, "settlebox", TargetBehaviour::Refusing);
+    setTargetBehaviour(serving.deployment, "settlebox", TargetBehaviour::Refusing);
     serving.run(2s);
     serving.finish();
     EXPECT_GT(serving.load.record().notRun, 0U) << serving.load.summary();
 }
 
-TEST(NotRunTests, StalledTargetsAreNeverToldAsNotRun)
+TEST(NotRunTests, StalledRequestsAreNeverReportedNotRun)
 {
     ServingDeployment serving({});
     serving.run(2s);
     const uint64_t before = serving.load.record().unknown;
-    behave(serving.deployment, "settlebox", TargetBehaviour::Stalled);
+    setTargetBehaviour(serving.deployment, "settlebox", TargetBehaviour::Stalled);
     serving.run(3s);
     serving.finish();
     EXPECT_GT(serving.load.record().unknown, before) << serving.load.summary();
 }
 
-TEST(NotRunTests, HoldsWhileOwnersDieAndZonesAreCutUnderAnOverload)
+TEST(NotRunTests, ReportsHoldWhileOwnersDieAndZonesAreCutOffUnderOverload)
 {
     ServingDeployment serving({.requestsPerSecond = 300, .seed = 7});
     FakeDeployment& deployment = serving.deployment;
--- a/src/host/tests/plannedstoptests.cpp
+++ b/src/host/tests/plannedstoptests.cpp
@@ -11,13 +11,13 @@
 
 namespace {
 
-constexpr Duration LongestStop = 30s;
+constexpr Duration StopTimeout = 30s;
 
 void stopAndWait(ServingDeployment& serving, const HostId& id)
 {
     FakeHost& host = serving.deployment.host(id);
     host.requestStop();
-    EXPECT_TRUE(serving.deployment.time().runUntil([&] { return host.stopFinished().has_value(); }, LongestStop))
+    EXPECT_TRUE(serving.deployment.time().runUntil([&] { return host.stopFinished().has_value(); }, StopTimeout))
         << id.value() << " does not end its planned stop" << serving.deployment.describe();
     EXPECT_EQ(host.stopFinished().value_or(StopFinished {1}).requestsCut, 0U) << id.value();
     serving.run(10ms);
@@ -25,7 +25,7 @@
 
 } // namespace
 
-TEST(PlannedStopTests, StopsOfHostsInTurnCutNothing)
+TEST(PlannedStopTests, HostsStoppedInTurnTerminateNoRequest)
 {
     ServingDeployment serving({.requestsPerSecond = 100});
     for (FakeTarget* target : serving.deployment.targets())
@@ -43,7 +43,7 @@
     serving.finish();
 }
 
-TEST(PlannedStopTests, StopOfTheControlLeaderCutsNothing)
+TEST(PlannedStopTests, StoppedControlLeaderTerminatesNoRequest)
 {
     ServingDeployment serving({.requestsPerSecond = 100});
     const HostId leader = serving.deployment.controlLeader();
@@ -54,7 +54,7 @@
     serving.finish();
 }
 
-TEST(PlannedStopTests, LongRequestsEndBeforeTheHostDoes)
+TEST(PlannedStopTests, LongRequestsCompleteBeforeTheHostStops)
 {
     ServingDeployment serving({.requestsPerSecond = 50});
     FakeDeployment& deployment = serving.deployment;
@@ -66,7 +66,7 @@
                                    .path = "/nav/slow",
                                    .headers = {{"Saltvane-Service", "valuator"}, {"Saltvane-Deadline-Ms", "20000"}},
                                    .remoteAddress = "10.20.0.9",
-                                   .oneWay = 8ms},
+                                   .oneWayDelay = 8ms},
             [&](const HttpReply& reply) { replies.push_back(reply); });
     }
     serving.load.stop();
@@ -74,7 +74,7 @@
     stopAndWait(serving, HostId("gye-urdesa-2"));
     ASSERT_EQ(replies.size(), 3U);
     for (const HttpReply& reply : replies)
-        EXPECT_TRUE(reply.isWhole && reply.status == 200) << reply.status << " " << reply.body;
+        EXPECT_TRUE(reply.isComplete && reply.status == 200) << reply.status << " " << reply.body;
     serving.finish();
 }
 
--- a/src/host/tests/restarttests.cpp
+++ b/src/host/tests/restarttests.cpp
@@ -24,7 +24,7 @@
         .path = "/nav/fund-7",
         .headers = {{"Saltvane-Service", "valuator"}},
         .remoteAddress = "10.20.0.9",
-        .oneWay = 100us});
+        .oneWayDelay = 100us});
 }
 
 } // namespace
@@ -51,7 +51,7 @@
     ServingDeployment serving({.requestsPerSecond = 20});
     FakeDeployment& deployment = serving.deployment;
     deployment.host(Restarted).kill();
-    deployment.cutOff(Restarted); // The only host of its zone.
+    deployment.cutOff(Restarted); // It is the only host of its zone.
     deployment.host(Restarted).start();
     serving.run(10s);
     EXPECT_EQ(deployment.host(Restarted).status().state, model::HostState::Joining);
@@ -63,7 +63,7 @@
     serving.finish();
 }
 
-TEST(RestartTests, HostOfACutOffZoneTakesThePeersState)
+TEST(RestartTests, HostOfACutOffZoneAdoptsThePeersState)
 {
     ServingDeployment serving({.requestsPerSecond = 20});
     FakeDeployment& deployment = serving.deployment;
@@ -78,7 +78,7 @@
     serving.finish();
 }
 
-TEST(RestartTests, AllHostsAtOnceComeBackWithTheBundleInForce)
+TEST(RestartTests, AllHostsRestartWithTheBundleInForce)
 {
     ServingDeployment serving({.requestsPerSecond = 20});
     FakeDeployment& deployment = serving.deployment;
--- a/src/host/tests/servingdeployment.h
+++ b/src/host/tests/servingdeployment.h
@@ -6,7 +6,7 @@
 #pragma once
 
 #include "host/tests/fakes/callerload.h"
-#include "host/tests/fakes/deploymentwatch.h"
+#include "host/tests/fakes/deploymentmonitor.h"
 
 #include <gtest/gtest.h>
 
@@ -15,12 +15,12 @@
 inline const std::string ValoriaFolder = SALTVANE_SOURCE_DIR "/deployments/valoria";
 inline const std::string MagnoliaFolder = SALTVANE_SOURCE_DIR "/deployments/magnolia";
 
-/// A deployment in service, under the load of callers and watched.
+/// A serving deployment under the load of callers, with a monitor of its invariants.
 class ServingDeployment {
 public:
     struct Options {
         std::string folder = ValoriaFolder;
-        std::optional<fakes::DeploymentPlan> plan; ///< In place of the folder's.
+        std::optional<fakes::DeploymentPlan> plan; ///< Overrides the folder's.
         double requestsPerSecond = 150;
         uint32_t tokenKeyPercent = 25;
         std::vector<ServiceName> services; ///< Empty: all.
@@ -30,7 +30,7 @@
     explicit ServingDeployment(const Options& options)
         : deployment(
             {.plan = options.plan ? *options.plan : fakes::loadDeploymentPlan(options.folder), .seed = options.seed})
-        , watch({.deployment = &deployment})
+        , monitor({.deployment = &deployment})
         , load({.deployment = &deployment,
               .requestsPerSecond = options.requestsPerSecond,
               .tokenKeyPercent = options.tokenKeyPercent,
@@ -38,23 +38,23 @@
               .seed = options.seed})
     {
         EXPECT_TRUE(deployment.bringUp()) << deployment.describe();
-        // Until every host knows the room of every zone: the first request fixes the rows it finds.
+        // Until every host knows the usable capacity of every zone: the first request fixes the rows as they are then.
         run(1s);
-        watch.start();
+        monitor.start();
         load.start();
         run(2s);
     }
 
     void run(Duration duration) { deployment.time().runFor(duration); }
 
-    /// Goes on proposing and approving the bundle, through failures, until it is accepted.
-    void beginBundle(std::string content, BundleVersion version)
+    /// Proposes and approves the bundle, with retries after failures, until it is accepted.
+    void submitBundle(std::string content, BundleVersion version)
     {
         expectedVersion_ = version;
         deployment.submit(std::move(content), version, [this] { isAccepted_ = true; });
     }
 
-    /// Every host is up, serves the newest bundle and has heard from control; every target is owned.
+    /// True if every host is up, serves the newest bundle and is not cut off, and every target is owned.
     [[nodiscard]] bool hasRecovered()
     {
         if (expectedVersion_ && !isAccepted_)
@@ -67,17 +67,17 @@
         return deployment.areAllServing() && deployment.areAllTargetsOwned() && !deployment.controlLeader().isEmpty();
     }
 
-    /// Ends the load and checks all that must always hold.
+    /// Stops the load and checks all invariants.
     void finish()
     {
         load.finish();
-        watch.finish();
+        monitor.finish();
         EXPECT_EQ(load.violations(), "");
-        EXPECT_EQ(watch.text(), "");
+        EXPECT_EQ(monitor.text(), "");
     }
 
     fakes::FakeDeployment deployment;
-    fakes::DeploymentWatch watch;
+    fakes::DeploymentMonitor monitor;
     fakes::CallerLoad load;
 
 private:
--- a/src/host/tests/shifttests.cpp
+++ b/src/host/tests/shifttests.cpp
@@ -15,13 +15,13 @@
 
 namespace {
 
-constexpr Duration Bin = 2s;
-constexpr Duration Window = 10s;
-constexpr double Cap = 0.1;
-/// Counts of a bin follow the shares within about a request for each host and region.
+constexpr Duration BinDuration = 2s;
+constexpr Duration CapWindow = 10s;
+constexpr double CapShare = 0.1;
+/// The counts of a bin deviate from the shares by about one request for each host and region.
 constexpr double CountingError = 0.04;
 
-/// The first bundle without its larger cap for failures: every movement keeps to the shift cap.
+/// The plan with the larger failover caps removed from its bundles, so that every movement must keep to the shift cap.
 DeploymentPlan planWithOneCap()
 {
     DeploymentPlan plan = loadDeploymentPlan(ValoriaFolder);
@@ -31,7 +31,8 @@
     return plan;
 }
 
-/// Where the requests of each client region went, as shares of all it sent, in bins of time. Refused ones went nowhere.
+/// The zones that the requests of each client region went to, as shares of its requests, in time bins. Refused requests
+/// count for no zone.
 class TrafficShares {
 public:
     explicit TrafficShares(FakeDeployment& deployment)
@@ -39,7 +40,7 @@
     {
     }
 
-    /// Counts what was answered since the last call as one bin.
+    /// Adds a bin with the requests recorded since the last call.
     void closeBin()
     {
         std::map<RegionName, std::map<ZoneName, double>> bin;
@@ -47,7 +48,7 @@
         for (; next_ < records.size(); ++next_) {
             const requests::AccessRecord& record = records[next_];
             if (!record.isOwnerSide)
-                bin[record.clientRegion][wentTo(record)] += 1;
+                bin[record.clientRegion][destinationOf(record)] += 1;
         }
         for (auto& [region, zones] : bin) {
             const double sum = std::accumulate(
@@ -58,7 +59,7 @@
         bins_.push_back(std::move(bin));
     }
 
-    /// The bins and what moved between them, for failing tests.
+    /// The bins and the movement since the first one, for messages of failed tests.
     [[nodiscard]] std::string text() const
     {
         std::ostringstream text;
@@ -74,9 +75,9 @@
     }
 
     /// Largest movement, averaged over the regions, between two bins that lie within the window.
-    [[nodiscard]] double largestMovement() const
+    [[nodiscard]] double maxMovement() const
     {
-        const size_t reach = static_cast<size_t>(Window / Bin) - 1;
+        const size_t reach = static_cast<size_t>(CapWindow / BinDuration) - 1;
         double largest = 0;
         for (size_t first = 0; first < bins_.size(); ++first) {
             for (size_t second = first + 1; second < bins_.size() && second - first <= reach; ++second)
@@ -92,12 +93,13 @@
     }
 
 private:
-    static ZoneName wentTo(const requests::AccessRecord& record)
+    static ZoneName destinationOf(const requests::AccessRecord& record)
     {
         return record.outcome == model::Outcome::NotRun ? ZoneName {} : record.zone;
     }
 
-    /// What left a zone and arrived at another. What is refused, or no longer refused, has not moved between zones.
+    /// Share of the traffic that moved from one zone to another. Traffic that is refused, or no longer refused, has not
+    /// moved between zones.
     [[nodiscard]] double movement(size_t first, size_t second) const
     {
         double sum = 0;
@@ -129,7 +131,7 @@
 void runBins(ServingDeployment& serving, TrafficShares& traffic, int bins)
 {
     for (int i = 0; i < bins; ++i) {
-        serving.run(Bin);
+        serving.run(BinDuration);
         traffic.closeBin();
     }
 }
@@ -156,7 +158,7 @@
     runBins(serving, traffic, 3);
     deployment.heal();
     runBins(serving, traffic, 4);
-    EXPECT_LE(traffic.largestMovement(), Cap + CountingError) << traffic.text();
+    EXPECT_LE(traffic.maxMovement(), CapShare + CountingError) << traffic.text();
     const RegionName quito("quito");
     const ZoneName closed("uio-carolina");
     EXPECT_LT(traffic.shareOf(15, quito, closed), traffic.shareOf(0, quito, closed) - 0.1) << "the shift goes on";
@@ -175,7 +177,7 @@
         serving.run(1200ms);
     }
     serving.finish();
-    EXPECT_GT(serving.watch.largestMovement(), 0.05) << "the shift goes on";
+    EXPECT_GT(serving.monitor.maxMovement(), 0.05) << "the shift goes on";
 }
 
 } // namespace saltvane::host
--- a/src/host/tests/slottests.cpp
+++ b/src/host/tests/slottests.cpp
@@ -9,10 +9,10 @@
 
 using namespace fakes;
 
-TEST(SlotTests, SteadyLoadIsAnsweredWhole)
+TEST(SlotTests, SteadyLoadIsFullyAnswered)
 {
     ServingDeployment serving({.requestsPerSecond = 300});
-    serving.run(3s); // Targets start cold.
+    serving.run(3s); // Until slow start of the targets is over.
     const CallerLoadRecord before = serving.load.record();
     serving.run(7s);
     serving.finish();
@@ -22,7 +22,7 @@
     EXPECT_EQ(after.unknown + after.broken, 0U) << serving.load.summary();
 }
 
-TEST(SlotTests, HoldWhileHostsDieAndReturnUnderAnOverload)
+TEST(SlotTests, AreNotExceededWhileHostsRestartUnderOverload)
 {
     ServingDeployment serving({.requestsPerSecond = 900, .seed = 2});
     for (FakeTarget* target : serving.deployment.targets())
@@ -39,7 +39,7 @@
     EXPECT_GT(serving.load.countOf("not-run:no-room"), 0U) << serving.load.summary();
 }
 
-TEST(SlotTests, HoldWhileZonesAndHostsAreCutOff)
+TEST(SlotTests, AreNotExceededWhileZonesAndHostsAreCutOff)
 {
     ServingDeployment serving({.folder = MagnoliaFolder, .requestsPerSecond = 600, .seed = 3});
     for (FakeTarget* target : serving.deployment.targets())
@@ -55,7 +55,7 @@
     serving.finish();
 }
 
-TEST(SlotTests, HoldWhenAnOwnerStandsStillLongerThanItsLeases)
+TEST(SlotTests, AreNotExceededWhenAnOwnerStallsLongerThanItsLeases)
 {
     ServingDeployment serving({.requestsPerSecond = 500, .seed = 4});
     for (FakeTarget* target : serving.deployment.targets())
@@ -68,7 +68,7 @@
     serving.finish();
 }
 
-TEST(SlotTests, HoldWhenTargetsLieAboutTheirLoad)
+TEST(SlotTests, AreNotExceededWhenTargetsReportAWrongLoad)
 {
     ServingDeployment serving({.requestsPerSecond = 500, .seed = 5});
     for (FakeTarget* target : serving.deployment.targets()) {
