--- a/cmake/dependencies.cmake
+++ b/cmake/dependencies.cmake
@@ -1,4 +1,4 @@
-# Libraries by their Debian packages; scripts/setup installs them.
+# Libraries, installed by scripts/setup from Debian packages.
 find_package(PkgConfig REQUIRED)
 find_package(Threads REQUIRED)
 find_package(Boost 1.74 REQUIRED)
--- a/cmake/saltvanemodule.cmake
+++ b/cmake/saltvanemodule.cmake
@@ -2,9 +2,14 @@
 #
 # Builds src/<name>/*.cpp and internal/*.cpp as the library saltvane_<name>,
 # and tests/*.cpp as the test program saltvane_<name>_tests.
-# saltvane_program does the same for a binary that main.cpp starts.
+#
+# saltvane_program(NAME <name> [DEPENDS <targets>])
+#
+# Builds internal/*.cpp as the library <name>_lib, main.cpp as the executable <name>,
+# and tests/*.cpp as the test program saltvane_<name>_tests.
 set(SALTVANE_WARNINGS -Wall -Wextra -Wpedantic -Wshadow -Wnon-virtual-dtor -Wno-missing-field-initializers)
-# Warnings stop developers and CI, not a user's build with another compiler or optimisation.
+# Warnings are errors for developers and in CI, but must not fail a user's build with another compiler or optimization
+# level.
 if(NOT SALTVANE_PROGRAMS_ONLY AND NOT SALTVANE_FUZZ)
   list(APPEND SALTVANE_WARNINGS -Werror)
 endif()
