--- a/testing/losses.py
+++ b/testing/losses.py
@@ -2,10 +2,10 @@
 # SPDX-License-Identifier: Apache-2.0
 # saltvane: global traffic steering
 # Copyright (c) 2026 the saltvane authors
-"""Says where a logged run lost requests: refusals and late answers by moment, route and reason.
+"""Reports where a logged run lost requests: refusals and late responses by time window, route and reason.
 
-Reads the log lines of gateways (docs/LOGS.md, event=request), each behind a time in seconds and the host's name, as a
-driver of several processes prints them:
+Reads request log lines of gateways (docs/LOGS.md, event=request). Each line starts with a time in seconds and the host's
+name, as drivers of several processes print them:
 
     12.3456 host-name time=... module=gateway event=request id=... route=... outcome=not-run reason=no-room ...
 
@@ -21,7 +21,7 @@
 
 
 def read_decisions(path):
-    """Yields (time, host, fields) of each request's line; counts what looks like one but can't be read."""
+    """Yields (time, host, fields) of each request line; counts request lines that can't be parsed on standard error."""
     unreadable = 0
     with open(path, encoding="utf-8", errors="replace") as log:
         for line in log:
@@ -33,11 +33,11 @@
                 continue
             yield float(match.group(1)), match.group(2), dict(FIELD.findall(match.group(3)))
     if unreadable:
-        print(f"{unreadable} lines could not be read", file=sys.stderr)
+        print(f"{unreadable} request lines could not be parsed", file=sys.stderr)
 
 
 def kind_of(fields, late_ms):
-    """How a request was lost; None where it was answered in time."""
+    """How a request was lost; None if it was answered in time."""
     if fields.get("outcome") != "answered":
         return f"{fields.get('outcome')}:{fields.get('reason')}"
     return "late" if float(fields.get("ms", 0)) > late_ms else None
@@ -54,8 +54,9 @@
 def main():
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("log")
-    parser.add_argument("--window", type=float, default=2.0, help="seconds a row")
-    parser.add_argument("--late", type=float, default=400.0, help="milliseconds from which an answer counts as late")
+    parser.add_argument("--window", type=float, default=2.0, help="seconds covered by each row")
+    parser.add_argument("--late", type=float, default=400.0,
+                        help="latency in milliseconds above which a response counts as late")
     parser.add_argument("--from", type=float, default=float("-inf"), dest="start")
     parser.add_argument("--to", type=float, default=float("inf"), dest="end")
     options = parser.parse_args()
@@ -72,7 +73,7 @@
             by_moment[moment][kind] += 1
             by_route[route][kind] += 1
     if not moments:
-        sys.exit(f"{options.log}: no request's line in it")
+        sys.exit(f"{options.log}: no request line in the selected time range")
     print_table("from second", by_moment, moments)
     print_table("route", by_route, routes)
 
--- a/testing/soak/deployment.py
+++ b/testing/soak/deployment.py
@@ -1,4 +1,4 @@
-"""The real programs of the soak: three registry hosts and three gateways, one of each in every region."""
+"""The processes of the soak test: registry hosts and gateways, spread over the regions in turn."""
 import pathlib
 import shutil
 import signal
@@ -7,7 +7,7 @@
 from forwarder import Forwarder
 
 sys.path.append(str(pathlib.Path(__file__).resolve().parent.parent / "system"))
-from processes import System, free_network  # noqa: E402
+from processes import System, find_free_network  # noqa: E402
 
 REGIONS = ("north", "south", "west")
 LINK_PORT, FRONT_PORT, SECOND_PORT = 19000, 18080, 18081
@@ -18,8 +18,8 @@
 zone: {region}-a
 region: {region}
 zones: [{zones}]
-link_address: "{link}"
-link_listen_address: "{behind}"
+link_address: "{link_address}"
+link_listen_address: "{backend_address}"
 seeds: [{seeds}]
 link_key: {key}
 stop_time_limit_s: 6
@@ -35,7 +35,7 @@
 
 
 class Host:
-    """A process of saltvane and the forwarder in front of its links."""
+    """A saltvane process and the forwarder in front of its link address."""
 
     def __init__(self, role: str, number: int, network: str):
         self.role = role
@@ -43,9 +43,9 @@
         self.name = f"{role}-{self.region}-{number // len(REGIONS)}"
         last = number + (1 if role == "registry" else 11)
         self.ip = f"{network}.{last}"
-        self.link = f"{self.ip}:{LINK_PORT}"
-        self.behind = f"{network}.{last + 40}:{LINK_PORT}"
-        self.forwarder = Forwarder(self.link, self.behind)
+        self.link_address = f"{self.ip}:{LINK_PORT}"
+        self.backend_address = f"{network}.{last + 40}:{LINK_PORT}"
+        self.forwarder = Forwarder(self.link_address, self.backend_address)
         self.is_paused = False
 
     @property
@@ -53,18 +53,18 @@
         return f"{self.region}-a"
 
     @property
-    def front(self) -> str:
+    def front_address(self) -> str:
         return f"{self.ip}:{FRONT_PORT}"
 
     @property
-    def second(self) -> str:
+    def second_address(self) -> str:
         return f"{self.ip}:{SECOND_PORT}"
 
 
 class Deployment:
     def __init__(self, binaries: pathlib.Path, folder: pathlib.Path, registries: int, gateways: int):
         self.system = System(binaries, folder)
-        self.network = free_network()
+        self.network = find_free_network()
         self.registries = [Host("registry", number, self.network) for number in range(registries)]
         self.gateways = [Host("gateway", number, self.network) for number in range(gateways)]
         self.hosts = self.registries + self.gateways
@@ -77,11 +77,11 @@
 
     def write_settings(self, host: Host, is_first: bool):
         zones = ", ".join(f"{{zone: {region}-a, region: {region}}}" for region in REGIONS)
-        seeds = ", ".join(f'"{registry.link}"' for registry in self.registries[:len(REGIONS)])
-        rest = REGISTRY if host.role == "registry" else GATEWAY
-        text = (SETTINGS + rest).format(role=host.role, first_start=str(is_first).lower(), region=host.region, zones=zones,
-                                        link=host.link, behind=host.behind, seeds=seeds, key="k" * 40, ip=host.ip,
-                                        name=host.name)
+        seeds = ", ".join(f'"{registry.link_address}"' for registry in self.registries[:len(REGIONS)])
+        role_settings = REGISTRY if host.role == "registry" else GATEWAY
+        text = (SETTINGS + role_settings).format(
+            role=host.role, first_start=str(is_first).lower(), region=host.region, zones=zones, link_address=host.link_address,
+            backend_address=host.backend_address, seeds=seeds, key="k" * 40, ip=host.ip, name=host.name)
         (self.system.folder / f"{host.name}.yaml").write_text(text)
 
     def launch(self, host: Host, is_first: bool = False):
@@ -98,7 +98,7 @@
             host.is_paused = number == signal.SIGSTOP
 
     def has_reached_main(self, host: Host) -> bool:
-        """Whether the process handles or ignores SIGHUP by now, which is the first thing that it does."""
+        """Whether the process handles or ignores SIGHUP already, which is the first thing that main() sets up."""
         lines = pathlib.Path(f"/proc/{self.system.processes[host.name].pid}/status").read_text().splitlines()
         masks = [int(line.split()[1], 16) for line in lines if line.startswith(("SigIgn", "SigCgt"))]
         return any(mask & 1 << (signal.SIGHUP - 1) for mask in masks)
@@ -109,14 +109,14 @@
     def wipe(self, host: Host):
         shutil.rmtree(self.system.folder / f"{host.name}-data", ignore_errors=True)
 
-    def tear_tail(self, host: Host, garbage: bytes):
-        """A write that was under way when the host died: bytes behind the last record, never synced."""
+    def append_torn_record(self, host: Host, garbage: bytes):
+        """Appends bytes behind the last record, as an unsynced write leaves them when the host dies."""
         segments = sorted((self.system.folder / f"{host.name}-data").glob("segment-*"))
         if segments:
             with open(segments[-1], "ab") as segment:
                 segment.write(garbage)
 
-    def ended_by_themselves(self) -> list[str]:
-        """Processes that nobody asked to end."""
-        return [f"{name} ended by itself: exit {process.returncode}"
+    def unexpected_exits(self) -> list[str]:
+        """Processes that exited without being stopped or killed."""
+        return [f"{name} exited unexpectedly with code {process.returncode}"
                 for name, process in self.system.processes.items() if process.poll() is not None]
--- a/testing/soak/faults.py
+++ b/testing/soak/faults.py
@@ -1,4 +1,5 @@
-"""What the soak does to the deployment from outside, drawn by a seed. Every fault ends by itself and may overlap others."""
+"""Faults that the soak test injects into the deployment, drawn from a seed. Every fault ends on its own and may overlap
+others."""
 import asyncio
 import collections.abc
 import dataclasses
@@ -7,11 +8,11 @@
 import time
 
 from deployment import Deployment, Host
-from forwarder import BACK, TOWARDS
+from forwarder import TO_CLIENT, TO_DESTINATION
 from operator_calls import Operator
 from targets import Target
 
-STOP_LIMIT_S = 7.5  # stop_time_limit_s and a margin for a busy machine.
+STOP_TIMEOUT_S = 7.5  # stop_time_limit_s plus a margin for a busy machine.
 CATCH_UP_S = 6
 
 
@@ -20,33 +21,33 @@
     deployment: Deployment
     targets: list[Target]
     operator: Operator
-    chooser: random.Random
+    rng: random.Random
     findings: list[str]
-    wiping: bool = False
-    silenced_at: list[float] = dataclasses.field(default_factory=list)  # Most connections between hosts.
+    is_wiping: bool = False
+    silenced_at: list[float] = dataclasses.field(default_factory=list)  # When most connections between hosts were silenced.
 
 
 Fault = collections.abc.Callable[[World], collections.abc.Awaitable[None]]
 
 
-def a_host(world: World, hosts: list[Host]) -> Host | None:
-    """One that runs and isn't paused; hosts may be struck again while they come back."""
-    able = [host for host in hosts if world.deployment.is_running(host) and not host.is_paused]
-    return world.chooser.choice(able) if able else None
+def choose_host(world: World, hosts: list[Host]) -> Host | None:
+    """A random host that runs and isn't paused. A host may be hit again while it recovers."""
+    candidates = [host for host in hosts if world.deployment.is_running(host) and not host.is_paused]
+    return world.rng.choice(candidates) if candidates else None
 
 
-def a_pause(world: World, least: float, most: float) -> float:
-    return world.chooser.uniform(least, most)
+def draw_pause(world: World, min_s: float, max_s: float) -> float:
+    return world.rng.uniform(min_s, max_s)
 
 
 async def kill(world: World):
-    host = a_host(world, world.deployment.hosts)
+    host = choose_host(world, world.deployment.hosts)
     if host is None:
         return
     world.deployment.kill(host)
-    if host.role == "registry" and world.chooser.random() < 0.3:
-        world.deployment.tear_tail(host, world.chooser.randbytes(world.chooser.randint(1, 60)))
-    await asyncio.sleep(a_pause(world, 0.1, 2))
+    if host.role == "registry" and world.rng.random() < 0.3:
+        world.deployment.append_torn_record(host, world.rng.randbytes(world.rng.randint(1, 60)))
+    await asyncio.sleep(draw_pause(world, 0.1, 2))
     world.deployment.launch(host)
 
 
@@ -54,83 +55,83 @@
     killed = [host for host in world.deployment.registries if world.deployment.is_running(host)]
     for host in killed:
         world.deployment.kill(host)
-    await asyncio.sleep(a_pause(world, 0.1, 1))
+    await asyncio.sleep(draw_pause(world, 0.1, 1))
     for host in killed:
         world.deployment.launch(host)
 
 
 async def kill_everything(world: World):
-    """All hosts at once, as by a loss of power; one disk may be lost with it, and one target ends meanwhile."""
+    """Kills all hosts at once, as a power loss does; one disk may be lost with it, and one target may restart meanwhile."""
     killed = [host for host in world.deployment.hosts if world.deployment.is_running(host) and not host.is_paused]
     wiped = None
-    if not world.wiping and world.chooser.random() < 0.4:
-        wiped = a_host(world, world.deployment.registries)
+    if not world.is_wiping and world.rng.random() < 0.4:
+        wiped = choose_host(world, world.deployment.registries)
     for host in killed:
         world.deployment.kill(host)
-    target = world.chooser.choice(world.targets)
+    target = world.rng.choice(world.targets)
     restarted = target if target.server is not None and target.state != "leaving" else None
     if restarted is not None:
         restarted.crash()
     if wiped is not None:
-        world.wiping = True
+        world.is_wiping = True
         world.deployment.wipe(wiped)
-    await asyncio.sleep(a_pause(world, 0.1, 1.5))
-    world.chooser.shuffle(killed)
+    await asyncio.sleep(draw_pause(world, 0.1, 1.5))
+    world.rng.shuffle(killed)
     for host in killed:
         world.deployment.launch(host)
-        await asyncio.sleep(a_pause(world, 0, 0.1))
+        await asyncio.sleep(draw_pause(world, 0, 0.1))
     if restarted is not None:
-        await restarted.start()  # Another start at the same address: hints of the one before must not reach it.
+        await restarted.start()  # A new incarnation at the same address: it must not get hints meant for the previous one.
     if wiped is not None:
         await asyncio.sleep(CATCH_UP_S)
-        world.wiping = False
+        world.is_wiping = False
 
 
 async def wipe(world: World):
-    """One disk at a time: that is what three registry hosts bear."""
-    host = a_host(world, world.deployment.registries)
-    if host is None or world.wiping:
+    """Wipes one disk at a time, which is what three registry hosts tolerate."""
+    host = choose_host(world, world.deployment.registries)
+    if host is None or world.is_wiping:
         return
-    world.wiping = True
+    world.is_wiping = True
     world.deployment.kill(host)
     world.deployment.wipe(host)
-    await asyncio.sleep(a_pause(world, 0.1, 1))
+    await asyncio.sleep(draw_pause(world, 0.1, 1))
     world.deployment.launch(host)
     await asyncio.sleep(CATCH_UP_S)
-    world.wiping = False
+    world.is_wiping = False
 
 
 async def stop(world: World):
-    host = a_host(world, world.deployment.hosts)
+    host = choose_host(world, world.deployment.hosts)
     if host is None:
         return
     process = world.deployment.system.processes.pop(host.name)
     process.send_signal(signal.SIGTERM)
-    for _ in range(int(STOP_LIMIT_S * 10)):
+    for _ in range(int(STOP_TIMEOUT_S * 10)):
         if process.poll() is not None:
             break
         await asyncio.sleep(0.1)
     else:
-        world.findings.append(f"{host.name} still runs {STOP_LIMIT_S} s after SIGTERM")
+        world.findings.append(f"{host.name} still runs {STOP_TIMEOUT_S} s after SIGTERM")
         process.kill()
         process.wait()
     world.deployment.launch(host)
 
 
 async def pause(world: World):
-    host = a_host(world, world.deployment.hosts)
+    host = choose_host(world, world.deployment.hosts)
     if host is None:
         return
     process = world.deployment.system.processes[host.name]
     world.deployment.send(host, signal.SIGSTOP)
-    await asyncio.sleep(a_pause(world, 0.3, 4))
+    await asyncio.sleep(draw_pause(world, 0.3, 4))
     process.send_signal(signal.SIGCONT)
     host.is_paused = False
 
 
 async def reload(world: World):
-    host = a_host(world, world.deployment.hosts)
-    # Between exec and main() no program can have its say about a signal.
+    host = choose_host(world, world.deployment.hosts)
+    # Between exec and main() a program cannot handle or ignore signals yet.
     if host is not None and world.deployment.has_reached_main(host):
         world.deployment.send(host, signal.SIGHUP)
 
@@ -140,111 +141,113 @@
 
 
 async def hold(world: World):
-    """Bytes are held up, both ways or one way, and come through later."""
-    forwarder = world.chooser.choice(forwarders(world))
-    forwarder.hold(*world.chooser.choice([(TOWARDS,), (BACK,), (TOWARDS, BACK)]))
-    await asyncio.sleep(a_pause(world, 0.5, 5))
+    """Holds back bytes in one or both directions and delivers them later."""
+    forwarder = world.rng.choice(forwarders(world))
+    forwarder.hold(*world.rng.choice([(TO_DESTINATION,), (TO_CLIENT,), (TO_DESTINATION, TO_CLIENT)]))
+    await asyncio.sleep(draw_pause(world, 0.5, 5))
     forwarder.heal()
 
 
 async def delay(world: World):
-    forwarder = world.chooser.choice(forwarders(world))
-    forwarder.delay_s = a_pause(world, 0.02, 0.3)
-    await asyncio.sleep(a_pause(world, 1, 4))
+    forwarder = world.rng.choice(forwarders(world))
+    forwarder.delay_s = draw_pause(world, 0.02, 0.3)
+    await asyncio.sleep(draw_pause(world, 1, 4))
     forwarder.heal()
 
 
 async def reset(world: World):
-    world.chooser.choice(forwarders(world)).reset()
+    world.rng.choice(forwarders(world)).reset()
 
 
 async def silence(world: World):
-    world.chooser.choice(forwarders(world)).silence(world.chooser)
+    world.rng.choice(forwarders(world)).silence(world.rng)
 
 
 async def silence_many(world: World):
-    """Most connections between hosts at the same moment: all those of a gateway, while plans go on being acknowledged."""
+    """Silences most connections between hosts at once. A gateway may lose all of its connections while plans are still
+    acknowledged."""
     world.silenced_at.append(time.monotonic())
     for host in world.deployment.hosts:
-        host.forwarder.silence(world.chooser, share=0.7)
+        host.forwarder.silence(world.rng, fraction=0.7)
 
 
 async def crash_target(world: World):
-    target = world.chooser.choice(world.targets)
+    target = world.rng.choice(world.targets)
     if target.server is None or target.state == "leaving":
         return
     target.crash()
-    await asyncio.sleep(a_pause(world, 0.2, 3))
+    await asyncio.sleep(draw_pause(world, 0.2, 3))
     await target.start()
 
 
 async def leave_target(world: World):
-    target = world.chooser.choice(world.targets)
+    target = world.rng.choice(world.targets)
     if target.server is None or target.state == "leaving":
         return
     target.state = "leaving"
-    await asyncio.sleep(a_pause(world, 6, 9))
+    await asyncio.sleep(draw_pause(world, 6, 9))
     target.crash()
     await target.start()
 
 
 async def leave_beside_ends(world: World):
-    """A target leaves while a gateway stands still longer than registry hosts count it in, and these end in turn."""
-    target = world.chooser.choice(world.targets)
+    """A target leaves while a gateway is paused for longer than registry hosts consider it alive; the registry hosts are
+    then killed one after the other."""
+    target = world.rng.choice(world.targets)
     if target.server is None or target.state == "leaving":
         return
-    standing = a_host(world, world.deployment.gateways)
-    if standing is not None:
-        process = world.deployment.system.processes[standing.name]
-        world.deployment.send(standing, signal.SIGSTOP)
-    await asyncio.sleep(a_pause(world, 0.1, 1))
+    paused = choose_host(world, world.deployment.gateways)
+    if paused is not None:
+        process = world.deployment.system.processes[paused.name]
+        world.deployment.send(paused, signal.SIGSTOP)
+    await asyncio.sleep(draw_pause(world, 0.1, 1))
     target.state = "leaving"
-    await asyncio.sleep(a_pause(world, 4.2, 5.3))
-    if standing is not None:
+    await asyncio.sleep(draw_pause(world, 4.2, 5.3))
+    if paused is not None:
         process.send_signal(signal.SIGCONT)
-        standing.is_paused = False
-    for host in world.chooser.sample(world.deployment.registries, len(world.deployment.registries)):
+        paused.is_paused = False
+    for host in world.rng.sample(world.deployment.registries, len(world.deployment.registries)):
         if not world.deployment.is_running(host) or host.is_paused:
             continue
         world.deployment.kill(host)
-        await asyncio.sleep(a_pause(world, 0.2, 0.8))
+        await asyncio.sleep(draw_pause(world, 0.2, 0.8))
         world.deployment.launch(host)
-        await asyncio.sleep(a_pause(world, 1.5, 2.5))
-    await asyncio.sleep(a_pause(world, 3, 5))
+        await asyncio.sleep(draw_pause(world, 1.5, 2.5))
+    await asyncio.sleep(draw_pause(world, 3, 5))
     target.crash()
     await target.start()
 
 
 async def limit_targets(world: World):
-    """Some targets name limits, change them, and take them back."""
-    chosen = world.chooser.sample(world.targets, world.chooser.randint(1, len(world.targets)))
-    for _ in range(world.chooser.randint(1, 3)):
+    """Some targets announce limits, change them and withdraw them."""
+    chosen = world.rng.sample(world.targets, world.rng.randint(1, len(world.targets)))
+    for _ in range(world.rng.randint(1, 3)):
         for target in chosen:
             if target.server is not None:
-                target.name_limit(world.chooser.choice([0.0, 0.5, 2.1, 2.9, 8.0]))
-        await asyncio.sleep(a_pause(world, 3, 9))
+                target.announce_limit(world.rng.choice([0.0, 0.5, 2.1, 2.9, 8.0]))
+        await asyncio.sleep(draw_pause(world, 3, 9))
     for target in chosen:
-        target.name_limit(None)
+        target.announce_limit(None)
 
 
 async def rest_targets(world: World):
-    """Some targets turn every request away for a while, and ask for rest."""
-    chosen = world.chooser.sample(world.targets, world.chooser.randint(1, len(world.targets)))
+    """Some targets refuse every request for a while and request backoff."""
+    chosen = world.rng.sample(world.targets, world.rng.randint(1, len(world.targets)))
     for target in chosen:
-        target.rest = world.chooser.choice([0.5, 2.0, 3.0, 3.5])
-    await asyncio.sleep(a_pause(world, 1, 8))
+        target.backoff_s = world.rng.choice([0.5, 2.0, 3.0, 3.5])
+    await asyncio.sleep(draw_pause(world, 1, 8))
     for target in chosen:
-        target.rest = None
+        target.backoff_s = None
 
 
 async def leave_by_word(world: World):
-    """A target says in its answers that it leaves, reports as ready, and ends some seconds later."""
-    target = world.chooser.choice(world.targets)
-    if target.server is None or target.state == "leaving" or target.is_leaving_told:
+    """A target announces in its responses that it leaves, still reports as ready, and stops some seconds later."""
+    target = world.rng.choice(world.targets)
+    if target.server is None or target.state == "leaving" or target.announces_leaving:
         return
-    target.is_leaving_told = True
-    await asyncio.sleep(a_pause(world, 6, 9))
-    if target.server is not None and target.is_leaving_told and target.state != "leaving":
+    target.announces_leaving = True
+    await asyncio.sleep(draw_pause(world, 6, 9))
+    if target.server is not None and target.announces_leaving and target.state != "leaving":
         target.crash()
         await target.start()
 
@@ -254,12 +257,12 @@
 
 
 async def empty_zone(world: World):
-    zone = world.chooser.choice(world.deployment.gateways).zone
+    zone = world.rng.choice(world.deployment.gateways).zone
     if world.operator.evacuated:
         return
     if await world.operator.evacuate(zone):
-        await asyncio.sleep(a_pause(world, 1, 4))
-        await world.operator.take_back(zone)
+        await asyncio.sleep(draw_pause(world, 1, 4))
+        await world.operator.end_evacuation(zone)
 
 
 FAULTS: list[tuple[Fault, float]] = [
@@ -267,7 +270,7 @@
     (silence, 2), (crash_target, 2), (leave_target, 1), (empty_zone, 1)]
 
 
-# Seeds below draw as they did when they were kept.
+# Each seed range has a fixed set of faults, so that recorded seeds keep drawing the same sequence.
 FIRST_SEED_OF_ALL_FAULTS = 1_000_000
 FIRST_SEED_OF_SILENT_LINKS = 10_000_000
 FIRST_SEED_OF_FATAL_REQUESTS = 100_000_000
@@ -284,6 +287,6 @@
 BY_NAME = {fault.__name__: fault for fault, _ in FAULTS_FROM_SEED[FIRST_SEED_OF_RESTS]}
 
 
-def draw(chooser: random.Random, seed: int) -> Fault:
+def draw(rng: random.Random, seed: int) -> Fault:
     faults = next(faults for first, faults in FAULTS_FROM_SEED.items() if seed >= first)
-    return chooser.choices([fault for fault, _ in faults], [weight for _, weight in faults])[0]
+    return rng.choices([fault for fault, _ in faults], [weight for _, weight in faults])[0]
--- a/testing/soak/forwarder.py
+++ b/testing/soak/forwarder.py
@@ -1,4 +1,4 @@
-"""A loopback TCP forwarder that delays, holds up, resets and silences connections."""
+"""A loopback TCP forwarder that delays, holds back, resets and silences connections."""
 import asyncio
 import contextlib
 import random
@@ -6,16 +6,16 @@
 from messages import split
 
 BLOCK = 64 * 1024
-TOWARDS = 0
-BACK = 1
+TO_DESTINATION = 0
+TO_CLIENT = 1
 
 
 class Connection:
-    """One connection and its continuation."""
+    """An accepted connection and the forwarded one to the destination."""
 
-    def __init__(self, near: asyncio.StreamWriter, far: asyncio.StreamWriter):
-        self.writers = (near, far)
-        self.is_silent = False
+    def __init__(self, client: asyncio.StreamWriter, destination: asyncio.StreamWriter):
+        self.writers = (client, destination)
+        self.is_silenced = False
 
     def reset(self):
         for writer in self.writers:
@@ -23,14 +23,14 @@
 
 
 class Forwarder:
-    """Listens at one address and passes every connection on to another."""
+    """Listens at one address and forwards every connection to another."""
 
-    def __init__(self, listen: str, to: str):
+    def __init__(self, listen: str, destination: str):
         self.listen = listen
-        self.to = to
+        self.destination = destination
         self.connections: set[Connection] = set()
         self.delay_s = 0.0
-        self.is_open = [asyncio.Event(), asyncio.Event()]  # By direction; closed: bytes are held up until it opens.
+        self.is_open = [asyncio.Event(), asyncio.Event()]  # By direction; while cleared, bytes are held back.
         self.heal()
         self.server: asyncio.Server | None = None
 
@@ -47,7 +47,7 @@
             await asyncio.sleep(0.01)
 
     def heal(self):
-        """Holds nothing up any more. Silenced connections stay silent."""
+        """Ends delays and holds. Silenced connections stay silent."""
         self.delay_s = 0.0
         for event in self.is_open:
             event.set()
@@ -63,35 +63,36 @@
         for connection in list(self.connections):
             connection.reset()
 
-    def silence(self, chooser: random.Random, share: float = 1):
-        """Of the connections that stand now this share passes nothing any more, ever; new ones work. Draws nothing where
-        it is all of them: kept seeds go on as they did."""
+    def silence(self, rng: random.Random, fraction: float = 1):
+        """Makes this fraction of the current connections drop all bytes for good; new connections work. With a fraction of 1
+        nothing is drawn from `rng`, so that recorded seeds keep drawing the same sequence."""
         for connection in self.connections:
-            connection.is_silent = connection.is_silent or share >= 1 or chooser.random() < share
+            connection.is_silenced = connection.is_silenced or fraction >= 1 or rng.random() < fraction
 
-    async def _serve(self, reader: asyncio.StreamReader, near: asyncio.StreamWriter):
+    async def _serve(self, client_reader: asyncio.StreamReader, client: asyncio.StreamWriter):
         try:
-            far_reader, far = await asyncio.open_connection(*split(self.to))
+            destination_reader, destination = await asyncio.open_connection(*split(self.destination))
         except OSError:
-            near.transport.abort()
+            client.transport.abort()
             return
-        connection = Connection(near, far)
+        connection = Connection(client, destination)
         self.connections.add(connection)
-        await asyncio.gather(self._pass(connection, reader, far, TOWARDS), self._pass(connection, far_reader, near, BACK))
+        await asyncio.gather(self._relay(connection, client_reader, destination, TO_DESTINATION),
+                             self._relay(connection, destination_reader, client, TO_CLIENT))
         connection.reset()
         self.connections.discard(connection)
 
-    async def _pass(self, connection: Connection, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, direction: int):
+    async def _relay(self, connection: Connection, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, direction: int):
         with contextlib.suppress(OSError):
             while block := await reader.read(BLOCK):
                 if self.delay_s > 0:
                     await asyncio.sleep(self.delay_s)
                 await self.is_open[direction].wait()
-                if connection.is_silent:
+                if connection.is_silenced:
                     continue
                 writer.write(block)
                 await writer.drain()
-            if not connection.is_silent and writer.can_write_eof():
+            if not connection.is_silenced and writer.can_write_eof():
                 writer.write_eof()
             return
         connection.reset()
--- a/testing/soak/messages.py
+++ b/testing/soak/messages.py
@@ -1,11 +1,11 @@
-"""HTTP/1.1 messages over asyncio streams, as far as the soak's callers and targets need them."""
+"""HTTP/1.1 messages over asyncio streams, as far as callers and targets of the soak test need them."""
 import asyncio
 import dataclasses
 
 
 @dataclasses.dataclass
 class Message:
-    """A request or an answer; header names in lower case."""
+    """A request or response; header names are in lower case."""
     start: list[str]
     headers: dict[str, str]
     body: bytes
@@ -16,19 +16,21 @@
 
 
 async def read_message(reader: asyncio.StreamReader) -> Message | None:
-    """The next whole message; None where the connection ended before its first byte, an error where it broke off."""
+    """The next message; None if the connection closed before its first byte.
+
+    Raises ConnectionError if the connection closed within a message."""
     try:
         head = await reader.readuntil(b"\r\n\r\n")
     except asyncio.IncompleteReadError as error:
         if error.partial:
-            raise ConnectionError("broke off in the head") from error
+            raise ConnectionError("connection closed within the message head") from error
         return None
     lines = head.decode("latin-1").split("\r\n")
     headers = dict((name.lower(), value.strip()) for name, _, value in (line.partition(":") for line in lines[1:] if line))
     try:
         body = await reader.readexactly(int(headers.get("content-length", 0)))
     except asyncio.IncompleteReadError as error:
-        raise ConnectionError("broke off in the body") from error
+        raise ConnectionError("connection closed within the message body") from error
     return Message(lines[0].split(" ", 2), headers, body)
 
 
@@ -43,20 +45,20 @@
 
 
 async def call(address: str, method: str, path: str, body: bytes = b"", headers: dict[str, str] | None = None,
-               limit_s: float = 2, redirects: int = 2) -> Message | None:
-    """One request on a connection of its own; follows redirects. None: no whole answer in time."""
+               timeout_s: float = 2, redirects: int = 2) -> Message | None:
+    """Sends one request on its own connection and follows redirects. None: no complete response in time."""
     try:
-        async with asyncio.timeout(limit_s):
+        async with asyncio.timeout(timeout_s):
             reader, writer = await asyncio.open_connection(*split(address))
             try:
                 writer.write(encode(f"{method} {path} HTTP/1.1", {"Host": "registry", **(headers or {})}, body))
-                answer = await read_message(reader)
+                response = await read_message(reader)
             finally:
                 writer.transport.abort()
     except (OSError, TimeoutError):
         return None
-    if answer is not None and answer.status == 307 and redirects > 0:
-        target = answer.headers["location"].removeprefix("http://")
+    if response is not None and response.status == 307 and redirects > 0:
+        target = response.headers["location"].removeprefix("http://")
         address, _, path = target.partition("/")
-        return await call(address, method, "/" + path, body, headers, limit_s, redirects - 1)
-    return answer
+        return await call(address, method, "/" + path, body, headers, timeout_s, redirects - 1)
+    return response
--- a/testing/soak/promises.py
+++ b/testing/soak/promises.py
@@ -1,209 +1,221 @@
-"""What the soak holds the system to, checked from what callers, targets and the operator saw."""
+"""The promises of the system, checked against what callers, targets and the operator of the soak test recorded."""
 import collections
 
 from callers import Outcome
 from plans import STEADY_PATHS, service_of
-from targets import answer_body
+from targets import response_body
 from troubles import Span
 
-LATEST_OLD_READ_S = 2.5  # A read sent later after an acknowledgement tells that plan or a newer one.
-# A request sent later after an acknowledgement is treated as that plan or a newer one says: a plan is in force 2 s after
-# it at a gateway that has been free of faults for 3 s.
-LATEST_OLD_RUN_S = 5
-# A target runs nothing later after its leaving was acknowledged, of what gateways free of faults sent it: 2.5 s, and a
+MAX_STALE_READ_S = 2.5  # A read sent later than this after an acknowledgement returns that plan or a newer one.
+# A request sent later than this after an acknowledgement is routed by that plan or a newer one: a plan is in force 2 s
+# after its acknowledgement at a gateway that has been free of faults for 3 s.
+MAX_STALE_RUN_S = 5
+# Later than this after its leave was acknowledged, a target runs no request from gateways free of faults: 2.5 s plus a
 # margin for a busy machine.
-LATEST_AFTER_LEAVE_S = 5
-NOT_RUN = (408, 421, 429, 503)
-LEAST_SERVED = 50
-# In any four seconds, from so long after a target first named a limit, it gets one and a half times what that allows and
-# five requests of gateways that had its word for half a second. Two seconds of it are a margin for a busy machine.
-LIMIT_CONTACT_S = 5
+MAX_RUN_AFTER_LEAVE_S = 5
+NOT_RUN_STATUSES = (408, 421, 429, 503)
+MIN_SERVED = 50
+# Starting LIMIT_CONVERGENCE_S after a target first announced a limit (2 s of it are a margin for a busy machine), it gets
+# at most LIMIT_FACTOR times the allowed requests plus LIMIT_SLACK in any LIMIT_WINDOW_S. Only requests of gateways that
+# received the limit at least LIMIT_PROPAGATION_S before count.
+LIMIT_CONVERGENCE_S = 5
 LIMIT_WINDOW_S = 4
-LIMIT_TOLD_S = 0.5
+LIMIT_PROPAGATION_S = 0.5
 LIMIT_FACTOR = 1.5
 LIMIT_SLACK = 5
-# A gateway that a target asked for rest sends it two requests at the most from so long after until the end of the rest. A
-# second of it is a margin for a busy machine.
-REST_HEARD_S = 1.5
-MOST_IN_A_REST = 2
-# Of a request that ends the targets that run it: from so long after its third end on, so many more may be sent by
-# gateways that were free of faults for as long. Two seconds of it are a margin for a busy machine.
-CONTACT_S = 5
-MOST_AFTER_THIRD = 3
+# From this long after a target requested backoff from a gateway until the backoff ends, the gateway sends it at most
+# MAX_REQUESTS_IN_BACKOFF requests. 1 s of it is a margin for a busy machine.
+BACKOFF_PROPAGATION_S = 1.5
+MAX_REQUESTS_IN_BACKOFF = 2
+# A request that crashes each target that runs it: starting CONVERGENCE_S after its third crash, at most
+# MAX_RUNS_AFTER_THIRD more may be sent by gateways that were free of faults for as long. 2 s of it are a margin for a busy
+# machine.
+CONVERGENCE_S = 5
+MAX_RUNS_AFTER_THIRD = 3
 
 
 def findings_of_outcomes(outcomes: list[Outcome], runs: collections.Counter) -> list[str]:
-    findings = [finding for outcome in outcomes for finding in _findings_of(outcome, runs[outcome.request])]
-    if sum(outcome.status == 200 for outcome in outcomes) < LEAST_SERVED:
-        findings.append("hardly anything was served")
+    findings = [finding for outcome in outcomes for finding in _findings_of_outcome(outcome, runs[outcome.request])]
+    if sum(outcome.status == 200 for outcome in outcomes) < MIN_SERVED:
+        findings.append(f"fewer than {MIN_SERVED} requests were served")
     return findings
 
 
-def _findings_of(outcome: Outcome, count: int) -> list[str]:
+def _findings_of_outcome(outcome: Outcome, count: int) -> list[str]:
     findings = []
-    name = outcome.request
+    request = outcome.request
     if outcome.is_once and count > 1:
-        findings.append(f"{name} ran {count} times")
-    if outcome.is_once and outcome.status in NOT_RUN and count > 0:
-        findings.append(f"{name} was told as not run ({outcome.status}), and ran")
+        findings.append(f"{request} ran {count} times")
+    if outcome.is_once and outcome.status in NOT_RUN_STATUSES and count > 0:
+        findings.append(f"{request} was reported as not run ({outcome.status}), and ran")
     if outcome.headers.get("saltvane-reason") == "request-quarantined":
-        findings.append(f"{name} was refused for what it is, and does no harm")
+        findings.append(f"{request} was quarantined, but is harmless")
     if outcome.status == 503 and "retry-after" not in outcome.headers:
-        findings.append(f"{name}: 503 without the time to come back")
+        findings.append(f"{request}: 503 without a Retry-After header")
     if outcome.status == 200:
-        is_own = outcome.body == answer_body(name) and outcome.headers.get("saltvane-request-id") == name
+        is_own = outcome.body == response_body(request) and outcome.headers.get("saltvane-request-id") == request
         if not is_own or count == 0:
-            findings.append(f"{name}: an answer that is not its own: {outcome.body[:60]!r}")
+            findings.append(f"{request}: the response belongs to another request or is corrupted: {outcome.body[:60]!r}")
     if outcome.status == 404 and outcome.path in STEADY_PATHS:
-        findings.append(f"{name}: 404 for a route that every plan has")
+        findings.append(f"{request}: 404 on a route that every plan contains")
     return findings
 
 
 def findings_of_plans(outcomes: list[Outcome], services: dict[str, set[str]], sent: list[tuple[float, int]],
                       acknowledged: list[tuple[float, int]], spans: dict[str, list[Span]]) -> list[str]:
-    """Each run, and each refusal for want of a route, is allowed by a plan that is new enough. `services`: what ran a
-    request. `spans`: when a gateway could not have known."""
+    """Each run, and each refusal because no route matches, must agree with a plan that is new enough.
+
+    `services`: the services that ran a request, by request id. `spans`: when a gateway was in trouble."""
     findings = []
     for outcome in outcomes:
-        due = _due(outcome.sent_at, acknowledged, spans.get(outcome.gateway, []))
-        plans = [version for at, version in sent if version >= due and at <= outcome.sent_at + LATEST_OLD_RUN_S]
+        required_version = _required_version(outcome.sent_at, acknowledged, spans.get(outcome.gateway, []))
+        plans = [version for at, version in sent if version >= required_version and at <= outcome.sent_at + MAX_STALE_RUN_S]
         uses = services.get(outcome.request, set()) | ({None} if outcome.status == 404 else set())
-        findings += [f"{outcome.request} on {outcome.path} at {outcome.gateway}: {use or 'no route'}, which no plan from {due} on "
-                     f"allows" for use in uses
-                     if due > 0 and all(service_of(outcome.path, version) != use for version in plans)]
+        findings += [f"{outcome.request} on {outcome.path} at {outcome.gateway}: {use or 'no route'}, which "
+                     f"no plan from {required_version} on allows" for use in uses
+                     if required_version > 0 and all(service_of(outcome.path, version) != use for version in plans)]
     return findings
 
 
-def _due(sent_at: float, acknowledged: list[tuple[float, int]], spans: list[Span]) -> int:
+def _required_version(sent_at: float, acknowledged: list[tuple[float, int]], spans: list[Span]) -> int:
     for start, end in reversed(spans):
-        if start <= sent_at < end + LATEST_OLD_RUN_S:
+        if start <= sent_at < end + MAX_STALE_RUN_S:
             sent_at = start
-    return max((version for at, version in acknowledged if at + LATEST_OLD_RUN_S <= sent_at), default=0)
+    return max((version for at, version in acknowledged if at + MAX_STALE_RUN_S <= sent_at), default=0)
 
 
 def findings_of_reads(reads: list[tuple[float, int]], acknowledged: list[tuple[float, int]]) -> list[str]:
-    """No host shows an older plan than was acknowledged well before it was asked."""
+    """No host returns a plan older than one acknowledged more than MAX_STALE_READ_S before the read."""
     findings = []
     for sent_at, version in reads:
-        due = max((one for at, one in acknowledged if at + LATEST_OLD_READ_S <= sent_at), default=0)
-        if version < due:
-            findings.append(f"a read told plan {version}; {due} was acknowledged {LATEST_OLD_READ_S} s before")
+        required_version = max((acknowledged_version for at, acknowledged_version in acknowledged
+                                if at + MAX_STALE_READ_S <= sent_at), default=0)
+        if version < required_version:
+            findings.append(f"a read returned plan {version}; {required_version} was acknowledged {MAX_STALE_READ_S} s before")
     return findings
 
 
-def findings_of_orders(runs_at: list[tuple[float, str, str]], since: float, zone: str, target: str) -> list[str]:
-    """From `since` on an evacuated zone and a target that left run nothing."""
-    late = [f"{ran_at} in {ran_in} ran a request {at - since:.1f} s after it had to stop"
-            for at, ran_at, ran_in in runs_at if at > since and (ran_in == zone or ran_at == target)]
+def findings_of_orders(executions: list[tuple[float, str, str]], since: float, zone: str, target: str) -> list[str]:
+    """From `since` on, neither an evacuated zone nor a target that left runs a request."""
+    late = [f"{target_id} in {target_zone} ran a request {at - since:.1f} s after it had to stop"
+            for at, target_id, target_zone in executions
+            if at > since and (target_zone == zone or target_id == target)]
     return late[:1]
 
 
 def findings_of_leaves(after_leave: list[tuple[str, str, float]], outcomes: list[Outcome],
                        spans: dict[str, list[Span]]) -> list[str]:
-    """`after_leave`: request, target, and how long before its run the target's leaving was acknowledged."""
+    """`after_leave`: request id, target, and seconds from the acknowledgement of the target's leave to the run."""
     by_request = {outcome.request: outcome for outcome in outcomes}
     findings = []
     for request, target, seconds in after_leave:
         outcome = by_request.get(request)
-        if seconds > LATEST_AFTER_LEAVE_S and outcome and _in_touch(outcome.gateway, outcome.sent_at, spans):
-            findings.append(f"{target} ran {request} of {outcome.gateway} {seconds:.1f} s after it was acknowledged as leaving")
+        if seconds > MAX_RUN_AFTER_LEAVE_S and outcome and _was_free_of_trouble(outcome.gateway, outcome.sent_at, spans):
+            findings.append(f"{target} ran {request} from {outcome.gateway} {seconds:.1f} s after its leave was "
+                            f"acknowledged")
     return findings
 
 
-def findings_of_fatal(runs: list[tuple[float, str, str]], sent: dict[str, tuple[str, float]],
-                      spans: dict[str, list[Span]]) -> list[str]:
-    """`runs`: time, path and request id of requests that ended their targets. `sent`: gateway and time, by request id.
+def findings_of_fatal_requests(runs: list[tuple[float, str, str]], sent: dict[str, tuple[str, float]],
+                               spans: dict[str, list[Span]]) -> list[str]:
+    """`runs`: time, path and request id of requests that crashed their targets. `sent`: gateway and time, by request id.
     `spans`: when a gateway was in trouble."""
     findings = []
     for path in sorted({path for _, path, _ in runs}):
-        ends = sorted((at, request) for at, one, request in runs if one == path)
-        if len(ends) <= MOST_AFTER_THIRD:
+        crashes = sorted((at, request) for at, run_path, request in runs if run_path == path)
+        if len(crashes) <= MAX_RUNS_AFTER_THIRD:
             continue
-        since = ends[2][0] + CONTACT_S
-        late = [request for at, request in ends if at > since and _in_touch(*sent[request], spans)]
-        if len(late) > MOST_AFTER_THIRD:
-            findings.append(f"{path} was run {len(late)} times later than {CONTACT_S} s after its third end, {len(ends)} in all")
+        since = crashes[2][0] + CONVERGENCE_S
+        late = [request for at, request in crashes if at > since and _was_free_of_trouble(*sent[request], spans)]
+        if len(late) > MAX_RUNS_AFTER_THIRD:
+            findings.append(f"{path} was run {len(late)} times later than {CONVERGENCE_S} s after its third crash, "
+                            f"{len(crashes)} crashes in all")
     return findings
 
 
 def findings_of_limits(limits: list[tuple[float, str, float | None]], arrivals: list[tuple[float, str, str, str]],
-                       told: list[tuple[float, str, str]], gateways: dict[str, str], spans: dict[str, list[Span]],
-                       held: dict[str, list[Span]]) -> list[str]:
-    """`gateways`: by request id. `held`: when connections to a target's address were held up, by address."""
+                       responses: list[tuple[float, str, str]], gateways: dict[str, str], spans: dict[str, list[Span]],
+                       held_spans: dict[str, list[Span]]) -> list[str]:
+    """`gateways`: by request id. `held_spans`: when connections to a target's address were held back, by address."""
     findings = []
-    for start in sorted({start for _, start, _ in limits}):
-        named = [(at, limit) for at, one, limit in limits if one == start]
-        told_at: dict[str, float] = {}
-        for at, one, request in told:
-            if one == start and request in gateways:
-                told_at.setdefault(gateways[request], at)
+    for incarnation in sorted({incarnation for _, incarnation, _ in limits}):
+        announced = [(at, limit) for at, target, limit in limits if target == incarnation]
+        informed_at: dict[str, float] = {}
+        for at, target, request in responses:
+            if target == incarnation and request in gateways:
+                informed_at.setdefault(gateways[request], at)
         counted = []
-        for at, one, address, request in arrivals:
+        for at, target, address, request in arrivals:
             gateway = gateways.get(request)
-            if one != start or gateway not in told_at or at < told_at[gateway] + LIMIT_TOLD_S:
+            if target != incarnation or gateway not in informed_at or at < informed_at[gateway] + LIMIT_PROPAGATION_S:
                 continue
-            is_held = any(begin <= at < end + LIMIT_WINDOW_S for begin, end in held.get(address, []))
-            if not is_held and _in_touch(gateway, at, spans):
+            is_held = any(begin <= at < end + LIMIT_WINDOW_S for begin, end in held_spans.get(address, []))
+            if not is_held and _was_free_of_trouble(gateway, at, spans):
                 counted.append(at)
         for index, at in enumerate(counted):
             begin = at - LIMIT_WINDOW_S
-            allowed = _allowed(named, begin, at)
-            if allowed is None or begin < named[0][0] + LIMIT_CONTACT_S:
+            allowed = _allowed_requests(announced, begin, at)
+            if allowed is None or begin < announced[0][0] + LIMIT_CONVERGENCE_S:
                 continue
-            count = sum(begin < one for one in counted[:index + 1])
+            count = sum(begin < arrived_at for arrived_at in counted[:index + 1])
             if count > allowed * LIMIT_FACTOR + LIMIT_SLACK:
-                findings.append(f"{start} got {count} requests in {LIMIT_WINDOW_S} s, and its limits allow {allowed:.1f}")
+                findings.append(f"{incarnation} got {count} requests in {LIMIT_WINDOW_S} s, and its limits allow {allowed:.1f}")
                 break
     return findings
 
 
-def findings_of_rests(rests: list[tuple[float, str, str, float]], arrivals: list[tuple[float, str, str, str]],
-                      gateways: dict[str, str], spans: dict[str, list[Span]], held: dict[str, list[Span]]) -> list[str]:
-    """`rests`: when a target asked for rest, by which request, for how many seconds. The others as above."""
+def findings_of_backoffs(backoffs: list[tuple[float, str, str, float]], arrivals: list[tuple[float, str, str, str]],
+                         gateways: dict[str, str], spans: dict[str, list[Span]],
+                         held_spans: dict[str, list[Span]]) -> list[str]:
+    """`backoffs`: time, target, request id and seconds of each requested backoff. The other parameters are those of
+    findings_of_limits()."""
     findings = []
-    for asked_at, start, asked_by, seconds in rests:
-        gateway = gateways.get(asked_by)
-        until = asked_at + seconds
-        sent = [at for at, one, address, request in arrivals
-                if one == start and gateway is not None and gateways.get(request) == gateway
-                and asked_at + REST_HEARD_S <= at < until and _in_touch(gateway, at, spans)
-                and not any(begin <= at < end + LIMIT_WINDOW_S for begin, end in held.get(address, []))]
-        if len(sent) > MOST_IN_A_REST:
-            findings.append(f"{start} asked {gateway} for {seconds} s of rest and got {len(sent)} requests of it")
+    for requested_at, incarnation, request_id, seconds in backoffs:
+        gateway = gateways.get(request_id)
+        until = requested_at + seconds
+        sent = [at for at, target, address, request in arrivals
+                if target == incarnation and gateway is not None and gateways.get(request) == gateway
+                and requested_at + BACKOFF_PROPAGATION_S <= at < until and _was_free_of_trouble(gateway, at, spans)
+                and not any(begin <= at < end + LIMIT_WINDOW_S for begin, end in held_spans.get(address, []))]
+        if len(sent) > MAX_REQUESTS_IN_BACKOFF:
+            findings.append(f"{incarnation} requested {seconds} s of backoff from {gateway} and got "
+                            f"{len(sent)} requests from it")
     return findings[:3]
 
 
-def findings_of_leaving_words(told: list[tuple[float, str, str]], arrivals: list[tuple[float, str, str, str]],
-                              outcomes: list[Outcome], spans: dict[str, list[Span]]) -> list[str]:
-    """A target that said to a gateway that it leaves gets nothing that callers sent that gateway later."""
+def findings_of_leaving_responses(responses: list[tuple[float, str, str]], arrivals: list[tuple[float, str, str, str]],
+                                  outcomes: list[Outcome], spans: dict[str, list[Span]]) -> list[str]:
+    """After a target announced its leave to a gateway, it gets no request that callers sent to that gateway later."""
     by_request = {outcome.request: outcome for outcome in outcomes}
-    told_at: dict[tuple[str, str], float] = {}
-    for at, start, request in told:
+    informed_at: dict[tuple[str, str], float] = {}
+    for at, incarnation, request in responses:
         if request in by_request:
-            told_at.setdefault((start, by_request[request].gateway), at)
+            informed_at.setdefault((incarnation, by_request[request].gateway), at)
     findings = []
-    for _, start, _, request in arrivals:
+    for _, incarnation, _, request in arrivals:
         outcome = by_request.get(request)
-        since = told_at.get((start, outcome.gateway)) if outcome else None
-        if since is None or outcome.sent_at <= since + LATEST_AFTER_LEAVE_S:
+        since = informed_at.get((incarnation, outcome.gateway)) if outcome else None
+        if since is None or outcome.sent_at <= since + MAX_RUN_AFTER_LEAVE_S:
             continue
-        # A gateway that has started anew since knows nothing.
+        # A gateway that was in trouble since then may have restarted and lost the information.
         if not any(end > since for _, end in spans.get(outcome.gateway, [])):
-            findings.append(f"{start} got {request} of {outcome.gateway} {outcome.sent_at - since:.1f} s after it said that it leaves")
+            findings.append(f"{incarnation} got {request} from {outcome.gateway} {outcome.sent_at - since:.1f} s after "
+                            f"it announced its leave")
     return findings[:3]
 
 
-def _allowed(named: list[tuple[float, float | None]], begin: float, end: float) -> float | None:
-    """Requests that a target's limits allow; none where it named no limit for a part of the time."""
+def _allowed_requests(announced: list[tuple[float, float | None]], begin: float, end: float) -> float | None:
+    """The number of requests that a target's limits allow; None if it had no limit for part of the time."""
     allowed = 0.0
-    until = [at for at, _ in named[1:]] + [end]
-    for (since, limit), before in zip(named, until):
+    until = [at for at, _ in announced[1:]] + [end]
+    for (since, limit), before in zip(announced, until):
         seconds = min(before, end) - max(since, begin)
         if seconds > 0 and limit is None:
             return None
         allowed += max(seconds, 0) * (limit or 0)
-    return allowed if named and named[0][0] <= begin else None
+    return allowed if announced and announced[0][0] <= begin else None
 
 
-def _in_touch(gateway: str, at: float, spans: dict[str, list[Span]]) -> bool:
-    return not any(start <= at < end + CONTACT_S for start, end in spans.get(gateway, []))
+def _was_free_of_trouble(gateway: str, at: float, spans: dict[str, list[Span]]) -> bool:
+    """Whether the gateway was free of trouble for CONVERGENCE_S before `at`."""
+    return not any(start <= at < end + CONVERGENCE_S for start, end in spans.get(gateway, []))
--- a/testing/soak/targets.py
+++ b/testing/soak/targets.py
@@ -1,4 +1,4 @@
-"""Targets of the soak: they run requests, count every run, report to registry hosts, leave and crash."""
+"""Targets of the soak test: they run requests, count every run, send heartbeats to registry hosts, leave and crash."""
 import asyncio
 import collections
 import contextlib
@@ -12,150 +12,153 @@
 
 HEARTBEAT_S = 1.0
 SLOTS = 3
-QUEUED = 3
-FATAL_MARK = "fatal"  # In a path: the request ends each target that runs it.
-AWAY_S = (1.5, 3.5)  # Until a target that ended so is back.
-ids = itertools.count(1)
+QUEUE_CAPACITY = 3
+FATAL_MARKER = "fatal"  # In a path: the request crashes each target that runs it.
+RESTART_DELAY_S = (1.5, 3.5)  # Before a target restarts after such a crash.
+incarnation_ids = itertools.count(1)
 
 
 class Runs:
-    """What targets ran, over all of their starts."""
+    """What targets ran and announced, over all of their incarnations."""
 
     def __init__(self):
         self.count = collections.Counter()  # By request id.
-        self.at: list[tuple[float, str, str]] = []  # Time, start of the target, zone.
+        self.executions: list[tuple[float, str, str]] = []  # Time, incarnation, zone.
         self.services: dict[str, set[str]] = collections.defaultdict(set)  # By request id.
         self.fatal: list[tuple[float, str, str]] = []  # Time, path, request id.
-        self.limits: list[tuple[float, str, float | None]] = []  # Time, start of the target, the limit that it names from then on.
-        self.arrivals: list[tuple[float, str, str, str]] = []  # Time, start of the target, its address, request id.
-        self.told: list[tuple[float, str, str]] = []  # Answers that name a limit: time, start of the target, request id.
-        # Answers that ask for rest: time, start of the target, request id, seconds.
-        self.rests: list[tuple[float, str, str, float]] = []
-        self.leaving_told: list[tuple[float, str, str]] = []  # Answers that say that the target leaves; as `told`.
-        self.after_leave: list[tuple[str, str, float]] = []  # Request id, target, seconds since its leaving was acknowledged.
-
-    def note(self, request: str, target: "Target"):
+        self.limits: list[tuple[float, str, float | None]] = []  # Time, incarnation, the limit announced from then on.
+        self.arrivals: list[tuple[float, str, str, str]] = []  # Time, incarnation, address, request id.
+        # Responses that announce a limit: time, incarnation, request id.
+        self.limit_responses: list[tuple[float, str, str]] = []
+        # Responses that request backoff: time, incarnation, request id, seconds.
+        self.backoffs: list[tuple[float, str, str, float]] = []
+        # Responses that announce that the target leaves: time, incarnation, request id.
+        self.leaving_responses: list[tuple[float, str, str]] = []
+        # Request id, incarnation, seconds since its leave was acknowledged.
+        self.after_leave: list[tuple[str, str, float]] = []
+
+    def record(self, request: str, target: "Target"):
         self.count[request] += 1
-        self.at.append((time.monotonic(), target.id, target.zone))
+        self.executions.append((time.monotonic(), target.id, target.zone))
         self.services[request].add(target.service)
-        if target.left_at is not None:
-            self.after_leave.append((request, target.id, time.monotonic() - target.left_at))
+        if target.leave_acknowledged_at is not None:
+            self.after_leave.append((request, target.id, time.monotonic() - target.leave_acknowledged_at))
 
 
 class Target:
-    """One address with a target behind a forwarder; every start has an id of its own."""
+    """A target behind a forwarder with a fixed address; every incarnation has its own id."""
 
-    def __init__(self, address: str, behind: str, service: str, zone: str, registries: list[str], runs: Runs,
-                 chooser: random.Random):
-        self.forwarder = Forwarder(address, behind)
+    def __init__(self, address: str, backend_address: str, service: str, zone: str, registries: list[str], runs: Runs,
+                 rng: random.Random):
+        self.forwarder = Forwarder(address, backend_address)
         self.service = service
         self.zone = zone
         self.registries = registries
         self.runs = runs
-        self.chooser = chooser
+        self.rng = rng
         self.id = ""
         self.server: asyncio.Server | None = None
         self.tasks: set[asyncio.Task] = set()
         self.running = 0
         self.state = "ready"
-        self.limit: float | None = None  # Requests a second, of all gateways together.
-        self.rest: float | None = None  # Every request is turned away, and nothing wanted for so many seconds.
-        self.is_leaving_told = False  # By every answer, while it reports as ready.
-        self.left_at: float | None = None  # When a registry host acknowledged that this start leaves.
-        self.return_task: asyncio.Task | None = None
+        self.limit: float | None = None  # Requests per second, over all gateways.
+        self.backoff_s: float | None = None  # If set, every request is refused with this many seconds in Retry-After.
+        self.announces_leaving = False  # In every response, while it still reports as ready.
+        self.leave_acknowledged_at: float | None = None  # When a registry host acknowledged the leaving heartbeat.
+        self.restart_task: asyncio.Task | None = None
 
     async def start(self):
-        self.id = f"t-{next(ids)}"
+        self.id = f"t-{next(incarnation_ids)}"
         self.state = "ready"
         self.limit = None
-        self.rest = None
-        self.is_leaving_told = False
-        self.left_at = None
+        self.backoff_s = None
+        self.announces_leaving = False
+        self.leave_acknowledged_at = None
         self.running = 0
-        self.server = await asyncio.start_server(self._serve, *split(self.forwarder.to))
-        self._keep(asyncio.create_task(self._report()))
+        self.server = await asyncio.start_server(self._serve, *split(self.forwarder.destination))
+        self._track(asyncio.create_task(self._report()))
 
-    def name_limit(self, limit: float | None):
+    def announce_limit(self, limit: float | None):
         self.limit = limit
         self.runs.limits.append((time.monotonic(), self.id, limit))
 
     def crash(self):
-        """Everything ends at once, in the middle of whatever it is."""
+        """Stops the server and aborts all running requests at once."""
         if self.server is not None:
             self.server.close()
         self.server = None
         for task in list(self.tasks):
             task.cancel()
 
-    async def _end_and_return(self):
-        """Nothing listens at its address until it is back."""
+    async def _crash_and_restart(self):
+        """Crashes; nothing listens at the address until the restart."""
         self.crash()
         if self.state == "leaving":
-            return  # Whoever made it leave starts it again.
+            return  # The fault that made it leave restarts it.
         await self.forwarder.stop()
-        await asyncio.sleep(self.chooser.uniform(*AWAY_S))
+        await asyncio.sleep(self.rng.uniform(*RESTART_DELAY_S))
         await self.forwarder.start()
         await self.start()
 
-    def _keep(self, task: asyncio.Task):
+    def _track(self, task: asyncio.Task):
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     async def _report(self):
-        registry = self.chooser.choice(self.registries)
+        registry = self.rng.choice(self.registries)
         for sequence in itertools.count(1):
             leaving = self.state == "leaving"
             body = json.dumps({"service": self.service, "address": self.forwarder.listen, "zone": self.zone, "slots": SLOTS,
                                "state": self.state, "slow_start_left_ms": 0, "sequence": sequence}).encode()
-            answer = await call(registry, "POST", f"/v1/targets/{self.id}/heartbeat", body, limit_s=1)
-            if answer is None or answer.status != 200:
-                registry = self.chooser.choice(self.registries)
+            response = await call(registry, "POST", f"/v1/targets/{self.id}/heartbeat", body, timeout_s=1)
+            if response is None or response.status != 200:
+                registry = self.rng.choice(self.registries)
                 await asyncio.sleep(0.1)
                 continue
-            if leaving and self.left_at is None:
-                self.left_at = time.monotonic()
+            if leaving and self.leave_acknowledged_at is None:
+                self.leave_acknowledged_at = time.monotonic()
             await asyncio.sleep(HEARTBEAT_S)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter):
-        self._keep(asyncio.current_task())
+        self._track(asyncio.current_task())
         try:
-            with contextlib.suppress(OSError, asyncio.CancelledError):  # A crash cancels it.
+            with contextlib.suppress(OSError, asyncio.CancelledError):  # A crash cancels this task.
                 while request := await read_message(reader):
-                    writer.write(await self._answer(request))
+                    writer.write(await self._respond(request))
         finally:
             writer.transport.abort()
 
-    async def _answer(self, request) -> bytes:
-        identity = request.headers.get("saltvane-request-id", "")
-        headers = {"Saltvane-Request-Id": identity, "Saltvane-Load": f"{self.running},0,{SLOTS}"}
+    async def _respond(self, request) -> bytes:
+        request_id = request.headers.get("saltvane-request-id", "")
+        headers = {"Saltvane-Request-Id": request_id, "Saltvane-Load": f"{self.running},0,{SLOTS}"}
         if request.headers.get("saltvane-expect-target") != self.id:
             return encode("HTTP/1.1 421 Misdirected", headers)
-        self.runs.arrivals.append((time.monotonic(), self.id, self.forwarder.listen, identity))
-        if self.is_leaving_told:
+        self.runs.arrivals.append((time.monotonic(), self.id, self.forwarder.listen, request_id))
+        if self.announces_leaving:
             headers["Saltvane-Leaving"] = "1"
-            self.runs.leaving_told.append((time.monotonic(), self.id, identity))
-        if self.rest is not None:
-            self.runs.rests.append((time.monotonic(), self.id, identity, self.rest))
-            return encode("HTTP/1.1 503 Resting", {**headers, "Saltvane-Not-Run": "1", "Retry-After": str(self.rest)})
-        if self.running >= SLOTS + QUEUED:
+            self.runs.leaving_responses.append((time.monotonic(), self.id, request_id))
+        if self.backoff_s is not None:
+            self.runs.backoffs.append((time.monotonic(), self.id, request_id, self.backoff_s))
+            return encode("HTTP/1.1 503 Resting", {**headers, "Saltvane-Not-Run": "1", "Retry-After": str(self.backoff_s)})
+        if self.running >= SLOTS + QUEUE_CAPACITY:
             return encode("HTTP/1.1 503 Full", {**headers, "Saltvane-Not-Run": "1"})
-        if FATAL_MARK in request.start[1]:
-            self.runs.fatal.append((time.monotonic(), request.start[1], identity))
-            await asyncio.sleep(self.chooser.uniform(0.005, 0.08))
-            self.return_task = asyncio.create_task(self._end_and_return())
-            await asyncio.sleep(60)  # Until the crash cancels it.
-        self.runs.note(identity, self)
+        if FATAL_MARKER in request.start[1]:
+            self.runs.fatal.append((time.monotonic(), request.start[1], request_id))
+            await asyncio.sleep(self.rng.uniform(0.005, 0.08))
+            self.restart_task = asyncio.create_task(self._crash_and_restart())
+            await asyncio.sleep(60)  # The crash cancels this wait.
+        self.runs.record(request_id, self)
         self.running += 1
         try:
-            await asyncio.sleep(self.chooser.uniform(0.005, 0.08))
+            await asyncio.sleep(self.rng.uniform(0.005, 0.08))
         finally:
             self.running -= 1
         if self.limit is not None:
             headers["Saltvane-Limit"] = str(self.limit)
-            self.runs.told.append((time.monotonic(), self.id, identity))
-        return encode("HTTP/1.1 200 OK", headers, answer_body(identity))
+            self.runs.limit_responses.append((time.monotonic(), self.id, request_id))
+        return encode("HTTP/1.1 200 OK", headers, response_body(request_id))
 
 
-def answer_body(identity: str) -> bytes:
-    """What a target answers to this request and no other."""
-    return f"answer to {identity} ".encode() * 20
+def response_body(request_id: str) -> bytes:
+    """The response body for this request; it differs for every request id."""
+    return f"answer to {request_id} ".encode() * 20
--- a/testing/soak/troubles.py
+++ b/testing/soak/troubles.py
@@ -1,48 +1,48 @@
-"""When hosts could not have known the newest plan: they did not run, too few registry hosts were within reach, or most
-connections had just fallen silent."""
+"""Time spans in which gateways cannot be expected to know the newest plan: the gateway did not run or was unreachable, too
+few registry hosts were reachable, or most connections had just been silenced."""
 import asyncio
 import time
 
 from deployment import Deployment, Host
 
-LOOK_S = 0.05
+POLL_INTERVAL_S = 0.05
 
 Span = tuple[float, float]
 
 
-class Troubles:
-    """Looks at the deployment all the while."""
+class TroubleMonitor:
+    """Polls the deployment and records time spans of trouble."""
 
     def __init__(self, deployment: Deployment, world):
         self.deployment = deployment
         self.world = world
-        self.spans: dict[str, list[Span]] = {host.front: [] for host in deployment.gateways}
-        self.held: dict[str, list[Span]] = {target.forwarder.listen: [] for target in world.targets}
+        self.spans: dict[str, list[Span]] = {host.front_address: [] for host in deployment.gateways}
+        self.held_spans: dict[str, list[Span]] = {target.forwarder.listen: [] for target in world.targets}
 
-    async def watch(self):
+    async def monitor(self):
         while True:
             now = time.monotonic()
-            able = sum(self._is_able(host) for host in self.deployment.registries) - self.world.wiping
-            has_quorum = able > len(self.deployment.registries) // 2
+            reachable = sum(self._is_reachable(host) for host in self.deployment.registries) - self.world.is_wiping
+            has_quorum = reachable > len(self.deployment.registries) // 2
             for host in self.deployment.gateways:
-                if not (has_quorum and self._is_able(host)):
-                    self._note(self.spans[host.front], now)
+                if not (has_quorum and self._is_reachable(host)):
+                    self._extend(self.spans[host.front_address], now)
             for target in self.world.targets:
                 if target.forwarder.is_holding():
-                    self._note(self.held[target.forwarder.listen], now)
-            await asyncio.sleep(LOOK_S)
+                    self._extend(self.held_spans[target.forwarder.listen], now)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
-    def of(self, gateway: str) -> list[Span]:
-        """Sorted by their starts; after each of them a gateway has time to find the others again."""
+    def spans_of(self, gateway: str) -> list[Span]:
+        """Spans of a gateway's trouble, sorted by start. Checks allow the gateway time to reconnect after each of them."""
         return sorted([*self.spans[gateway], *((at, at) for at in self.world.silenced_at)])
 
-    def _is_able(self, host: Host) -> bool:
+    def _is_reachable(self, host: Host) -> bool:
         return self.deployment.is_running(host) and not host.is_paused and not host.forwarder.is_holding()
 
     @staticmethod
-    def _note(spans: list[Span], now: float):
-        # Looks are late on a busy machine.
-        if spans and now - spans[-1][1] < 10 * LOOK_S:
+    def _extend(spans: list[Span], now: float):
+        # Polls can be late on a busy machine, so that gaps of up to ten intervals are bridged.
+        if spans and now - spans[-1][1] < 10 * POLL_INTERVAL_S:
             spans[-1] = (spans[-1][0], now)
         else:
-            spans.append((now - 2 * LOOK_S, now))
+            spans.append((now - 2 * POLL_INTERVAL_S, now))
--- a/testing/system/processes.py
+++ b/testing/system/processes.py
@@ -1,4 +1,4 @@
-"""Starts real processes of saltvane on loopback addresses of their own, for tests of the whole system."""
+"""Starts saltvane processes on separate loopback addresses, for tests of the whole system."""
 import json
 import os
 import pathlib
@@ -10,14 +10,14 @@
 import urllib.error
 import urllib.request
 
-WAIT_LIMIT_S = 60  # A bound against hanging, not a measure: a loaded machine may take long.
+WAIT_TIMEOUT_S = 60  # Only a bound against hanging: a loaded machine may take long.
 
 
-def free_network() -> str:
-    """The first three bytes of a loopback network on which nobody listens at the ports used."""
-    chooser = random.SystemRandom()
+def find_free_network() -> str:
+    """The first three bytes of a loopback network in which the ports of the tests are free."""
+    rng = random.SystemRandom()
     for _ in range(100):
-        network = f"127.{chooser.randrange(64, 250)}.{chooser.randrange(1, 250)}"
+        network = f"127.{rng.randrange(64, 250)}.{rng.randrange(1, 250)}"
         try:
             for last in (1, 2, 101, 102):
                 for port in (18080, 18081, 19000):
@@ -29,17 +29,17 @@
     raise RuntimeError("no free loopback network found")
 
 
-def wait_until(what: str, condition, limit: float = WAIT_LIMIT_S):
-    end = time.monotonic() + limit
+def wait_until(description: str, condition, timeout_s: float = WAIT_TIMEOUT_S):
+    end = time.monotonic() + timeout_s
     while time.monotonic() < end:
         value = condition()
         if value:
             return value
         time.sleep(0.05)
-    raise AssertionError(f"timed out waiting for {what}")
+    raise AssertionError(f"timed out waiting for {description}")
 
 
-class Answer:
+class Response:
     def __init__(self, status: int, headers, body: bytes):
         self.status = status
         self.headers = headers
@@ -49,20 +49,20 @@
         return json.loads(self.body)
 
 
-def call(address: str, path: str, method: str = "GET", body: bytes | None = None, headers: dict | None = None) -> Answer:
+def call(address: str, path: str, method: str = "GET", body: bytes | None = None, headers: dict | None = None) -> Response:
     request = urllib.request.Request(f"http://{address}{path}", data=body, method=method, headers=headers or {})
     opener = urllib.request.build_opener(urllib.request.ProxyHandler({}))
     try:
         with opener.open(request, timeout=20) as response:
-            return Answer(response.status, response.headers, response.read())
+            return Response(response.status, response.headers, response.read())
     except urllib.error.HTTPError as error:
-        return Answer(error.code, error.headers, error.read())
+        return Response(error.code, error.headers, error.read())
     except (urllib.error.URLError, OSError):
-        return Answer(0, {}, b"")
+        return Response(0, {}, b"")
 
 
 class System:
-    """Processes of one deployment in a folder of their own; everything started is ended by id."""
+    """The processes of one deployment and their folder; processes are ended by id."""
 
     def __init__(self, binaries: pathlib.Path, folder: pathlib.Path):
         self.binaries = binaries
@@ -78,17 +78,17 @@
     def start_host(self, name: str) -> subprocess.Popen:
         return self.start(name, self.binaries / "saltvaned", self.folder / f"{name}.yaml")
 
-    def command(self, *arguments, servers: str, expect: int = 0) -> str:
+    def command(self, *arguments, servers: str, expected_exit_code: int = 0) -> str:
         environment = dict(os.environ, SALTVANE_SERVERS=servers)
         result = subprocess.run([str(self.binaries / "saltvane"), *map(str, arguments)], cwd=self.folder,
-                                env=environment, capture_output=True, text=True, timeout=WAIT_LIMIT_S)
-        assert result.returncode == expect, f"{arguments}: exit {result.returncode}: {result.stdout}{result.stderr}"
+                                env=environment, capture_output=True, text=True, timeout=WAIT_TIMEOUT_S)
+        assert result.returncode == expected_exit_code, f"{arguments}: exit {result.returncode}: {result.stdout}{result.stderr}"
         return result.stdout
 
     def stop(self, name: str) -> int:
         process = self.processes.pop(name)
         process.send_signal(signal.SIGTERM)
-        return process.wait(timeout=WAIT_LIMIT_S)
+        return process.wait(timeout=WAIT_TIMEOUT_S)
 
     def kill(self, name: str):
         process = self.processes.pop(name)
--- a/testing/system/twohosts.py
+++ b/testing/system/twohosts.py
@@ -1,10 +1,10 @@
 #!/usr/bin/env python3
-"""Two real hosts and real targets over loopback: the whole path, keys that run once, a planned stop."""
+"""System test with two hosts and targets over loopback: the request path, idempotency keys, an evacuation, planned stops."""
 import pathlib
 import sys
 import tempfile
 
-from processes import System, call, free_network, wait_until
+from processes import System, call, find_free_network, wait_until
 
 LINK_KEY = "l" * 40
 TOKEN_KEY = "t" * 40
@@ -81,10 +81,10 @@
     (folder / "targets.yaml").write_text(TARGETS.format(network=network))
 
 
-def first_bundle(system: System, servers: str):
+def install_first_bundle(system: System, servers: str):
     wait_until("control", lambda: call(servers.split(",")[0], "/v1/control/bundles").status == 200)
     system.command("bundle", "propose", "1.yaml", "--operator", "ana", "--key", "ana.key", servers=servers)
-    system.command("bundle", "approve", "1", "--operator", "ana", "--key", "ana.key", servers=servers, expect=1)
+    system.command("bundle", "approve", "1", "--operator", "ana", "--key", "ana.key", servers=servers, expected_exit_code=1)
     system.command("bundle", "approve", "1", "--operator", "luis", "--key", "luis.key", servers=servers)
     system.command("bundle", "status", "1", "--wait", "--timeout", "60", servers=servers)
 
@@ -95,17 +95,17 @@
     for name in ("north-1", "south-1"):
         system.start_host(name)
     system.start("targets", system.binaries / "saltvane_standin", "targets.yaml", "north-1.yaml", "south-1.yaml")
-    first_bundle(system, servers)
+    install_first_bundle(system, servers)
 
 
 def check_reads(north: str, south: str, network: str):
     read = {"Saltvane-Service": "prices"}
     for address in (north, south):
         wait_until(f"{address} to answer", lambda: call(address, "/nav/7", headers=read).status == 200)
-        answer = call(address, "/nav/7", headers=read)
-        assert answer.headers["Saltvane-Outcome"] == "answered", answer.headers
+        response = call(address, "/nav/7", headers=read)
+        assert response.headers["Saltvane-Outcome"] == "answered", response.headers
         direct = call(f"{network}.101:19000", "/nav/7")
-        assert answer.body == direct.body, (answer.body, direct.body)
+        assert response.body == direct.body, (response.body, direct.body)
     large = call(south, "/bytes/3000000", headers=read)
     assert large.status == 200 and len(large.body) == 3000000, (large.status, len(large.body))
     assert large.body == call(f"{network}.101:19000", "/bytes/3000000").body
@@ -119,20 +119,21 @@
     first = call(north, "/corrections", "POST", b"fund=7 price=1.25", headers)
     assert first.status == 200, (first.status, first.body, first.headers)
     for address in (north, south):
-        again = call(address, "/corrections", "POST", b"fund=7 price=1.25", headers)
-        assert again.status == 200 and again.body == first.body, (address, again.status, again.body)
-    other = call(north, "/corrections", "POST", b"fund=7 price=9.99", headers)
-    assert other.status == 422 and other.headers["Saltvane-Outcome"] == "not-run", (other.status, other.headers)
+        repeated = call(address, "/corrections", "POST", b"fund=7 price=1.25", headers)
+        assert repeated.status == 200 and repeated.body == first.body, (address, repeated.status, repeated.body)
+    conflicting = call(north, "/corrections", "POST", b"fund=7 price=9.99", headers)
+    assert conflicting.status == 422 and conflicting.headers["Saltvane-Outcome"] == "not-run", \
+        (conflicting.status, conflicting.headers)
     own = dict(headers, **{"Idempotency-Key": "made-by-the-caller"})
     for address in (south, north, south):
-        answer = call(address, "/corrections", "POST", b"fund=8", own)
-        assert answer.status == 200, (address, answer.status, answer.body)
+        response = call(address, "/corrections", "POST", b"fund=8", own)
+        assert response.status == 200, (address, response.status, response.body)
     keyless = {name: value for name, value in headers.items() if name != "Idempotency-Key"}
     missing = call(north, "/corrections", "POST", b"fund=9", keyless)
     assert missing.status == 400 and missing.headers["Saltvane-Reason"] == "missing-key", (missing.status, missing.headers)
     stats = [call(f"{network}.{last}:19000", "/_standin/stats").json() for last in (101, 102)]
-    assert sum(one["double_runs"] for one in stats) == 0, stats
-    assert sum(one["overfills"] for one in stats) == 0, stats
+    assert sum(stat["double_runs"] for stat in stats) == 0, stats
+    assert sum(stat["overfills"] for stat in stats) == 0, stats
 
 
 def check_refusals(north: str):
@@ -148,7 +149,8 @@
     system.command("bundle", "propose", "2.yaml", "--operator", "luis", "--key", "luis.key", servers=servers)
     system.command("bundle", "propose", "2.yaml", "--operator", "luis", "--key", "luis.key", servers=servers)
     (system.folder / "2b.yaml").write_text((system.folder / "2.yaml").read_text().replace("5000", "6000"))
-    system.command("bundle", "propose", "2b.yaml", "--operator", "ana", "--key", "ana.key", servers=servers, expect=1)
+    system.command("bundle", "propose", "2b.yaml", "--operator", "ana", "--key", "ana.key", servers=servers,
+                   expected_exit_code=1)
     system.command("bundle", "approve", "2", "--operator", "ana", "--key", "ana.key", servers=servers)
     system.command("bundle", "status", "2", "--wait", "--timeout", "60", servers=servers)
     north = servers.split(",")[0]
@@ -168,7 +170,7 @@
     with tempfile.TemporaryDirectory() as folder:
         system = System(binaries, pathlib.Path(folder))
         try:
-            network = free_network()
+            network = find_free_network()
             north, south = f"{network}.1:18080", f"{network}.2:18080"
             servers = f"{north},{south}"
             start_pair(system, network, servers)
