--- a/testing/soak/deployment.py
+++ b/testing/soak/deployment.py
@@ -7,7 +7,7 @@
 from forwarder import Forwarder
 
 sys.path.append(str(pathlib.Path(__file__).resolve().parent.parent / "system"))
-from processes import System, find_free_network  # noqa: E402
+from processes import System, free_network  # noqa: E402
 
 REGIONS = ("north", "south", "west")
 LINK_PORT, FRONT_PORT, SECOND_PORT = 19000, 18080, 18081
@@ -64,7 +64,7 @@
 class Deployment:
     def __init__(self, binaries: pathlib.Path, folder: pathlib.Path, registries: int, gateways: int):
         self.system = System(binaries, folder)
-        self.network = find_free_network()
+        self.network = free_network()
         self.registries = [Host("registry", number, self.network) for number in range(registries)]
         self.gateways = [Host("gateway", number, self.network) for number in range(gateways)]
         self.hosts = self.registries + self.gateways
--- a/testing/soak/forwarder.py
+++ b/testing/soak/forwarder.py
@@ -13,8 +13,8 @@
 class Connection:
     """An accepted connection and the forwarded one to the destination."""
 
-    def __init__(self, client: asyncio.StreamWriter, destination: asyncio.StreamWriter):
-        self.writers = (client, destination)
+    def __init__(self, client_writer: asyncio.StreamWriter, destination_writer: asyncio.StreamWriter):
+        self.writers = (client_writer, destination_writer)
         self.is_silenced = False
 
     def reset(self):
@@ -69,16 +69,16 @@
         for connection in self.connections:
             connection.is_silenced = connection.is_silenced or fraction >= 1 or rng.random() < fraction
 
-    async def _serve(self, client_reader: asyncio.StreamReader, client: asyncio.StreamWriter):
+    async def _serve(self, client_reader: asyncio.StreamReader, client_writer: asyncio.StreamWriter):
         try:
-            destination_reader, destination = await asyncio.open_connection(*split(self.destination))
+            destination_reader, destination_writer = await asyncio.open_connection(*split(self.destination))
         except OSError:
-            client.transport.abort()
+            client_writer.transport.abort()
             return
-        connection = Connection(client, destination)
+        connection = Connection(client_writer, destination_writer)
         self.connections.add(connection)
-        await asyncio.gather(self._relay(connection, client_reader, destination, TO_DESTINATION),
-                             self._relay(connection, destination_reader, client, TO_CLIENT))
+        await asyncio.gather(self._relay(connection, client_reader, destination_writer, TO_DESTINATION),
+                             self._relay(connection, destination_reader, client_writer, TO_CLIENT))
         connection.reset()
         self.connections.discard(connection)
 
--- a/testing/soak/soak.py
+++ b/testing/soak/soak.py
@@ -87,9 +87,9 @@
         await self._check_recovery()
         await self._check_orders()
         self.findings += promises.findings_of_outcomes(self.outcomes, self.runs.count)
-        self.findings += promises.findings_of_plans(self.outcomes, self.runs.services, self.operator.sent,
-                                                    self.operator.acknowledged,
-                                                    {gateway: self.troubles.spans_of(gateway) for gateway in self.troubles.spans})
+        self.findings += promises.findings_of_plans(
+            self.outcomes, self.runs.services, self.operator.sent, self.operator.acknowledged,
+            {gateway: self.troubles.spans_of(gateway) for gateway in self.troubles.spans})
         self.findings += promises.findings_of_reads(self.operator.reads, self.operator.acknowledged)
         sent = {request: gateway_and_time for caller in self.fatal_callers for request, gateway_and_time in caller.sent.items()}
         self.findings += promises.findings_of_fatal_requests(
@@ -225,9 +225,10 @@
     seed_lines = options.seeds_of.read_text().splitlines() if options.seeds_of else []
     listed_seeds = [int(line.split()[0]) for line in seed_lines if line and not line.startswith("#")]
     seeds = (options.seed or []) + listed_seeds or [
-        random.SystemRandom().randrange(faults.FIRST_SEED_OF_RESTS, 10**12) for _ in range(options.runs)]
+        random.SystemRandom().randrange(faults.FIRST_SEED_OF_BACKOFFS, 10**12) for _ in range(options.runs)]
     failed_seeds = [seed for seed in seeds if asyncio.run(run_seed(seed, options))]
-    print(f"soak: {len(seeds) - len(failed_seeds)} passed, {len(failed_seeds)} failed" + (f": {failed_seeds}" if failed_seeds else ""))
+    print(f"soak: {len(seeds) - len(failed_seeds)} passed, {len(failed_seeds)} failed"
+          + (f": {failed_seeds}" if failed_seeds else ""))
     return 1 if failed_seeds else 0
 
 
--- a/testing/system/processes.py
+++ b/testing/system/processes.py
@@ -13,7 +13,7 @@
 WAIT_TIMEOUT_S = 60  # Only a bound against hanging: a loaded machine may take long.
 
 
-def find_free_network() -> str:
+def free_network() -> str:
     """The first three bytes of a loopback network in which the ports of the tests are free."""
     rng = random.SystemRandom()
     for _ in range(100):
--- a/testing/system/routedhosts.py
+++ b/testing/system/routedhosts.py
@@ -11,7 +11,7 @@
 import threading
 import time
 
-from processes import System, call, find_free_network, wait_until
+from processes import System, call, free_network, wait_until
 
 SETTINGS = """deployment: routed
 roles: [{role}]
@@ -186,7 +186,7 @@
         system = System(pathlib.Path(sys.argv[1]).resolve(), pathlib.Path(folder))
         try:
             check_sighup_during_start(system)
-            run(system, find_free_network())
+            run(system, free_network())
         except BaseException:
             system.print_logs()
             raise
--- a/testing/system/twohosts.py
+++ b/testing/system/twohosts.py
@@ -1,10 +1,10 @@
 #!/usr/bin/env python3
-"""System test with two hosts and targets over loopback: the request path, idempotency keys, an evacuation, planned stops."""
+"""System test with two hosts and targets over loopback: requests, idempotency keys, the drain of a zone, planned stops."""
 import pathlib
 import sys
 import tempfile
 
-from processes import System, call, find_free_network, wait_until
+from processes import System, call, free_network, wait_until
 
 LINK_KEY = "l" * 40
 TOKEN_KEY = "t" * 40
@@ -124,9 +124,9 @@
     conflicting = call(north, "/corrections", "POST", b"fund=7 price=9.99", headers)
     assert conflicting.status == 422 and conflicting.headers["Saltvane-Outcome"] == "not-run", \
         (conflicting.status, conflicting.headers)
-    own = dict(headers, **{"Idempotency-Key": "made-by-the-caller"})
+    caller_key_headers = dict(headers, **{"Idempotency-Key": "made-by-the-caller"})
     for address in (south, north, south):
-        response = call(address, "/corrections", "POST", b"fund=8", own)
+        response = call(address, "/corrections", "POST", b"fund=8", caller_key_headers)
         assert response.status == 200, (address, response.status, response.body)
     keyless = {name: value for name, value in headers.items() if name != "Idempotency-Key"}
     missing = call(north, "/corrections", "POST", b"fund=9", keyless)
@@ -170,7 +170,7 @@
     with tempfile.TemporaryDirectory() as folder:
         system = System(binaries, pathlib.Path(folder))
         try:
-            network = find_free_network()
+            network = free_network()
             north, south = f"{network}.1:18080", f"{network}.2:18080"
             servers = f"{north},{south}"
             start_pair(system, network, servers)
