--- a/src/net/inetadapters.h
+++ b/src/net/inetadapters.h
@@ -18,16 +18,16 @@
 #include <string>
 #include <vector>
 
-/// Adapters that bind a host's core to libev, sockets and the disk. Each hands events to a sink and carries out the
-/// core's actions; none decides anything.
+/// Adapters between a host's core and libev, sockets and the disk. They pass events to a sink and execute the core's
+/// actions; all decisions are made by the core.
 namespace saltvane::net {
 
-/// Where adapters hand their events.
+/// Receives the events of the adapters.
 using EventSink = std::function<void(host::Event)>;
 
-/// HTTP towards callers, targets and operators (libmicrohttpd driven by the loop). HttpResponseProgress is told for
-/// answers given in parts; one given whole in HttpRespond has only HttpResponseDone. A caller that closes its sending
-/// side counts as gone. Trailers of requests are dropped.
+/// HTTP server for callers, targets and operators (libmicrohttpd driven by the event loop). Streamed responses report
+/// HttpResponseProgress; a response that is complete in HttpRespond reports only HttpResponseDone. A caller that closes
+/// its sending side is treated as disconnected. Trailers of requests are discarded.
 class IHttpServer {
 public:
     virtual ~IHttpServer() = default;
@@ -35,12 +35,12 @@
     virtual void carryOut(requests::HttpResponseBody action) = 0;
     virtual void carryOut(const requests::HttpAbort& action) = 0;
     virtual void carryOut(const requests::HttpRequestWindow& action) = 0;
-    /// Holds callers to other limits from now on, those on open connections too. Bodies are limited by the core.
+    /// Applies new limits at once, also to open connections. The core limits bodies.
     virtual void setCallerLimits(const model::CallerLimits& limits) = 0;
-    /// Accepts no more connections; open ones go on.
+    /// Accepts no new connections; open ones continue.
     virtual void stopAccepting() = 0;
     [[nodiscard]] virtual size_t openConnections() const = 0;
-    /// Where it listens; differs from the options where they name port 0.
+    /// The address that the server listens on; its port differs from the options' if that is 0.
     [[nodiscard]] virtual model::Address boundAddress() const = 0;
 };
 struct HttpServerOptions {
@@ -49,15 +49,15 @@
     settings::Limits limits;
     EventSink sink;
     model::Counters* counters = nullptr;
-    uint8_t listener = 0; ///< Marks the exchanges' handles (requests::listenerOf).
-    int sendBuffer = 0; ///< Bytes of a connection that may wait in the system; 0: the system's choice.
-    bool isMetricsServed = true; ///< False: GET /metrics is a request like any other.
-    /// Answers GET /metrics at the edge, so that the core needs no text format.
+    uint8_t listener = 0; ///< Part of each exchange's handle (requests::listenerOf).
+    int sendBuffer = 0; ///< SO_SNDBUF of each connection, in bytes; 0: the system's default.
+    bool isMetricsServed = true; ///< False: GET /metrics is passed to the core as any other request.
+    /// Body of the response to GET /metrics, which the server sends without the core.
     std::function<std::string()> metricsText;
 };
 [[nodiscard]] Result<std::unique_ptr<IHttpServer>, IoError> makeHttpServer(HttpServerOptions options);
 
-/// HTTP towards targets (libcurl multi driven by the loop). Never repeats a request by itself.
+/// HTTP client for targets (libcurl multi driven by the event loop). Never retries a request on its own.
 class ITargetClient {
 public:
     virtual ~ITargetClient() = default;
@@ -70,26 +70,26 @@
     struct ev_loop* loop = nullptr;
     EventSink sink;
     Duration connectTimeout = 1s;
-    int receiveBuffer = 0; ///< Bytes of a connection that a target may send ahead; 0: the system's choice.
+    int receiveBuffer = 0; ///< SO_RCVBUF of each connection, in bytes; 0: the system's default.
 };
 [[nodiscard]] Result<std::unique_ptr<ITargetClient>, IoError> makeTargetClient(TargetClientOptions options);
 
-/// Bytes that wait for peers to take them.
+/// Bytes queued for peers that have not received them yet.
 struct LinkBacklog {
     uint64_t bytes = 0; ///< Over all links.
-    uint64_t memory = 0; ///< Bytes that the buffers of all links take.
-    uint64_t largestBytes = 0; ///< Of one link.
+    uint64_t memory = 0; ///< Bytes allocated by the buffers of all links.
+    uint64_t largestBytes = 0; ///< Of the link with the most queued bytes.
     HostId largestPeer;
 };
 
-/// Authenticated TCP links to other hosts (docs/PROTOCOL.md). Reconnects wanted peers with back-off.
+/// Authenticated TCP links to other hosts (docs/PROTOCOL.md). Reconnects to desired peers with backoff.
 class ILinkHub {
 public:
     virtual ~ILinkHub() = default;
     virtual void carryOut(const host::LinksWanted& action) = 0;
     virtual void send(const model::Outgoing& outgoing) = 0;
     [[nodiscard]] virtual LinkBacklog backlog() const = 0;
-    /// Where it listens; differs from the options where they name port 0.
+    /// The address that the hub listens on; its port differs from the options' if that is 0.
     [[nodiscard]] virtual model::Address boundAddress() const = 0;
 };
 struct LinkHubOptions {
@@ -101,9 +101,10 @@
     model::Address listenAddress;
     EventSink sink;
     model::Counters* counters = nullptr;
-    size_t largestSendQueue = 8 * 1024 * 1024; ///< Bytes; a slower peer is disconnected.
-    /// Bytes of memory that the buffers of all links take together; beyond it the slowest peer is disconnected. Eighty
-    /// links that may each hold largestSendQueue would end the process, and with it what all the other peers wait for.
+    size_t maxSendQueueBytes = 8 * 1024 * 1024; ///< Of one link; a peer whose queue grows beyond it is disconnected.
+    /// Limit on the memory of all links' buffers together; beyond it the peer with the longest queue is disconnected.
+    /// Without it, 80 links that each use up maxSendQueueBytes would exhaust the memory of the process and so cut off
+    /// all other peers as well.
     size_t largestBacklog = 64 * 1024 * 1024;
 };
 [[nodiscard]] Result<std::unique_ptr<ILinkHub>, IoError> makeLinkHub(LinkHubOptions options);
@@ -112,20 +113,21 @@
 class IDataFolder {
 public:
     virtual ~IDataFolder() = default;
-    /// What the folder held at opening.
+    /// The state read from the folder when it was opened.
     [[nodiscard]] virtual const control::RecoveredState& recovered() const = 0;
-    /// Warnings found at opening, such as a torn tail that was cut off.
+    /// Warnings from opening the folder, such as a truncated incomplete write.
     [[nodiscard]] virtual const std::vector<std::string>& warnings() const = 0;
-    /// Starts of a process on this folder, this one included: grows with each.
+    /// Number of process starts on this folder, including the current one.
     [[nodiscard]] virtual uint64_t startCount() const = 0;
-    /// Writes and syncs; the result says whether it counts. After an error the same write may be tried again.
+    /// Writes and syncs; the write is durable if the result is a success. After an error it can be retried.
     [[nodiscard]] virtual Result<Done, IoError> write(const control::StorageWrite& write) = 0;
-    /// The soft state written last; empty where there is none that is whole.
+    /// The soft state that was found on opening; empty if there was none or it was unreadable.
     [[nodiscard]] virtual const host::SoftState& softState() const = 0;
-    /// Replaces the soft state whole, synced. After an error the one before stands.
+    /// Replaces the soft state atomically and syncs it. After an error the previous one is still valid.
     [[nodiscard]] virtual Result<Done, IoError> writeSoftState(const host::SoftState& state) = 0;
 };
-/// Refuses a folder in use by another process, of another format version, or damaged in the middle.
+/// Fails if the folder is in use by another process, has another format version, or is corrupted anywhere but in the
+/// last record.
 [[nodiscard]] Result<std::unique_ptr<IDataFolder>, IoError> openDataFolder(const std::string& path);
 
 } // namespace saltvane::net
--- a/src/net/internal/curlloop.h
+++ b/src/net/internal/curlloop.h
@@ -16,29 +16,29 @@
 
 namespace saltvane::net {
 
-/// Drives a libcurl multi handle by the loop.
+/// Drives a libcurl multi handle from the event loop.
 class CurlLoop {
 public:
-    /// `onTransferEnd` is called outside of libcurl's callbacks; it may add and remove transfers.
-    CurlLoop(struct ev_loop* loop, std::function<void(CURL*, CURLcode)> onTransferEnd);
+    /// `onTransferDone` is never called from within libcurl's callbacks; it may add and remove transfers.
+    CurlLoop(struct ev_loop* loop, std::function<void(CURL*, CURLcode)> onTransferDone);
     ~CurlLoop();
     CurlLoop(const CurlLoop&) = delete;
     CurlLoop& operator=(const CurlLoop&) = delete;
 
-    /// The transfer starts later in this turn of the loop.
+    /// The transfer starts later in the current loop iteration.
     [[nodiscard]] bool add(CURL* transfer);
-    /// Ends a transfer; its connection is closed where the transfer wasn't over.
+    /// Cancels a transfer; closes its connection if the transfer was not complete.
     void remove(CURL* transfer);
 
 private:
-    static int onSocket(CURL* transfer, curl_socket_t fd, int what, void* loop, void* context);
+    static int onSocket(CURL* transfer, curl_socket_t fd, int interest, void* loop, void* context);
     static int onTimer(CURLM* multi, long milliseconds, void* loop);
-    void watch(curl_socket_t fd, int what);
-    void act(curl_socket_t fd, int events);
-    void takeEnds();
+    void watch(curl_socket_t fd, int interest);
+    void processSocket(curl_socket_t fd, int events);
+    void processCompletions();
 
     struct ev_loop* loop_;
-    std::function<void(CURL*, CURLcode)> onTransferEnd_;
+    std::function<void(CURL*, CURLcode)> onTransferDone_;
     CURLM* multi_;
     std::unordered_map<curl_socket_t, std::unique_ptr<IoWatcher>> watchers_;
     TimerWatcher timer_;
--- a/src/net/internal/datafolder.cpp
+++ b/src/net/internal/datafolder.cpp
@@ -15,7 +15,7 @@
 namespace saltvane::net {
 
 namespace {
-constexpr uint64_t SegmentSize = 16 * 1024 * 1024; ///< Bytes, after which a new segment begins.
+constexpr uint64_t MaxSegmentBytes = 16 * 1024 * 1024; ///< A larger segment is followed by a new one.
 constexpr size_t TermBytes = 8;
 constexpr size_t NumberBytes = 8;
 } // namespace
@@ -37,11 +37,11 @@
         return written;
     for (const LogItem& item : items)
         apply(item);
-    // The write counts; what follows is tried again with the next one where it fails.
-    if (write.snapshot || segment_->size() > SegmentSize)
+    // The write is durable here. If one of the following steps fails, the next write retries it.
+    if (write.snapshot || segment_->size() > MaxSegmentBytes)
         (void)startSegment();
     if (write.snapshot)
-        removeOld(write.snapshotIndex);
+        removeObsolete(write.snapshotIndex);
     return Done {};
 }
 
@@ -68,7 +68,7 @@
     segment_ = std::move(next.value());
     segments_.emplace(number, LogIndex {});
     mustStartSegment_ = false;
-    noteLastSegment();
+    recordLastSegment();
     return Done {};
 }
 
@@ -79,22 +79,22 @@
     const std::string bytes = targets + suspects;
     if (targets.empty() || suspects.empty())
         return IoError {.place = pathOf(std::string(SoftStateName)), .message = "too large"};
-    return replaceFile(disk_, path_, std::string(SoftStateName), encodeRecord(SoftStatePlace, bytes));
+    return replaceFile(disk_, path_, std::string(SoftStateName), encodeRecord(SoftStatePosition, bytes));
 }
 
-void DataFolder::noteLastSegment()
+void DataFolder::recordLastSegment()
 {
     const std::string number = encodeLinkInteger(segment_->number(), NumberBytes);
-    // Without it only the loss of this segment would not show: no reason to refuse a write.
-    (void)replaceFile(disk_, path_, std::string(LastSegmentName), encodeRecord(LastSegmentPlace, number));
+    // On failure the write still succeeds: only a loss of this segment would go undetected.
+    (void)replaceFile(disk_, path_, std::string(LastSegmentName), encodeRecord(LastSegmentPosition, number));
 }
 
-void DataFolder::removeOld(LogIndex snapshotIndex)
+void DataFolder::removeObsolete(LogIndex snapshotIndex)
 {
     std::erase_if(snapshots_, [&](uint64_t index) {
         return index < snapshotIndex.value && disk_.remove(pathOf(snapshotName({index}))) == 0;
     });
-    // Oldest first, so that those left always follow each other.
+    // Oldest first, so that the remaining segments are always contiguous.
     while (segments_.begin()->first != segment_->number() && segments_.begin()->second <= snapshotIndex) {
         if (disk_.remove(pathOf(segmentName(segments_.begin()->first))) != 0)
             return;
--- a/src/net/internal/datafolder.h
+++ b/src/net/internal/datafolder.h
@@ -19,11 +19,11 @@
 
 namespace saltvane::net {
 
-/// Name of the file with the number of the last segment, so that its loss shows.
+/// File with the number of the last segment, so that the loss of that segment is detected.
 inline constexpr std::string_view LastSegmentName = "last-segment";
-inline constexpr RecordPlace LastSegmentPlace {.file = 3};
+inline constexpr RecordPosition LastSegmentPosition {.file = 3};
 inline constexpr std::string_view SoftStateName = "soft-state";
-inline constexpr RecordPlace SoftStatePlace {.file = 4};
+inline constexpr RecordPosition SoftStatePosition {.file = 4};
 
 /// The data folder of one control replica. docs/STORAGE.md
 class DataFolder final : public IDataFolder {
@@ -34,7 +34,7 @@
     {
     }
 
-    /// Locks, checks and reads the folder; creates it where it is new.
+    /// Locks, checks and reads the folder; creates it if it does not exist.
     [[nodiscard]] Result<Done, IoError> open();
 
     [[nodiscard]] const control::RecoveredState& recovered() const override { return recovered_; }
@@ -49,27 +49,27 @@
     // Steps of opening, in order.
     [[nodiscard]] Result<Done, IoError> makeFolder();
     [[nodiscard]] Result<Done, IoError> lock();
-    [[nodiscard]] Result<Done, IoError> list();
+    [[nodiscard]] Result<Done, IoError> listFiles();
     [[nodiscard]] Result<Done, IoError> checkFormat();
     [[nodiscard]] Result<Done, IoError> readReplica();
     [[nodiscard]] Result<Done, IoError> readSnapshot();
     [[nodiscard]] Result<Done, IoError> checkLastSegment();
     [[nodiscard]] Result<Done, IoError> readSegments();
-    [[nodiscard]] Result<Done, IoError> countStart();
+    [[nodiscard]] Result<Done, IoError> incrementStartCount();
     [[nodiscard]] Result<Done, IoError> readSoftState();
 
-    [[nodiscard]] Result<Done, IoError> checkNew() const;
+    [[nodiscard]] Result<Done, IoError> checkUnformatted() const;
     [[nodiscard]] Result<Done, IoError> create();
     [[nodiscard]] Result<Done, IoError> openLast(uint64_t number, const SegmentContent& content);
-    [[nodiscard]] Result<Done, IoError> joinSnapshot();
+    [[nodiscard]] Result<Done, IoError> reconcileSnapshot();
     void apply(const LogItem& item);
     [[nodiscard]] std::string pathOf(const std::string& name) const { return path_ + "/" + name; }
 
     // Writing.
     [[nodiscard]] Result<Done, IoError> writeSnapshot(const control::StorageWrite& write);
     [[nodiscard]] Result<Done, IoError> startSegment();
-    void noteLastSegment();
-    void removeOld(LogIndex snapshotIndex);
+    void recordLastSegment();
+    void removeObsolete(LogIndex snapshotIndex);
 
     std::string path_;
     IDiskCalls& disk_;
@@ -77,16 +77,16 @@
     control::RecoveredState recovered_;
     std::vector<std::string> warnings_;
     uint64_t startCount_ = 0;
-    host::SoftState softState_; ///< As found at opening.
+    host::SoftState softState_; ///< As read by open().
 
-    std::map<uint64_t, LogIndex> segments_; ///< Number -> highest entry ever written to it.
-    std::vector<uint64_t> snapshots_; ///< Indices of those on disk.
-    std::unique_ptr<Segment> segment_; ///< The last one.
-    /// A new segment could not be made for certain: nothing may be added to the last one before it is.
+    std::map<uint64_t, LogIndex> segments_; ///< Highest index ever written to each segment, by number.
+    std::vector<uint64_t> snapshots_; ///< Indices of the snapshots on disk.
+    std::unique_ptr<Segment> segment_; ///< The last segment, which is appended to.
+    /// Creating the next segment failed, but its file may exist: nothing may be appended before it is created.
     bool mustStartSegment_ = false;
     bool hasFormat_ = false;
-    std::vector<std::string> names_; ///< Of all files found at opening.
-    LogState state_; ///< Without the entries' payloads.
+    std::vector<std::string> names_; ///< Of all files found by open().
+    LogState state_; ///< Holds no payloads after open().
 };
 
 } // namespace saltvane::net
--- a/src/net/internal/datafolderopen.cpp
+++ b/src/net/internal/datafolderopen.cpp
@@ -19,7 +19,7 @@
 #include <sodium.h>
 #include <sys/file.h>
 
-/// How a DataFolder opens: each step refuses what it can't trust.
+/// The steps of DataFolder::open(). Each fails on data that it cannot verify.
 namespace saltvane::net {
 
 namespace {
@@ -29,15 +29,18 @@
 constexpr std::string_view ReplicaName = "replica";
 constexpr std::string_view StartsName = "starts";
 constexpr std::string_view FormatText = "saltvane data 1\n";
-constexpr RecordPlace ReplicaPlace {.file = 1};
-constexpr RecordPlace StartsPlace {.file = 2};
+constexpr RecordPosition ReplicaPosition {.file = 1};
+constexpr RecordPosition StartsPosition {.file = 2};
 constexpr size_t ReplicaIdBytes = 16;
 constexpr size_t CountBytes = 8;
 constexpr uint64_t FirstSegment = 1;
-constexpr uint64_t LargestBlankSegment = 256; ///< Bytes; more than the start of the first segment takes.
+constexpr uint64_t MaxEmptySegmentBytes = 256; ///< More than the size of a first segment without entries.
 constexpr mode_t OwnerOnly = 0600;
 
-IoError refusal(const std::string& place, const std::string& message) { return {.place = place, .message = message}; }
+IoError refusal(const std::string& location, const std::string& message)
+{
+    return {.place = location, .message = message};
+}
 
 std::string freshReplicaId()
 {
@@ -49,13 +52,13 @@
     return hex;
 }
 
-/// The payload of a file that is one record.
-Result<std::string, IoError> readRecordFile(const std::string& path, const RecordPlace& place)
+/// The payload of a file that consists of one record.
+Result<std::string, IoError> readRecordFile(const std::string& path, const RecordPosition& position)
 {
     const auto file = readFile(path);
     if (!file)
         return file.error();
-    const auto payload = recordAt(file.value(), place);
+    const auto payload = recordAt(file.value(), position);
     if (!payload || RecordHeaderBytes + payload->size() != file.value().size())
         return refusal(path + ":0", "damaged");
     return std::string(*payload);
@@ -65,9 +68,10 @@
 
 Result<Done, IoError> DataFolder::open()
 {
-    constexpr std::array<Step, 11> Steps {&DataFolder::makeFolder, &DataFolder::lock, &DataFolder::list,
+    constexpr std::array<Step, 11> Steps {&DataFolder::makeFolder, &DataFolder::lock, &DataFolder::listFiles,
         &DataFolder::checkFormat, &DataFolder::readReplica, &DataFolder::readSnapshot, &DataFolder::checkLastSegment,
-        &DataFolder::readSegments, &DataFolder::joinSnapshot, &DataFolder::countStart, &DataFolder::readSoftState};
+        &DataFolder::readSegments, &DataFolder::reconcileSnapshot, &DataFolder::incrementStartCount,
+        &DataFolder::readSoftState};
     for (const Step step : Steps) {
         if (auto done = (this->*step)(); !done)
             return done;
@@ -95,7 +99,7 @@
     return Done {};
 }
 
-Result<Done, IoError> DataFolder::list()
+Result<Done, IoError> DataFolder::listFiles()
 {
     std::error_code error;
     for (const auto& entry : std::filesystem::directory_iterator(path_, error)) {
@@ -133,9 +137,9 @@
     return Done {};
 }
 
-Result<Done, IoError> DataFolder::checkNew() const
+Result<Done, IoError> DataFolder::checkUnformatted() const
 {
-    // A creation that was cut short may have left these; anything else is not ours to build over.
+    // An interrupted creation may have left these files. Any other file is not ours: never overwrite it.
     const std::array<std::string, 4> known {
         std::string(LockName), std::string(ReplicaName), std::string(StartsName), segmentName(FirstSegment)};
     for (const std::string& name : names_) {
@@ -144,32 +148,32 @@
     }
     std::error_code error;
     const bool hasSegment = !segments_.empty();
-    if (hasSegment && std::filesystem::file_size(pathOf(segmentName(FirstSegment)), error) > LargestBlankSegment)
+    if (hasSegment && std::filesystem::file_size(pathOf(segmentName(FirstSegment)), error) > MaxEmptySegmentBytes)
         return refusal(path_, "the folder has no format file, but holds records");
     return Done {};
 }
 
 Result<Done, IoError> DataFolder::create()
 {
-    if (auto checked = checkNew(); !checked)
+    if (auto checked = checkUnformatted(); !checked)
         return checked;
-    const std::string replica = encodeRecord(ReplicaPlace, freshReplicaId());
+    const std::string replica = encodeRecord(ReplicaPosition, freshReplicaId());
     if (auto done = replaceFile(disk_, path_, std::string(ReplicaName), replica); !done)
         return done;
-    const std::string starts = encodeRecord(StartsPlace, encodeLinkInteger(0, CountBytes));
+    const std::string starts = encodeRecord(StartsPosition, encodeLinkInteger(0, CountBytes));
     if (auto done = replaceFile(disk_, path_, std::string(StartsName), starts); !done)
         return done;
     if (auto segment = Segment::create(disk_, path_, {.segment = FirstSegment}); !segment)
         return segment.error();
     segments_ = {{FirstSegment, LogIndex {}}};
-    // Last: from now on the folder counts.
+    // Written last: it makes the folder valid.
     return replaceFile(disk_, path_, std::string(FormatName), FormatText);
 }
 
 Result<Done, IoError> DataFolder::readReplica()
 {
     const std::string path = pathOf(std::string(ReplicaName));
-    const auto replica = readRecordFile(path, ReplicaPlace);
+    const auto replica = readRecordFile(path, ReplicaPosition);
     if (!replica)
         return replica.error();
     if (replica.value().size() != ReplicaIdBytes * 2)
@@ -196,7 +200,7 @@
 
 void DataFolder::apply(const LogItem& item)
 {
-    // The replica itself keeps the payloads.
+    // The payloads are kept in memory by the control replica.
     const auto* entry = std::get_if<model::LogEntry>(&item);
     if (entry == nullptr) {
         (void)state_.apply(item);
@@ -211,7 +215,7 @@
 {
     if (std::find(names_.begin(), names_.end(), LastSegmentName) == names_.end())
         return Done {};
-    const auto number = readRecordFile(pathOf(std::string(LastSegmentName)), LastSegmentPlace);
+    const auto number = readRecordFile(pathOf(std::string(LastSegmentName)), LastSegmentPosition);
     if (!number)
         return number.error();
     const uint64_t last = decodeLinkInteger(number.value());
@@ -241,30 +245,31 @@
 Result<Done, IoError> DataFolder::openLast(uint64_t number, const SegmentContent& content)
 {
     if (content.tornBytes > 0) {
-        warnings_.push_back(pathOf(segmentName(number)) + ":" + std::to_string(content.goodBytes) + ": cut off "
+        warnings_.push_back(pathOf(segmentName(number)) + ":" + std::to_string(content.validBytes) + ": cut off "
             + std::to_string(content.tornBytes) + " bytes of a write that was not finished");
     }
-    auto segment = Segment::open(disk_, path_, number, content.goodBytes);
+    auto segment = Segment::open(disk_, path_, number, content.validBytes);
     if (!segment)
         return segment.error();
     segment_ = std::move(segment.value());
     return Done {};
 }
 
-Result<Done, IoError> DataFolder::joinSnapshot()
+Result<Done, IoError> DataFolder::reconcileSnapshot()
 {
     const SnapshotMark mark {.index = recovered_.snapshotIndex, .term = recovered_.snapshotTerm};
     const SnapshotMark before = state_.base();
     if (const auto error = state_.finish(mark))
         return refusal(path_, *error);
     if (before.index < mark.index) {
-        // The process ended between the snapshot and its mark: what follows must not hang on older entries.
+        // The process stopped after writing the snapshot and before its mark. Without the mark, later records would
+        // refer to entries that precede the snapshot.
         if (auto marked = segment_->append(encodeItems({mark})); !marked)
             return marked;
     }
-    recovered_.isNewDisk = state_.isBlank() && snapshots_.empty();
+    recovered_.isNewDisk = state_.isEmpty() && snapshots_.empty();
     recovered_.hardState = state_.hardState();
-    recovered_.entries = state_.takeEntries();
+    recovered_.entries = state_.releaseEntries();
     return Done {};
 }
 
@@ -272,9 +277,9 @@
 {
     if (std::find(names_.begin(), names_.end(), SoftStateName) == names_.end())
         return Done {};
-    // Nothing hangs on it: what can't be read is left out.
+    // The soft state is optional: if it is unreadable, start without it.
     const std::string path = pathOf(std::string(SoftStateName));
-    const Result<std::string, IoError> bytes = readRecordFile(path, SoftStatePlace);
+    const Result<std::string, IoError> bytes = readRecordFile(path, SoftStatePosition);
     if (!bytes) {
         warnings_.push_back(path + ": soft state left out: " + bytes.error().message);
         return Done {};
@@ -288,7 +293,7 @@
         return Done {};
     }
     softState_.targets = std::move(*targets);
-    // Earlier versions wrote no more than the targets.
+    // Earlier versions stored only the targets.
     auto further = reader.next();
     auto* suspects = further && further.value() ? std::get_if<model::SuspectReport>(&*further.value()) : nullptr;
     if (suspects != nullptr)
@@ -296,14 +301,14 @@
     return Done {};
 }
 
-Result<Done, IoError> DataFolder::countStart()
+Result<Done, IoError> DataFolder::incrementStartCount()
 {
     const std::string path = pathOf(std::string(StartsName));
-    const auto counted = readRecordFile(path, StartsPlace);
+    const auto counted = readRecordFile(path, StartsPosition);
     if (!counted)
         return counted.error();
     startCount_ = decodeLinkInteger(counted.value()) + 1;
-    const std::string starts = encodeRecord(StartsPlace, encodeLinkInteger(startCount_, CountBytes));
+    const std::string starts = encodeRecord(StartsPosition, encodeLinkInteger(startCount_, CountBytes));
     return replaceFile(disk_, path_, std::string(StartsName), starts);
 }
 
--- a/src/net/internal/clientwatch.cpp
+++ b/src/net/internal/disconnectmonitor.cpp
@@ -3,7 +3,7 @@
  * saltvane: global traffic steering
  * Copyright (c) 2026 the saltvane authors
  */
-#include "net/internal/clientwatch.h"
+#include "net/internal/disconnectmonitor.h"
 
 #include "base/log.h"
 
@@ -13,18 +13,18 @@
 namespace saltvane::net {
 
 namespace {
-constexpr size_t EventsAtOnce = 64;
+constexpr size_t MaxEventsPerPoll = 64;
 }
 
-ClientWatch::ClientWatch(struct ev_loop* loop, std::function<void(HttpConnection&)> onGone)
-    : onGone_(std::move(onGone))
+DisconnectMonitor::DisconnectMonitor(struct ev_loop* loop, std::function<void(HttpConnection&)> onDisconnect)
+    : onDisconnect_(std::move(onDisconnect))
     , poll_(::epoll_create1(EPOLL_CLOEXEC))
-    , watcher_(loop, [this](int) { takeEvents(); })
+    , watcher_(loop, [this](int) { handleEvents(); })
 {
     watcher_.watch(poll_.get(), EV_READ);
 }
 
-void ClientWatch::add(HttpConnection& connection)
+void DisconnectMonitor::add(HttpConnection& connection)
 {
     epoll_event event {};
     event.events = EPOLLRDHUP | EPOLLET;
@@ -33,14 +33,14 @@
         LOG_TAGGED(WARNING, "net") << "event=client_watch_failed remote=" << connection.remoteIp;
 }
 
-void ClientWatch::takeEvents()
+void DisconnectMonitor::handleEvents()
 {
-    std::array<epoll_event, EventsAtOnce> events {};
+    std::array<epoll_event, MaxEventsPerPoll> events {};
     const int count = ::epoll_wait(poll_.get(), events.data(), static_cast<int>(events.size()), 0);
     for (int i = 0; i < count; ++i) {
         auto& connection = *static_cast<HttpConnection*>(events[static_cast<size_t>(i)].data.ptr);
-        connection.isClientGone = true;
-        onGone_(connection);
+        connection.isClientDisconnected = true;
+        onDisconnect_(connection);
     }
 }
 
--- a/src/net/internal/clientwatch.h
+++ b/src/net/internal/disconnectmonitor.h
@@ -13,18 +13,18 @@
 
 namespace saltvane::net {
 
-/// Tells when a caller closes its side. libmicrohttpd doesn't watch suspended connections, so this keeps a poll set of
-/// its own that reports only that. A caller that shuts down its sending side counts as gone.
-class ClientWatch {
+/// Detects callers that close their connection. libmicrohttpd does not poll suspended connections, so this class has an
+/// epoll set of its own, for this event only. A caller that shuts down its sending side is treated as disconnected.
+class DisconnectMonitor {
 public:
-    ClientWatch(struct ev_loop* loop, std::function<void(HttpConnection&)> onGone);
+    DisconnectMonitor(struct ev_loop* loop, std::function<void(HttpConnection&)> onDisconnect);
 
     void add(HttpConnection& connection);
 
 private:
-    void takeEvents();
+    void handleEvents();
 
-    std::function<void(HttpConnection&)> onGone_;
+    std::function<void(HttpConnection&)> onDisconnect_;
     UniqueFd poll_;
     IoWatcher watcher_;
 };
--- a/src/net/internal/diskcalls.h
+++ b/src/net/internal/diskcalls.h
@@ -11,8 +11,8 @@
 
 namespace saltvane::net {
 
-/// The calls that change files, so that tests can make a disk full or stop it at any byte. Same results and errno as
-/// the system's.
+/// The system calls that change files, as an interface so that tests can simulate a full or failing disk. Results and
+/// errno are those of the system calls.
 class IDiskCalls {
 public:
     virtual ~IDiskCalls() = default;
--- a/src/net/internal/filetools.cpp
+++ b/src/net/internal/filetools.cpp
@@ -15,7 +15,7 @@
 namespace saltvane::net {
 
 namespace {
-constexpr size_t ReadBlock = 1024 * 1024;
+constexpr size_t ReadBlockBytes = 1024 * 1024;
 constexpr mode_t OwnerOnly = 0600;
 } // namespace
 
@@ -28,7 +28,7 @@
         if (count < 0)
             return lastError(path, "write");
         if (count == 0)
-            return IoError {.place = path, .message = "write: nothing was taken", .code = ENOSPC};
+            return IoError {.place = path, .message = "write: no bytes were written", .code = ENOSPC};
         bytes.remove_prefix(static_cast<size_t>(count));
         offset += count;
     }
@@ -43,8 +43,8 @@
     std::string bytes;
     while (true) {
         const size_t start = bytes.size();
-        bytes.resize(start + ReadBlock);
-        const ssize_t count = ::read(fd.get(), bytes.data() + start, ReadBlock);
+        bytes.resize(start + ReadBlockBytes);
+        const ssize_t count = ::read(fd.get(), bytes.data() + start, ReadBlockBytes);
         if (count < 0 && errno != EINTR)
             return lastError(path, "read");
         bytes.resize(start + (count > 0 ? static_cast<size_t>(count) : 0));
@@ -62,7 +62,7 @@
     if (!fd.isOpen())
         return lastError(unfinished, "open");
     if (auto written = writeAll(disk, fd.get(), bytes, 0, unfinished); !written) {
-        (void)disk.remove(unfinished); // Gives a full disk its room back.
+        (void)disk.remove(unfinished); // Frees the space on a full disk.
         return written;
     }
     if (disk.syncData(fd.get()) != 0)
--- a/src/net/internal/filetools.h
+++ b/src/net/internal/filetools.h
@@ -13,15 +13,15 @@
 
 namespace saltvane::net {
 
-/// Writes all bytes at `offset`, over short writes.
+/// Writes all bytes at `offset`, continuing after short writes.
 [[nodiscard]] Result<Done, IoError> writeAll(
     IDiskCalls& disk, int fd, std::string_view bytes, off_t offset, const std::string& path);
 [[nodiscard]] Result<std::string, IoError> readFile(const std::string& path);
-/// Puts `bytes` in place of `name` in `folder`, whole or not at all, synced.
+/// Atomically replaces the content of the file `name` in `folder` and syncs it.
 [[nodiscard]] Result<Done, IoError> replaceFile(
     IDiskCalls& disk, const std::string& folder, const std::string& name, std::string_view bytes);
 
-/// Ending of files that are not finished; removed at opening.
+/// Suffix of incompletely written files, which are removed when the folder is opened.
 inline constexpr std::string_view UnfinishedSuffix = ".unfinished";
 
 } // namespace saltvane::net
--- a/src/net/internal/httpconnection.h
+++ b/src/net/internal/httpconnection.h
@@ -18,10 +18,10 @@
 
 /// One connection of a caller.
 struct HttpConnection : boost::intrusive::list_base_hook<> {
-    /// Where the connection stands between requests; rules its time limit.
+    /// Selects the connection's time limit.
     enum class Phase {
         BeforeFirst, ///< No request line yet.
-        InHead, ///< Request line in, headers not.
+        InHead, ///< The request line was received, the headers were not.
         InExchange,
         BetweenRequests
     };
@@ -31,8 +31,8 @@
     std::string remoteIp;
     Phase phase = Phase::BeforeFirst;
     Timestamp phaseSince;
-    bool isOverLimit = false; ///< Beyond Limits::connections: its request is refused.
-    bool isClientGone = false;
+    bool isOverLimit = false; ///< Exceeds Limits::connections, so its request is refused.
+    bool isClientDisconnected = false;
     HttpExchange* exchange = nullptr; ///< Null between requests.
 };
 
--- a/src/net/internal/httpexchange.cpp
+++ b/src/net/internal/httpexchange.cpp
@@ -13,17 +13,17 @@
 
 namespace {
 
-constexpr size_t ReadBlock = 64 * 1024; ///< Bytes of a streamed answer handed over at once.
+constexpr size_t ReadBlockBytes = 64 * 1024; ///< Of a streamed response, passed to libmicrohttpd per call.
 constexpr int NoContent = 204;
 constexpr int NotModified = 304;
 
-/// Set by libmicrohttpd from the answer's length.
+/// Headers that libmicrohttpd sets from the response's length.
 bool isFramingHeader(std::string_view name)
 {
     return equalsIgnoringCase(name, "Content-Length") || equalsIgnoringCase(name, "Transfer-Encoding");
 }
 
-/// libmicrohttpd refuses tabs in values; RFC 9110 lets them be read as blanks.
+/// libmicrohttpd rejects tabs in values; RFC 9110 allows replacing them with spaces.
 void addHeader(MHD_Response* response, const model::Header& header)
 {
     if (header.value.find('\t') == std::string::npos) {
@@ -51,9 +51,9 @@
     MHD_resume_connection(connection_.connection);
 }
 
-void HttpExchange::breakOff()
+void HttpExchange::abort()
 {
-    isBroken_ = true;
+    isAborted_ = true;
     const linger reset {.l_onoff = 1, .l_linger = 0};
     ::setsockopt(connection_.fd, SOL_SOCKET, SO_LINGER, &reset, sizeof(reset));
     if (isResponseQueued_ && !isSuspended_ && !isInHandler)
@@ -65,8 +65,8 @@
     if (response_)
         return false;
     body_ = std::move(response.bytes);
-    bodyGiven_ = body_.size();
-    isBodyWhole_ = response.isLast;
+    bodyTotal_ = body_.size();
+    isBodyComplete_ = response.isLast;
     response_ = std::move(response);
     return true;
 }
@@ -76,7 +76,7 @@
     return head_.method == "HEAD" || response_->status == NoContent || response_->status == NotModified;
 }
 
-std::optional<uint64_t> HttpExchange::statedLength() const
+std::optional<uint64_t> HttpExchange::declaredLength() const
 {
     if (head_.method == "HEAD") {
         for (const model::Header& header : response_->headers) {
@@ -89,31 +89,31 @@
 
 bool HttpExchange::addResponseBody(std::string_view bytes, bool isLast)
 {
-    bodyGiven_ += bytes.size();
-    if (response_->bodyLength && bodyGiven_ > *response_->bodyLength)
+    bodyTotal_ += bytes.size();
+    if (response_->bodyLength && bodyTotal_ > *response_->bodyLength)
         return false;
     if (hasNoBody())
         return true;
-    if (bodyTaken_ == body_.size()) {
+    if (bodySent_ == body_.size()) {
         body_.clear();
-        bodyTaken_ = 0;
+        bodySent_ = 0;
     }
     body_.append(bytes);
-    isBodyWhole_ = isBodyWhole_ || isLast;
+    isBodyComplete_ = isBodyComplete_ || isLast;
     return true;
 }
 
 MHD_Response* HttpExchange::makeResponse()
 {
-    const auto length = statedLength();
+    const auto length = declaredLength();
     if (hasNoBody() && length.value_or(0) == 0)
         return MHD_create_response_from_buffer(0, nullptr, MHD_RESPMEM_PERSISTENT);
     if (!hasNoBody() && response_->isLast && (!length || *length == body_.size()))
         return MHD_create_response_from_buffer(body_.size(), body_.data(), MHD_RESPMEM_PERSISTENT);
     if (!length && !head_.isHttp11)
-        return nullptr; // An HTTP/1.0 caller couldn't tell a broken body from a whole one.
+        return nullptr; // An HTTP/1.0 caller cannot tell a truncated body from a complete one.
     const uint64_t size = length.value_or(MHD_SIZE_UNKNOWN);
-    const size_t block = std::min<uint64_t>(size, ReadBlock);
+    const size_t block = std::min<uint64_t>(size, ReadBlockBytes);
     return MHD_create_response_from_callback(size, block, &HttpExchange::readBodyCallback, this, nullptr);
 }
 
@@ -138,29 +138,29 @@
     return queued == MHD_YES;
 }
 
-ssize_t HttpExchange::readBodyCallback(void* exchange, uint64_t /*position*/, char* buffer, size_t room)
+ssize_t HttpExchange::readBodyCallback(void* exchange, uint64_t /*position*/, char* buffer, size_t capacity)
 {
     auto& self = *static_cast<HttpExchange*>(exchange);
-    return self.readBody(buffer, room);
+    return self.readBody(buffer, capacity);
 }
 
-ssize_t HttpExchange::readBody(char* buffer, size_t room)
+ssize_t HttpExchange::readBody(char* buffer, size_t capacity)
 {
-    if (isBroken_)
+    if (isAborted_)
         return MHD_CONTENT_READER_END_WITH_ERROR;
-    const size_t count = std::min(room, body_.size() - bodyTaken_);
-    if (count == 0 && isBodyWhole_) {
+    const size_t count = std::min(capacity, body_.size() - bodySent_);
+    if (count == 0 && isBodyComplete_) {
         if (!response_->bodyLength)
             return MHD_CONTENT_READER_END_OF_STREAM;
-        breakOff(); // Shorter than stated.
+        abort(); // Shorter than the declared length.
         return MHD_CONTENT_READER_END_WITH_ERROR;
     }
     if (count == 0) {
         suspend();
         return 0;
     }
-    std::memcpy(buffer, body_.data() + bodyTaken_, count);
-    bodyTaken_ += count;
+    std::memcpy(buffer, body_.data() + bodySent_, count);
+    bodySent_ += count;
     progress_ += count;
     onProgress();
     return static_cast<ssize_t>(count);
--- a/src/net/internal/httpexchange.h
+++ b/src/net/internal/httpexchange.h
@@ -19,7 +19,7 @@
 
 namespace saltvane::net {
 
-/// One request of a caller and its answer. Knows libmicrohttpd's connection, not the core's events.
+/// One request of a caller and its response. Uses libmicrohttpd's connection, but not the core's events.
 class HttpExchange
     : public boost::intrusive::list_base_hook<boost::intrusive::link_mode<boost::intrusive::auto_unlink>> {
 public:
@@ -36,43 +36,44 @@
 
     /// Suspends the connection, so that its handler isn't called again before resume().
     void suspend();
-    /// Does nothing where the connection isn't suspended.
+    /// Does nothing if the connection is not suspended.
     void resume();
     [[nodiscard]] bool isSuspended() const { return isSuspended_; }
 
-    /// The rest of the answer must not look whole: closes with a reset at the next chance.
-    void breakOff();
-    [[nodiscard]] bool isBroken() const { return isBroken_; }
+    /// Closes the connection with a reset as soon as possible, so that the caller does not take a truncated response
+    /// for a complete one.
+    void abort();
+    [[nodiscard]] bool isAborted() const { return isAborted_; }
 
-    /// Keeps the answer's head until the handler may queue it. False: the exchange has one already.
+    /// Stores the response until the handler can queue it. False: the exchange already has a response.
     [[nodiscard]] bool setResponse(requests::HttpRespond response);
     [[nodiscard]] bool hasResponse() const { return response_.has_value(); }
     [[nodiscard]] bool isResponseQueued() const { return isResponseQueued_; }
-    /// Hands the answer to libmicrohttpd. False: it took none; the connection must be closed.
+    /// Passes the response to libmicrohttpd. False: it was rejected and the connection must be closed.
     [[nodiscard]] bool queueResponse();
-    /// Adds to a streamed body. False: more than its stated length.
+    /// Appends to a streamed body. False: the body exceeds its declared length.
     [[nodiscard]] bool addResponseBody(std::string_view bytes, bool isLast);
-    /// Body bytes of a streamed answer taken since the last call.
-    [[nodiscard]] uint64_t takeProgress() { return std::exchange(progress_, 0); }
+    /// Body bytes of a streamed response that were sent since the last call.
+    [[nodiscard]] uint64_t drainProgress() { return std::exchange(progress_, 0); }
 
-    // State of the request's reading, kept by HttpServer.
+    // State of reading the request, managed by HttpServer.
     RequestFraming framing;
     bool isHeadSeen = false;
-    bool isStarted = false; ///< The core knows of it.
+    bool isStarted = false; ///< HttpRequestStarted was sent to the core.
     bool isLastBodySent = false;
-    bool isInHandler = false; ///< In a callback of libmicrohttpd for this exchange.
-    bool isEnded = false; ///< The core was told of its end, or ended it.
+    bool isInHandler = false; ///< A libmicrohttpd callback of this exchange is running.
+    bool isEnded = false; ///< The core was notified of its termination, or terminated it.
     uint64_t bodyReceived = 0;
     uint64_t bodyWindow = requests::InitialBodyWindow;
-    std::function<void()> onProgress; ///< Called from within the reader.
+    std::function<void()> onProgress; ///< Called while libmicrohttpd reads the body.
 
 private:
     [[nodiscard]] MHD_Response* makeResponse();
-    [[nodiscard]] std::optional<uint64_t> statedLength() const;
+    [[nodiscard]] std::optional<uint64_t> declaredLength() const;
     [[nodiscard]] bool hasNoBody() const;
     void addHeaders(MHD_Response* response) const;
-    [[nodiscard]] ssize_t readBody(char* buffer, size_t room);
-    static ssize_t readBodyCallback(void* exchange, uint64_t position, char* buffer, size_t room);
+    [[nodiscard]] ssize_t readBody(char* buffer, size_t capacity);
+    static ssize_t readBodyCallback(void* exchange, uint64_t position, char* buffer, size_t capacity);
 
     requests::HttpHandle handle_;
     HttpConnection& connection_;
@@ -80,11 +81,11 @@
     std::optional<requests::HttpRespond> response_;
     bool isResponseQueued_ = false;
     bool isSuspended_ = false;
-    bool isBroken_ = false;
-    bool isBodyWhole_ = false; ///< The last part of the answer's body is in.
-    std::string body_; ///< Of the answer; what the socket hasn't taken.
-    size_t bodyTaken_ = 0; ///< Bytes of body_ that are gone.
-    uint64_t bodyGiven_ = 0; ///< By the core, in all.
+    bool isAborted_ = false;
+    bool isBodyComplete_ = false; ///< The last part of the response body was added.
+    std::string body_; ///< Part of the response body that is buffered.
+    size_t bodySent_ = 0; ///< Bytes of body_ that were passed to libmicrohttpd.
+    uint64_t bodyTotal_ = 0; ///< Bytes of the response body received from the core so far.
     uint64_t progress_ = 0;
 };
 
--- a/src/net/internal/httpserver.cpp
+++ b/src/net/internal/httpserver.cpp
@@ -19,11 +19,11 @@
 
 namespace {
 
-constexpr unsigned int ConnectionsForRefusals = 64; ///< Beyond the limit: accepted to be refused in clear words.
-constexpr size_t PoolBeyondHeaders = 8 * 1024; ///< Of a connection, for parsed headers and the write buffer.
-constexpr int RunsAtOnce = 8;
-constexpr Duration LongestLimitPeriod = 1s;
-constexpr Duration ShortestLimitPeriod = 10ms;
+constexpr unsigned int RefusalConnections = 64; ///< Beyond the limit; accepted to send a 503 response.
+constexpr size_t ExtraPoolBytes = 8 * 1024; ///< Per connection, for parsed headers and the write buffer.
+constexpr int MaxRunsPerTurn = 8;
+constexpr Duration MaxLimitCheckInterval = 1s;
+constexpr Duration MinLimitCheckInterval = 10ms;
 
 bool hasReceivedBytes(int fd)
 {
@@ -44,8 +44,8 @@
     return SocketAddress::from(info->client_addr, length).address().ip;
 }
 
-/// libmicrohttpd's own limit, in seconds: longer than the limits that this class enforces, which it backs up.
-unsigned int silenceLimitOf(const settings::Limits& limits)
+/// Idle timeout of libmicrohttpd: a fallback, longer than the limits that this class enforces.
+unsigned int daemonTimeoutSecondsOf(const settings::Limits& limits)
 {
     return static_cast<unsigned int>(std::ceil(toSeconds(limits.idleTimeout + limits.headerTimeout)));
 }
@@ -54,9 +54,9 @@
 
 HttpServer::HttpServer(HttpServerOptions options)
     : options_(std::move(options))
-    , largestHeaderBytes_(options_.limits.requestHeaderBytes)
+    , maxHeaderBytes_(options_.limits.requestHeaderBytes)
     , lastHandle_(requests::firstHandleOf(options_.listener).value)
-    , clientWatch_(options_.loop, [this](HttpConnection& connection) { clientGone(connection); })
+    , disconnectMonitor_(options_.loop, [this](HttpConnection& connection) { onClientDisconnected(connection); })
     , runTask_(options_.loop, TaskOrder::AfterIo, [this] { run(); })
     , pollWatcher_(options_.loop, [this](int) { runTask_.schedule(); })
     , daemonTimer_(options_.loop, [this] { runTask_.schedule(); })
@@ -70,7 +70,7 @@
     if (daemon_ == nullptr)
         return;
     for (auto& [handle, exchange] : exchanges_) {
-        exchange->breakOff();
+        exchange->abort();
         exchange->resume();
     }
     MHD_run(daemon_);
@@ -83,16 +83,16 @@
     if (!listening)
         return listening.error();
     boundAddress_ = boundAddressOf(listening.value().get());
-    if (options_.sendBuffer > 0) // Accepted connections inherit it.
+    if (options_.sendBuffer > 0) // Inherited by accepted connections.
         ::setsockopt(listening.value().get(), SOL_SOCKET, SO_SNDBUF, &options_.sendBuffer, sizeof(options_.sendBuffer));
     const auto& limits = options_.limits;
-    const size_t pool = limits.requestHeaderBytes + PoolBeyondHeaders;
+    const size_t pool = limits.requestHeaderBytes + ExtraPoolBytes;
     const unsigned int flags = MHD_USE_EPOLL | MHD_ALLOW_SUSPEND_RESUME;
     daemon_ = MHD_start_daemon(flags, 0, nullptr, nullptr, &HttpServer::onAccess, this, //
         MHD_OPTION_LISTEN_SOCKET, listening.value().get(), //
-        MHD_OPTION_CONNECTION_LIMIT, static_cast<unsigned int>(limits.connections + ConnectionsForRefusals), //
+        MHD_OPTION_CONNECTION_LIMIT, static_cast<unsigned int>(limits.connections + RefusalConnections), //
         MHD_OPTION_CONNECTION_MEMORY_LIMIT, pool, //
-        MHD_OPTION_CONNECTION_TIMEOUT, silenceLimitOf(limits), //
+        MHD_OPTION_CONNECTION_TIMEOUT, daemonTimeoutSecondsOf(limits), //
         MHD_OPTION_STRICT_FOR_CLIENT, 1, //
         MHD_OPTION_URI_LOG_CALLBACK, &HttpServer::onUri, this, //
         MHD_OPTION_NOTIFY_COMPLETED, &HttpServer::onCompleted, this, //
@@ -100,7 +100,7 @@
         MHD_OPTION_END);
     if (daemon_ == nullptr)
         return lastError(describe(boundAddress_), "MHD_start_daemon");
-    (void)listening.value().release(); // libmicrohttpd closes it.
+    (void)listening.value().release(); // Closed by libmicrohttpd.
     pollWatcher_.watch(MHD_get_daemon_info(daemon_, MHD_DAEMON_INFO_EPOLL_FD)->epoll_fd, EV_READ);
     startLimitTimer();
     return Done {};
@@ -108,23 +108,24 @@
 
 void HttpServer::startLimitTimer()
 {
-    limitTimer_.startRepeating(std::clamp(options_.limits.headerTimeout / 4, ShortestLimitPeriod, LongestLimitPeriod));
+    limitTimer_.startRepeating(
+        std::clamp(options_.limits.headerTimeout / 4, MinLimitCheckInterval, MaxLimitCheckInterval));
 }
 
 void HttpServer::setCallerLimits(const model::CallerLimits& limits)
 {
-    // Heads are read into memory of the size that was set at the start.
-    options_.limits.requestHeaderBytes = std::min(limits.headerBytes, largestHeaderBytes_);
+    // The memory for request heads is allocated at start and cannot grow.
+    options_.limits.requestHeaderBytes = std::min(limits.headerBytes, maxHeaderBytes_);
     options_.limits.headerTimeout = limits.headerTimeout;
     options_.limits.idleTimeout = limits.idleTimeout;
     for (HttpConnection& connection : connections_)
-        setSilenceLimit(connection.connection);
+        setDaemonTimeout(connection.connection);
     startLimitTimer();
 }
 
-void HttpServer::setSilenceLimit(MHD_Connection* connection) const
+void HttpServer::setDaemonTimeout(MHD_Connection* connection) const
 {
-    MHD_set_connection_option(connection, MHD_CONNECTION_OPTION_TIMEOUT, silenceLimitOf(options_.limits));
+    MHD_set_connection_option(connection, MHD_CONNECTION_OPTION_TIMEOUT, daemonTimeoutSecondsOf(options_.limits));
 }
 
 void HttpServer::stopAccepting()
@@ -156,7 +157,7 @@
     if (exchange == nullptr)
         return;
     if (!exchange->setResponse(std::move(action)))
-        return breakOff(*exchange);
+        return abort(*exchange);
     resume(*exchange);
 }
 
@@ -166,7 +167,7 @@
     if (exchange == nullptr)
         return;
     if (!exchange->hasResponse() || !exchange->addResponseBody(action.bytes, action.isLast))
-        return breakOff(*exchange);
+        return abort(*exchange);
     if (exchange->isResponseQueued())
         resume(*exchange);
 }
@@ -175,7 +176,7 @@
 {
     HttpExchange* exchange = find(action.handle);
     if (exchange != nullptr)
-        breakOff(*exchange);
+        abort(*exchange);
 }
 
 void HttpServer::carryOut(const requests::HttpRequestWindow& action)
@@ -188,15 +189,15 @@
         resume(*exchange);
 }
 
-void HttpServer::breakOff(HttpExchange& exchange)
+void HttpServer::abort(HttpExchange& exchange)
 {
     exchange.isEnded = true;
-    exchange.breakOff();
+    exchange.abort();
     resume(exchange);
     runTask_.schedule();
 }
 
-void HttpServer::tellAborted(HttpExchange& exchange)
+void HttpServer::reportAborted(HttpExchange& exchange)
 {
     if (!exchange.isStarted || exchange.isEnded)
         return;
@@ -205,19 +206,19 @@
         options_.sink(requests::HttpRequestAborted {.handle = exchange.handle()});
 }
 
-void HttpServer::clientGone(HttpConnection& connection)
+void HttpServer::onClientDisconnected(HttpConnection& connection)
 {
     HttpExchange* exchange = connection.exchange;
     if (exchange == nullptr || !exchange->isSuspended())
-        return; // libmicrohttpd sees it by itself.
-    tellAborted(*exchange);
-    exchange->breakOff();
+        return; // libmicrohttpd detects it.
+    reportAborted(*exchange);
+    exchange->abort();
     resume(*exchange);
 }
 
 void HttpServer::run()
 {
-    for (int i = 0; i < RunsAtOnce; ++i) {
+    for (int i = 0; i < MaxRunsPerTurn; ++i) {
         MHD_run(daemon_);
         emitProgress();
         MHD_UNSIGNED_LONG_LONG timeout = 0;
@@ -234,7 +235,7 @@
     while (!progressing_.empty()) {
         HttpExchange& exchange = progressing_.front();
         progressing_.pop_front();
-        const uint64_t bytes = exchange.takeProgress();
+        const uint64_t bytes = exchange.drainProgress();
         if (!exchange.isEnded)
             options_.sink(requests::HttpResponseProgress {.handle = exchange.handle(), .bytes = bytes});
     }
@@ -262,7 +263,7 @@
         if (!isOverdue(connection))
             continue;
         ::shutdown(connection.fd, SHUT_RDWR);
-        connection.phase = HttpConnection::Phase::InExchange; // Its end is under way.
+        connection.phase = HttpConnection::Phase::InExchange; // It is being closed.
     }
 }
 
@@ -284,9 +285,9 @@
     created->fd = MHD_get_connection_info(connection, MHD_CONNECTION_INFO_CONNECTION_FD)->connect_fd;
     created->remoteIp = remoteIpOf(connection);
     created->phaseSince = monotonicNow();
-    setSilenceLimit(connection);
+    setDaemonTimeout(connection);
     created->isOverLimit = connections_.size() >= options_.limits.connections;
-    clientWatch_.add(*created);
+    disconnectMonitor_.add(*created);
     connections_.push_back(*created);
     *context = created.release();
 }
--- a/src/net/internal/httpserver.h
+++ b/src/net/internal/httpserver.h
@@ -6,7 +6,7 @@
 #pragma once
 
 #include "net/inetadapters.h"
-#include "net/internal/clientwatch.h"
+#include "net/internal/disconnectmonitor.h"
 #include "net/internal/httpconnection.h"
 #include "net/internal/httpexchange.h"
 #include "net/internal/iowatcher.h"
@@ -21,8 +21,8 @@
 
 namespace saltvane::net {
 
-/// HTTP server: libmicrohttpd without threads, driven by the loop. A connection is suspended while its request waits
-/// for the core: for room in a body's window, for the answer, or for the answer's next part.
+/// HTTP server: libmicrohttpd without threads, driven by the event loop. A connection is suspended while its request
+/// waits for the core: for a larger body window, for the response, or for the next part of the response.
 class HttpServer final : public IHttpServer {
 public:
     explicit HttpServer(HttpServerOptions options);
@@ -44,7 +44,7 @@
 
 private:
     void startLimitTimer();
-    void setSilenceLimit(MHD_Connection* connection) const;
+    void setDaemonTimeout(MHD_Connection* connection) const;
 
     // Callbacks of libmicrohttpd.
     static void* onUri(void* server, const char* uri, MHD_Connection* connection);
@@ -54,22 +54,22 @@
     static void onConnection(
         void* server, MHD_Connection* connection, void** context, MHD_ConnectionNotificationCode code);
 
-    // Reading of a request, in order.
-    [[nodiscard]] MHD_Result takeCall(HttpExchange& exchange, const char* data, size_t* size);
-    [[nodiscard]] MHD_Result takeHead(HttpExchange& exchange);
-    [[nodiscard]] MHD_Result takeBody(HttpExchange& exchange, const char* data, size_t* size);
-    [[nodiscard]] MHD_Result takeEnd(HttpExchange& exchange);
+    // Steps of reading a request, in order.
+    [[nodiscard]] MHD_Result handleAccess(HttpExchange& exchange, const char* data, size_t* size);
+    [[nodiscard]] MHD_Result handleHead(HttpExchange& exchange);
+    [[nodiscard]] MHD_Result handleBody(HttpExchange& exchange, const char* data, size_t* size);
+    [[nodiscard]] MHD_Result handleEnd(HttpExchange& exchange);
     void readHead(HttpExchange& exchange, const char* method, const char* version) const;
     [[nodiscard]] Result<RequestFraming, EdgeRefusal> readHeadFraming(HttpExchange& exchange) const;
     [[nodiscard]] MHD_Result refuse(HttpExchange& exchange, const EdgeRefusal& refusal);
     void emitStarted(HttpExchange& exchange);
-    [[nodiscard]] bool answerAtEdge(HttpExchange& exchange) const;
+    [[nodiscard]] bool respondAtEdge(HttpExchange& exchange) const;
 
-    // Ends.
-    void tellAborted(HttpExchange& exchange);
-    void breakOff(HttpExchange& exchange);
-    void complete(HttpExchange& exchange, bool isWhole);
-    void clientGone(HttpConnection& connection);
+    // Termination.
+    void reportAborted(HttpExchange& exchange);
+    void abort(HttpExchange& exchange);
+    void complete(HttpExchange& exchange, bool isCompleted);
+    void onClientDisconnected(HttpConnection& connection);
     void connectionStarted(MHD_Connection* connection, void** context);
     void connectionClosed(HttpConnection& connection);
 
@@ -81,15 +81,15 @@
     [[nodiscard]] bool isOverdue(const HttpConnection& connection) const;
 
     HttpServerOptions options_;
-    uint64_t largestHeaderBytes_;
+    uint64_t maxHeaderBytes_;
     std::unordered_map<requests::HttpHandle, std::unique_ptr<HttpExchange>> exchanges_;
-    HttpExchanges progressing_; ///< Exchanges whose answer's body went on.
+    HttpExchanges progressing_; ///< Exchanges with progress that is not reported yet.
     HttpConnections connections_;
     uint64_t lastHandle_;
     MHD_Daemon* daemon_ = nullptr;
     bool isStopping_ = false;
     model::Address boundAddress_;
-    ClientWatch clientWatch_;
+    DisconnectMonitor disconnectMonitor_;
     LoopTask runTask_;
     IoWatcher pollWatcher_;
     TimerWatcher daemonTimer_;
--- a/src/net/internal/httpserverrequests.cpp
+++ b/src/net/internal/httpserverrequests.cpp
@@ -10,12 +10,12 @@
 #include <algorithm>
 #include <cstring>
 
-/// How HttpServer reads a request: the calls libmicrohttpd makes for one exchange, in order.
+/// Reading of requests in HttpServer: the callbacks of libmicrohttpd for one exchange, in order.
 namespace saltvane::net {
 
 namespace {
 
-constexpr size_t UsualHeaders = 16; ///< Room for so many without growing.
+constexpr size_t TypicalHeaderCount = 16; ///< Reserved for each request.
 constexpr std::string_view MetricsPath = "/metrics";
 constexpr const char* MetricsType = "text/plain; version=0.0.4; charset=utf-8";
 
@@ -67,11 +67,11 @@
     if (!exchange.isHeadSeen)
         self.readHead(exchange, method, version);
     exchange.isInHandler = true;
-    MHD_Result result = self.takeCall(exchange, data, size);
+    MHD_Result result = self.handleAccess(exchange, data, size);
     exchange.isInHandler = false;
-    if (exchange.isSuspended() && exchange.connection().isClientGone)
-        self.clientGone(exchange.connection());
-    return exchange.isBroken() && !exchange.isResponseQueued() ? MHD_NO : result;
+    if (exchange.isSuspended() && exchange.connection().isClientDisconnected)
+        self.onClientDisconnected(exchange.connection());
+    return exchange.isAborted() && !exchange.isResponseQueued() ? MHD_NO : result;
 }
 
 void HttpServer::readHead(HttpExchange& exchange, const char* method, const char* version) const
@@ -79,23 +79,23 @@
     RequestHead& head = exchange.head();
     head.method = method;
     head.isHttp11 = std::strcmp(version, MHD_HTTP_VERSION_1_0) != 0;
-    head.headers.reserve(UsualHeaders);
+    head.headers.reserve(TypicalHeaderCount);
     MHD_get_connection_values(exchange.connection().connection, MHD_HEADER_KIND, &collectHeader, &head.headers);
     exchange.connection().phase = HttpConnection::Phase::InExchange;
 }
 
-MHD_Result HttpServer::takeCall(HttpExchange& exchange, const char* data, size_t* size)
+MHD_Result HttpServer::handleAccess(HttpExchange& exchange, const char* data, size_t* size)
 {
-    if (exchange.isBroken())
+    if (exchange.isAborted())
         return MHD_NO;
     if (!exchange.isHeadSeen)
-        return takeHead(exchange);
+        return handleHead(exchange);
     if (*size > 0)
-        return takeBody(exchange, data, size);
-    return takeEnd(exchange);
+        return handleBody(exchange, data, size);
+    return handleEnd(exchange);
 }
 
-MHD_Result HttpServer::takeHead(HttpExchange& exchange)
+MHD_Result HttpServer::handleHead(HttpExchange& exchange)
 {
     exchange.isHeadSeen = true;
     const auto framing = readHeadFraming(exchange);
@@ -104,12 +104,12 @@
     exchange.framing = framing.value();
     const bool hasBody = exchange.framing.bodyLength != 0;
     if (!hasBody)
-        return MHD_YES; // An answer queued now would make libmicrohttpd close the connection of a POST.
+        return MHD_YES; // libmicrohttpd closes the connection of a POST whose response is queued here.
     emitStarted(exchange);
-    // A caller that waits for "100 Continue" is refused before it sends its body. Any other sends it in any case:
-    // its body is read to the end, or the answer could be lost in a reset.
+    // A caller that waits for "100 Continue" is refused before it sends its body. Any other caller sends the body
+    // anyway: it is read to its end, because closing early would reset the connection and could lose the response.
     const bool isRefusedEarly = exchange.framing.expectsContinue && exchange.hasResponse();
-    if (isRefusedEarly && !exchange.isBroken())
+    if (isRefusedEarly && !exchange.isAborted())
         return exchange.queueResponse() ? MHD_YES : MHD_NO;
     return MHD_YES;
 }
@@ -133,7 +133,7 @@
 {
     if (refusal.reason != model::Reason::TooManyConnections)
         options_.counters->add(model::Counter::BadHttpRequests);
-    exchange.isEnded = true; // The core never hears of it.
+    exchange.isEnded = true; // The core is not notified of this request.
     const std::string text = refusal.message + "\n";
     const bool isNew = exchange.setResponse({.handle = exchange.handle(),
         .status = refusal.status,
@@ -146,7 +146,7 @@
     return isNew && exchange.queueResponse() ? MHD_YES : MHD_NO;
 }
 
-bool HttpServer::answerAtEdge(HttpExchange& exchange) const
+bool HttpServer::respondAtEdge(HttpExchange& exchange) const
 {
     if (!options_.isMetricsServed || !options_.metricsText || !isMetricsRequest(exchange.head()))
         return false;
@@ -161,7 +161,7 @@
 
 void HttpServer::emitStarted(HttpExchange& exchange)
 {
-    if (answerAtEdge(exchange))
+    if (respondAtEdge(exchange))
         return;
     exchange.isStarted = true;
     exchange.onProgress = [this, &exchange] {
@@ -176,26 +176,26 @@
         .remoteAddress = exchange.connection().remoteIp});
 }
 
-MHD_Result HttpServer::takeBody(HttpExchange& exchange, const char* data, size_t* size)
+MHD_Result HttpServer::handleBody(HttpExchange& exchange, const char* data, size_t* size)
 {
     exchange.bodyReceived += *size;
     if (exchange.bodyReceived > options_.limits.requestBodyBytes) {
         options_.counters->add(model::Counter::BadHttpRequests);
-        tellAborted(exchange);
+        reportAborted(exchange);
         return MHD_NO;
     }
     if (exchange.hasResponse() || exchange.isEnded) {
-        *size = 0; // Nobody waits for it any more.
+        *size = 0; // The rest of the body is discarded.
         return MHD_YES;
     }
-    const size_t taken = std::min<uint64_t>(*size, exchange.bodyWindow);
-    exchange.bodyReceived -= *size - taken;
-    exchange.bodyWindow -= taken;
-    *size -= taken;
-    if (taken > 0) {
+    const size_t accepted = std::min<uint64_t>(*size, exchange.bodyWindow);
+    exchange.bodyReceived -= *size - accepted;
+    exchange.bodyWindow -= accepted;
+    *size -= accepted;
+    if (accepted > 0) {
         exchange.isLastBodySent = exchange.framing.bodyLength == exchange.bodyReceived;
         options_.sink(requests::HttpRequestBody {
-            .handle = exchange.handle(), .bytes = std::string(data, taken), .isLast = exchange.isLastBodySent});
+            .handle = exchange.handle(), .bytes = std::string(data, accepted), .isLast = exchange.isLastBodySent});
     }
     const bool mustWait = *size > 0 && exchange.bodyWindow == 0;
     if (mustWait && !exchange.hasResponse() && !exchange.isEnded)
@@ -203,7 +203,7 @@
     return MHD_YES;
 }
 
-MHD_Result HttpServer::takeEnd(HttpExchange& exchange)
+MHD_Result HttpServer::handleEnd(HttpExchange& exchange)
 {
     if (!exchange.isStarted && !exchange.isEnded)
         emitStarted(exchange);
@@ -212,12 +212,12 @@
         exchange.isLastBodySent = true;
         options_.sink(requests::HttpRequestBody {.handle = exchange.handle(), .isLast = true});
     }
-    if (exchange.isBroken())
+    if (exchange.isAborted())
         return MHD_NO;
     if (exchange.hasResponse()) {
         const bool isQueued = exchange.queueResponse();
         if (!isQueued)
-            tellAborted(exchange);
+            reportAborted(exchange);
         return isQueued ? MHD_YES : MHD_NO;
     }
     exchange.suspend();
@@ -233,7 +233,7 @@
     *context = nullptr;
 }
 
-void HttpServer::complete(HttpExchange& exchange, bool isWhole)
+void HttpServer::complete(HttpExchange& exchange, bool isCompleted)
 {
     HttpConnection& connection = exchange.connection();
     connection.exchange = nullptr;
@@ -241,15 +241,16 @@
     connection.phaseSince = monotonicNow();
     if (!exchange.isHeadSeen && !isStopping_)
         options_.counters->add(model::Counter::BadHttpRequests);
-    const auto extracted = exchanges_.extract(exchange.handle()); // Alive to the end of this call.
-    const bool isTold = exchange.isStarted && !exchange.isEnded && !isStopping_;
-    if (!isTold)
+    // Keeps the exchange alive until the function returns.
+    const auto extracted = exchanges_.extract(exchange.handle());
+    const bool isReported = exchange.isStarted && !exchange.isEnded && !isStopping_;
+    if (!isReported)
         return;
-    if (!isWhole || exchange.isBroken()) {
+    if (!isCompleted || exchange.isAborted()) {
         options_.sink(requests::HttpRequestAborted {.handle = exchange.handle()});
         return;
     }
-    if (const uint64_t bytes = exchange.takeProgress(); bytes > 0)
+    if (const uint64_t bytes = exchange.drainProgress(); bytes > 0)
         options_.sink(requests::HttpResponseProgress {.handle = exchange.handle(), .bytes = bytes});
     options_.sink(requests::HttpResponseDone {.handle = exchange.handle()});
 }
--- a/src/net/internal/iowatcher.h
+++ b/src/net/internal/iowatcher.h
@@ -11,7 +11,7 @@
 
 namespace saltvane::net {
 
-/// Readiness of one file descriptor. The owner stops it before it closes the descriptor.
+/// Watches one file descriptor for readiness. Must be stopped before the descriptor is closed.
 class IoWatcher {
 public:
     IoWatcher(struct ev_loop* loop, std::function<void(int)> onReady)
--- a/src/net/internal/link.cpp
+++ b/src/net/internal/link.cpp
@@ -17,46 +17,46 @@
 
 namespace {
 
-constexpr Duration HandshakeLimit = 2s; ///< Once connected.
-constexpr Duration RetireLimit = 1s;
-constexpr unsigned int UnacknowledgedLimitMs = 5000;
-/// Emptied buffers give back what is beyond it: a control host has hundreds of links, most of them at rest.
-constexpr size_t KeptCapacity = 2 * 1024;
-constexpr size_t ReceivedAtOnce = 1024 * 1024; ///< Bytes, before other connections have their turn.
+constexpr Duration HandshakeTimeout = 2s; ///< Starts when the TCP connection is established.
+constexpr Duration RetireTimeout = 1s;
+constexpr unsigned int UnacknowledgedTimeoutMs = 5000;
+/// Empty buffers release memory beyond this size: a control host has hundreds of links, most of them idle.
+constexpr size_t RetainedCapacityBytes = 2 * 1024;
+constexpr size_t MaxBytesPerReceive = 1024 * 1024; ///< Then other connections are served first.
 
 void clear(std::string& buffer)
 {
     buffer.clear();
-    if (buffer.capacity() > KeptCapacity)
+    if (buffer.capacity() > RetainedCapacityBytes)
         buffer.shrink_to_fit();
 }
 
 } // namespace
 
-std::string_view toString(LinkEnd end)
+std::string_view toString(LinkCloseReason reason)
 {
-    switch (end) {
-    case LinkEnd::PeerClosed:
+    switch (reason) {
+    case LinkCloseReason::PeerClosed:
         return "peer-closed";
-    case LinkEnd::ConnectFailed:
+    case LinkCloseReason::ConnectFailed:
         return "connect-failed";
-    case LinkEnd::ConnectTimedOut:
+    case LinkCloseReason::ConnectTimedOut:
         return "connect-timed-out";
-    case LinkEnd::TimedOut:
+    case LinkCloseReason::TimedOut:
         return "timed-out";
-    case LinkEnd::Silent:
+    case LinkCloseReason::Silent:
         return "silent";
-    case LinkEnd::WriteFailed:
+    case LinkCloseReason::WriteFailed:
         return "write-failed";
-    case LinkEnd::TooSlow:
+    case LinkCloseReason::TooSlow:
         return "too-slow";
-    case LinkEnd::Refused:
+    case LinkCloseReason::Refused:
         return "refused";
-    case LinkEnd::BadRecord:
+    case LinkCloseReason::BadRecord:
         return "bad-record";
-    case LinkEnd::Replaced:
+    case LinkCloseReason::Replaced:
         return "replaced";
-    case LinkEnd::NotWanted:
+    case LinkCloseReason::NotWanted:
         return "not-wanted";
     }
     return "unknown";
@@ -70,15 +70,15 @@
           .host = options_.identity.host,
           .incarnation = options_.identity.incarnation,
           .nonce = nonce_}))
-    , heardAt_(monotonicNow())
+    , lastReceivedAt_(monotonicNow())
     , watcher_(options_.loop, [this](int events) { onReady(events); })
-    , deadline_(
-          options_.loop, [this] { end(state_ == State::Connecting ? LinkEnd::ConnectTimedOut : LinkEnd::TimedOut); })
-    , proofTimer_(options_.loop, [this] { sendHeldProof(); })
+    , deadline_(options_.loop,
+          [this] { close(state_ == State::Connecting ? LinkCloseReason::ConnectTimedOut : LinkCloseReason::TimedOut); })
+    , proofTimer_(options_.loop, [this] { sendDelayedProof(); })
 {
     setSocketOptions();
     unsent_.append(encodeLinkInteger(ownHello_.size(), LinkHelloLengthBytes) + ownHello_);
-    deadline_.startOnce(state_ == State::Connecting ? options_.connectLimit : HandshakeLimit);
+    deadline_.startOnce(state_ == State::Connecting ? options_.connectTimeout : HandshakeTimeout);
     watch();
 }
 
@@ -88,7 +88,7 @@
     ::setsockopt(options_.fd.get(), IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
     ::setsockopt(options_.fd.get(), SOL_SOCKET, SO_KEEPALIVE, &on, sizeof(on));
     ::setsockopt(
-        options_.fd.get(), IPPROTO_TCP, TCP_USER_TIMEOUT, &UnacknowledgedLimitMs, sizeof(UnacknowledgedLimitMs));
+        options_.fd.get(), IPPROTO_TCP, TCP_USER_TIMEOUT, &UnacknowledgedTimeoutMs, sizeof(UnacknowledgedTimeoutMs));
 }
 
 LinkHellos Link::hellos() const
@@ -100,10 +100,10 @@
 
 void Link::watch()
 {
-    if (state_ == State::Ended)
+    if (state_ == State::Closed)
         return;
     const bool wantsWrite = state_ == State::Connecting || !unsent_.isEmpty();
-    const bool wantsRead = state_ != State::Connecting && !isReceivingHeld_;
+    const bool wantsRead = state_ != State::Connecting && !isReceivingPaused_;
     watcher_.watch(options_.fd.get(), (wantsRead ? EV_READ : 0) | (wantsWrite ? EV_WRITE : 0));
 }
 
@@ -113,7 +113,7 @@
         return finishConnecting();
     if ((events & EV_WRITE) != 0)
         flush();
-    if ((events & EV_READ) != 0 && state_ != State::Ended)
+    if ((events & EV_READ) != 0 && state_ != State::Closed)
         receive();
 }
 
@@ -123,16 +123,16 @@
     socklen_t length = sizeof(error);
     ::getsockopt(options_.fd.get(), SOL_SOCKET, SO_ERROR, &error, &length);
     if (error != 0)
-        return end(LinkEnd::ConnectFailed, std::strerror(error));
+        return close(LinkCloseReason::ConnectFailed, std::strerror(error));
     state_ = State::AwaitingHello;
-    deadline_.startOnce(HandshakeLimit);
+    deadline_.startOnce(HandshakeTimeout);
     flush();
 }
 
 void Link::flush()
 {
     isDirty = false;
-    if (state_ == State::Ended || state_ == State::Connecting)
+    if (state_ == State::Closed || state_ == State::Connecting)
         return;
     while (!unsent_.isEmpty()) {
         const std::string_view next = unsent_.front();
@@ -142,7 +142,7 @@
         if (count < 0 && (errno == EAGAIN || errno == EWOULDBLOCK))
             break;
         if (count < 0)
-            return end(LinkEnd::WriteFailed, std::strerror(errno));
+            return close(LinkCloseReason::WriteFailed, std::strerror(errno));
         unsent_.consume(static_cast<size_t>(count));
     }
     if (state_ == State::Retiring && unsent_.isEmpty() && !isWriteClosed_) {
@@ -156,29 +156,29 @@
 {
     if (state_ != State::Up)
         return 0;
-    saidAt_ = monotonicNow();
+    lastSentAt_ = monotonicNow();
     const std::string frame = wire::encodeFrame(message);
     queueRecord(frame);
-    if (queuedBytes() > options_.largestSendQueue)
-        end(LinkEnd::TooSlow);
+    if (queuedBytes() > options_.maxSendQueueBytes)
+        close(LinkCloseReason::TooSlow);
     return frame.size();
 }
 
 void Link::keepAlive()
 {
     if (state_ != State::Up)
-        return; // The other states have time limits of their own.
-    catchUp();
+        return; // The other states have their own timeouts.
+    receivePending();
     const Timestamp now = monotonicNow();
-    if (state_ == State::Ended)
+    if (state_ == State::Closed)
         return;
-    if (isReceivingHeld_)
-        heardAt_ = now;
-    if (now - heardAt_ >= LongestSilence)
-        return end(LinkEnd::Silent);
-    if (now - saidAt_ < KeepAliveTick)
+    if (isReceivingPaused_)
+        lastReceivedAt_ = now;
+    if (now - lastReceivedAt_ >= ReceiveTimeout)
+        return close(LinkCloseReason::Silent);
+    if (now - lastSentAt_ < KeepAliveTick)
         return;
-    saidAt_ = now;
+    lastSentAt_ = now;
     queueRecord({});
     flush();
 }
@@ -190,9 +190,9 @@
     unsent_.append(record);
 }
 
-void Link::catchUp()
+void Link::receivePending()
 {
-    if (isSuspect() && !isReceivingHeld_)
+    if (isSuspect() && !isReceivingPaused_)
         receive();
 }
 
@@ -201,26 +201,26 @@
     if (state_ != State::Up)
         return;
     state_ = State::Retiring;
-    deadline_.startOnce(RetireLimit);
+    deadline_.startOnce(RetireTimeout);
     flush();
 }
 
-void Link::end(LinkEnd end, std::string_view detail)
+void Link::close(LinkCloseReason reason, std::string_view detail)
 {
-    if (state_ == State::Ended)
+    if (state_ == State::Closed)
         return;
-    state_ = State::Ended;
+    state_ = State::Closed;
     watcher_.stop();
     deadline_.stop();
     proofTimer_.stop();
     options_.fd.reset();
-    options_.owner.linkEnded(*this, end, detail);
+    options_.owner.onLinkClosed(*this, reason, detail);
 }
 
-void Link::holdReceiving(bool isHeld)
+void Link::setReceivingPaused(bool isPaused)
 {
-    isReceivingHeld_ = isHeld;
-    if (!isHeld)
+    isReceivingPaused_ = isPaused;
+    if (!isPaused)
         process();
     watch();
 }
@@ -228,31 +228,31 @@
 void Link::receive()
 {
     const std::span<char> scratch = options_.scratch;
-    for (size_t total = 0; total < ReceivedAtOnce && !isReceivingHeld_;) {
+    for (size_t total = 0; total < MaxBytesPerReceive && !isReceivingPaused_;) {
         const ssize_t count = ::recv(options_.fd.get(), scratch.data(), scratch.size(), 0);
         if (count < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR))
             return;
         if (count <= 0)
-            return end(LinkEnd::PeerClosed, count < 0 ? std::strerror(errno) : "");
-        heardAt_ = monotonicNow();
+            return close(LinkCloseReason::PeerClosed, count < 0 ? std::strerror(errno) : "");
+        lastReceivedAt_ = monotonicNow();
         received_.append(scratch.data(), static_cast<size_t>(count));
         total += static_cast<size_t>(count);
         process();
-        if (state_ == State::Ended || static_cast<size_t>(count) < scratch.size())
+        if (state_ == State::Closed || static_cast<size_t>(count) < scratch.size())
             return;
     }
 }
 
 void Link::process()
 {
-    bool goesOn = true;
-    while (goesOn && state_ != State::Ended && !isReceivingHeld_ && !isProofHeld_) {
+    bool hasProgress = true;
+    while (hasProgress && state_ != State::Closed && !isReceivingPaused_ && !isProofDelayed_) {
         if (state_ == State::AwaitingHello)
-            goesOn = takeHello();
+            hasProgress = handleHello();
         else if (state_ == State::AwaitingProof)
-            goesOn = takeProof();
+            hasProgress = handleProof();
         else
-            goesOn = takeRecord();
+            hasProgress = handleRecord();
     }
 }
 
@@ -268,13 +268,13 @@
     }
 }
 
-bool Link::takeHello()
+bool Link::handleHello()
 {
     if (unread().size() < LinkHelloLengthBytes)
         return false;
     const uint64_t length = decodeLinkInteger(unread().substr(0, LinkHelloLengthBytes));
-    if (length > LargestLinkHello) {
-        end(LinkEnd::Refused, "hello-too-large");
+    if (length > MaxLinkHelloBytes) {
+        close(LinkCloseReason::Refused, "hello-too-large");
         return false;
     }
     if (unread().size() < LinkHelloLengthBytes + length)
@@ -283,18 +283,18 @@
     consume(LinkHelloLengthBytes + length);
     const auto hello = decodeLinkHello(peerHelloBytes_);
     if (!hello || hello->deployment != options_.identity.deployment) {
-        end(LinkEnd::Refused, hello ? "other-deployment" : "bad-hello");
+        close(LinkCloseReason::Refused, hello ? "other-deployment" : "bad-hello");
         return false;
     }
     peer_ = *hello;
     state_ = State::AwaitingProof;
-    if (options_.isBesideSuspect) {
-        isProofHeld_ = true;
+    if (options_.replacesSuspect) {
+        isProofDelayed_ = true;
         proofTimer_.startOnce(KeepAliveTick);
         return false;
     }
     sendProof();
-    return state_ != State::Ended;
+    return state_ != State::Closed;
 }
 
 void Link::sendProof()
@@ -303,18 +303,18 @@
     flush();
 }
 
-void Link::sendHeldProof()
+void Link::sendDelayedProof()
 {
-    isProofHeld_ = false;
-    if (!options_.owner.isLinkStillOfUse(*this))
-        return end(LinkEnd::NotWanted, "heard-again");
-    if (state_ == State::Ended)
+    isProofDelayed_ = false;
+    if (!options_.owner.isReplacementNeeded(*this))
+        return close(LinkCloseReason::NotWanted, "heard-again");
+    if (state_ == State::Closed)
         return;
     sendProof();
     process();
 }
 
-bool Link::takeProof()
+bool Link::handleProof()
 {
     if (unread().size() < LinkProofBytes)
         return false;
@@ -322,7 +322,7 @@
     consume(LinkProofBytes);
     const LinkRole peerRole = otherRole(options_.role);
     if (!isLinkProof(options_.identity.secret, peerRole, hellos(), proof)) {
-        end(LinkEnd::Refused, "wrong-key");
+        close(LinkCloseReason::Refused, "wrong-key");
         return false;
     }
     sealer_.emplace(deriveSessionKey(options_.identity.secret, options_.role, hellos()));
@@ -330,17 +330,17 @@
     state_ = State::Up;
     upSince_ = monotonicNow();
     deadline_.stop();
-    options_.owner.linkProven(*this);
-    return state_ != State::Ended;
+    options_.owner.onLinkAuthenticated(*this);
+    return state_ != State::Closed;
 }
 
-bool Link::takeRecord()
+bool Link::handleRecord()
 {
     const RecordSeal::Opened record = opener_->open(unread());
     if (record.result == RecordSeal::OpenResult::Incomplete)
         return false;
     if (record.result != RecordSeal::OpenResult::Opened) {
-        end(LinkEnd::BadRecord, record.result == RecordSeal::OpenResult::BadTag ? "bad-tag" : "too-large");
+        close(LinkCloseReason::BadRecord, record.result == RecordSeal::OpenResult::BadTag ? "bad-tag" : "too-large");
         return false;
     }
     const bool isKeepAlive = record.frame.empty();
@@ -350,10 +350,10 @@
         return true;
     auto message = reader_.next();
     if (!message || !message.value().has_value()) {
-        end(LinkEnd::BadRecord, message ? "cut-frame" : "bad-frame");
+        close(LinkCloseReason::BadRecord, message ? "cut-frame" : "bad-frame");
         return false;
     }
-    options_.owner.linkReceived(*this, std::move(*message.value()));
+    options_.owner.onLinkMessage(*this, std::move(*message.value()));
     return true;
 }
 
--- a/src/net/internal/link.h
+++ b/src/net/internal/link.h
@@ -27,7 +27,7 @@
 
 class Link;
 
-/// What all links of a host share.
+/// The data that all links of a host share.
 struct LinkIdentity {
     std::string deployment;
     HostId host;
@@ -35,69 +35,70 @@
     LinkSecret secret {};
 };
 
-/// Why a link ended.
-enum class LinkEnd {
+/// Why a link was closed.
+enum class LinkCloseReason {
     PeerClosed,
     ConnectFailed,
-    ConnectTimedOut, ///< The peer's host answers nothing.
+    ConnectTimedOut, ///< The peer's machine did not respond.
     TimedOut,
-    Silent, ///< Nothing was heard for Link::LongestSilence, though the peer's kernel may go on acknowledging.
+    Silent, ///< Nothing was received for Link::ReceiveTimeout, even if the peer's kernel still acknowledges data.
     WriteFailed,
-    TooSlow, ///< Its send queue was full.
-    Refused, ///< Its handshake failed: counts as LinkAuthFailures.
-    BadRecord, ///< A record that doesn't open or decode: counts as BadFrames.
+    TooSlow, ///< The send queue exceeded its limit.
+    Refused, ///< The handshake failed; counted in LinkAuthFailures.
+    BadRecord, ///< A record could not be authenticated or decoded; counted in BadFrames.
     Replaced,
     NotWanted
 };
-[[nodiscard]] std::string_view toString(LinkEnd end);
+[[nodiscard]] std::string_view toString(LinkCloseReason reason);
 
-/// Who a link reports to. The link may be closed from within each call, but not destroyed.
+/// Receives the events of a link. Each call may close the link, but must not destroy it.
 class ILinkOwner {
 public:
     virtual ~ILinkOwner() = default;
-    /// The peer proved who it is.
-    virtual void linkProven(Link& link) = 0;
-    virtual void linkReceived(Link& link, model::Message message) = 0;
-    /// Of a link that was dialled beside a suspect one. False: the other one is heard again.
-    [[nodiscard]] virtual bool isLinkStillOfUse(Link& link) = 0;
-    /// Called once.
-    virtual void linkEnded(Link& link, LinkEnd end, std::string_view detail) = 0;
+    /// The peer has authenticated itself.
+    virtual void onLinkAuthenticated(Link& link) = 0;
+    virtual void onLinkMessage(Link& link, model::Message message) = 0;
+    /// Asked before a replacement of a suspect link authenticates. False: data arrives on the suspect link again.
+    [[nodiscard]] virtual bool isReplacementNeeded(Link& link) = 0;
+    /// Called exactly once.
+    virtual void onLinkClosed(Link& link, LinkCloseReason reason, std::string_view detail) = 0;
 };
 
-/// One TCP connection to another host: connecting, handshake, then protected records.
+/// One TCP connection to another host: connecting, handshake, then authenticated records.
 class Link : public boost::intrusive::list_base_hook<> {
 public:
     static constexpr size_t ScratchBytes = 64 * 1024;
-    /// How often a link is looked after.
+    /// Interval of keepAlive().
     static constexpr Duration KeepAliveTick = 250ms;
-    /// Each side of a link says something at least this often: what it says between two ticks counts for the next one.
-    static constexpr Duration KeepAlivePeriod = 2 * KeepAliveTick;
-    /// A link on which nothing was heard for so long is dialled anew beside the one that stands: two words missed, and
-    /// a lost packet sent again. Connections may fall silent for good while new ones work, and hosts held to what is in
-    /// force 3 s after a fault must have found it by then. Measured with connections that pass nothing any more, on one
-    /// machine: a new link stands after 1.25 to 1.5 s.
+    /// Each side of a link sends at least this often: two ticks, because a message sent between two ticks replaces the
+    /// keep-alive record of the next tick.
+    static constexpr Duration KeepAliveInterval = 2 * KeepAliveTick;
+    /// If nothing is received for this long, a replacement link is dialled while this one stays open. Covers two missed
+    /// keep-alive records and a retransmission. A connection can stop passing data for good while new ones work, and
+    /// hosts must have what is in force within 3 s of a fault. With connections on one machine that pass no more data,
+    /// the replacement is up after 1.25 to 1.5 s.
     static constexpr Duration SuspectAfter = 1s;
-    /// How long silence is borne where no new link stands either: a second more than the kernel's own limit for
-    /// unacknowledged bytes, so that it goes first where it can. A host that stands still for so long has lost its
-    /// links either way.
-    static constexpr Duration LongestSilence = 6s;
+    /// If nothing is received for this long and no replacement link is up, the link is closed. One second more than the
+    /// kernel's timeout for unacknowledged bytes (TCP_USER_TIMEOUT), so that the kernel closes first if it can. A host
+    /// that stalls for this long loses its links in either case.
+    static constexpr Duration ReceiveTimeout = 6s;
 
-    enum class State { Connecting, AwaitingHello, AwaitingProof, Up, Retiring, Ended };
+    enum class State { Connecting, AwaitingHello, AwaitingProof, Up, Retiring, Closed };
 
     struct Options {
         struct ev_loop* loop = nullptr;
         const LinkIdentity& identity;
         ILinkOwner& owner;
         LinkRole role = LinkRole::Initiator;
-        UniqueFd fd; ///< Connecting or connected.
+        UniqueFd fd; ///< A connecting or connected socket.
         std::string remote; ///< For logs.
-        Duration connectLimit {}; ///< Of an initiator, until the peer's kernel has answered.
-        /// Of an initiator: the peer is given a KeepAliveTick to be heard on the link that stands, before it learns
-        /// that this one takes its place. Without it, hosts that stood still for 3 s lost nine in ten links as they
-        /// went on.
-        bool isBesideSuspect = false;
-        size_t largestSendQueue = 0;
-        std::span<char> scratch; ///< Shared by all links: what one read takes.
+        Duration connectTimeout {}; ///< For an initiator, until the TCP connection is established.
+        /// For an initiator: delays its proof by a KeepAliveTick, so that data can still arrive on the suspect link
+        /// before the peer replaces that link by this one. Without the delay, hosts that resumed after a stall of 3 s
+        /// lost nine of ten links.
+        bool replacesSuspect = false;
+        size_t maxSendQueueBytes = 0;
+        std::span<char> scratch; ///< Read buffer, shared by all links.
     };
     explicit Link(Options options);
     Link(const Link&) = delete;
@@ -106,33 +107,38 @@
     [[nodiscard]] State state() const { return state_; }
     [[nodiscard]] LinkRole role() const { return options_.role; }
     [[nodiscard]] const std::string& remote() const { return options_.remote; }
-    /// Empty before the hello came; unproven before Up.
+    /// Empty until the hello is received; not authenticated until the link is Up.
     [[nodiscard]] const HostId& peerHost() const { return peer_.host; }
     [[nodiscard]] Incarnation peerIncarnation() const { return peer_.incarnation; }
     [[nodiscard]] const LinkNonce& ownNonce() const { return nonce_; }
     [[nodiscard]] const LinkNonce& peerNonce() const { return peer_.nonce; }
     [[nodiscard]] Timestamp upSince() const { return upSince_; }
-    /// When the last bytes of the peer came, or the connection was opened.
-    [[nodiscard]] Timestamp heardAt() const { return heardAt_; }
-    /// Up, and nothing was heard for SuspectAfter.
-    [[nodiscard]] bool isSuspect() const { return state_ == State::Up && monotonicNow() - heardAt_ >= SuspectAfter; }
-    /// Reads what came while this host stood still: it was heard.
-    void catchUp();
-
-    /// Queues a message; flush() sends. Ends the link where its queue is full. Returns the bytes of its frame.
+    /// When the last bytes were received, or the connection was opened.
+    [[nodiscard]] Timestamp lastReceivedAt() const { return lastReceivedAt_; }
+    /// True if the link is Up and nothing was received for SuspectTimeout.
+    [[nodiscard]] bool isSuspect() const
+    {
+        return state_ == State::Up && monotonicNow() - lastReceivedAt_ >= SuspectAfter;
+    }
+    /// Reads data that arrived while this process was stalled, so that it counts as received.
+    void receivePending();
+
+    /// Queues a message, which flush() sends. Closes the link if its queue exceeds the limit. Returns the frame's size
+    /// in bytes.
     size_t send(const model::Message& message);
     [[nodiscard]] size_t queuedBytes() const { return unsent_.bytes(); }
-    /// Bytes that its buffers take.
+    /// Bytes allocated by its buffers.
     [[nodiscard]] size_t memory() const { return unsent_.memory() + received_.capacity(); }
-    /// To be called each KeepAliveTick: says something where nothing was said, ends the link where nothing was heard.
+    /// To be called each KeepAliveTick: sends a keep-alive record if nothing was sent since the last tick; closes the
+    /// link after ReceiveTimeout.
     void keepAlive();
-    /// Writes what is queued, as far as the socket takes it.
+    /// Writes queued bytes until the socket's buffer is full.
     void flush();
-    /// Sends what is queued, then closes the sending side; receives until the peer closes, for a second at most.
+    /// Sends the queued bytes, then closes the sending side; still receives until the peer closes, for 1 s at most.
     void retire();
-    void end(LinkEnd end, std::string_view detail = {});
-    /// Holds received bytes back, so that an older link's messages come first.
-    void holdReceiving(bool isHeld);
+    void close(LinkCloseReason reason, std::string_view detail = {});
+    /// Pauses receiving, so that the messages of an older link are delivered first.
+    void setReceivingPaused(bool isPaused);
 
     bool isDirty = false; ///< Queued for the owner's flush.
 
@@ -141,12 +147,12 @@
     void finishConnecting();
     void receive();
     void process();
-    [[nodiscard]] bool takeHello();
+    [[nodiscard]] bool handleHello();
     void queueRecord(std::string_view frame);
     void sendProof();
-    void sendHeldProof();
-    [[nodiscard]] bool takeProof();
-    [[nodiscard]] bool takeRecord();
+    void sendDelayedProof();
+    [[nodiscard]] bool handleProof();
+    [[nodiscard]] bool handleRecord();
     void consume(size_t bytes);
     [[nodiscard]] std::string_view unread() const { return std::string_view(received_).substr(consumed_); }
     [[nodiscard]] LinkHellos hellos() const;
@@ -166,10 +172,10 @@
     size_t consumed_ = 0;
     SendQueue unsent_;
     Timestamp upSince_;
-    Timestamp heardAt_;
-    Timestamp saidAt_;
-    bool isReceivingHeld_ = false;
-    bool isProofHeld_ = false; ///< The hello has come; until proofTimer_ nothing more is looked at.
+    Timestamp lastReceivedAt_;
+    Timestamp lastSentAt_;
+    bool isReceivingPaused_ = false;
+    bool isProofDelayed_ = false; ///< The hello was received; further input waits for proofTimer_.
     bool isWriteClosed_ = false;
     IoWatcher watcher_;
     TimerWatcher deadline_;
--- a/src/net/internal/linkbacklog.cpp
+++ b/src/net/internal/linkbacklog.cpp
@@ -9,14 +9,15 @@
 
 #include <algorithm>
 
-/// What waits on LinkHub's links for peers that take it slower than it comes: told, and held to a limit.
+/// Backlog of LinkHub: reports and limits the bytes queued for peers that receive slower than this host sends.
 namespace saltvane::net {
 
 namespace {
 
-constexpr Duration BacklogLogPeriod = 1s; ///< Between two lines.
-constexpr size_t SmallQueue = 64 * 1024; ///< Bytes: what waits over all links is not counted for less on one.
-constexpr uint64_t LoggedBacklog = 1024 * 1024; ///< Bytes: two seconds of the narrowest link of the users' (4 Mbit/s).
+constexpr Duration BacklogLogInterval = 1s; ///< Minimum interval of the log line.
+/// A message on a link with a shorter queue does not trigger the check of the limit over all links.
+constexpr size_t MinLimitedQueueBytes = 64 * 1024;
+constexpr uint64_t MinLoggedBacklogBytes = 1024 * 1024; ///< 2 s of the slowest network link of the users (4 Mbit/s).
 
 } // namespace
 
@@ -34,11 +35,11 @@
     return backlog;
 }
 
-void LinkHub::watchBacklog(const Link& grown)
+void LinkHub::onBacklogGrown(const Link& grown)
 {
     logBacklog();
-    if (grown.queuedBytes() > SmallQueue)
-        holdBacklog();
+    if (grown.queuedBytes() > MinLimitedQueueBytes)
+        enforceBacklogLimit();
 }
 
 void LinkHub::logBacklog()
@@ -46,21 +47,21 @@
     const Timestamp now = monotonicNow();
     if (now < nextBacklogLogAt_)
         return;
-    nextBacklogLogAt_ = now + BacklogLogPeriod;
-    const LinkBacklog waiting = backlog();
-    if (waiting.bytes < LoggedBacklog)
+    nextBacklogLogAt_ = now + BacklogLogInterval;
+    const LinkBacklog current = backlog();
+    if (current.bytes < MinLoggedBacklogBytes)
         return;
-    LOG_TAGGED(WARNING, "net") << "event=link_backlog bytes=" << waiting.bytes << " memory=" << waiting.memory
-                               << " largest=" << waiting.largestBytes << " peer=" << waiting.largestPeer.value();
+    LOG_TAGGED(WARNING, "net") << "event=link_backlog bytes=" << current.bytes << " memory=" << current.memory
+                               << " largest=" << current.largestBytes << " peer=" << current.largestPeer.value();
 }
 
-void LinkHub::holdBacklog()
+void LinkHub::enforceBacklogLimit()
 {
-    for (LinkBacklog waiting = backlog(); waiting.memory > options_.largestBacklog && waiting.largestBytes > 0;
-         waiting = backlog()) {
-        const auto largest
-            = std::ranges::find_if(links_, [&](const Link& one) { return one.queuedBytes() == waiting.largestBytes; });
-        largest->end(LinkEnd::TooSlow, "largest-of-all");
+    for (LinkBacklog current = backlog(); current.memory > options_.largestBacklog && current.largestBytes > 0;
+         current = backlog()) {
+        const auto largest = std::ranges::find_if(
+            links_, [&](const Link& link) { return link.queuedBytes() == current.largestBytes; });
+        largest->close(LinkCloseReason::TooSlow, "largest-of-all");
     }
 }
 
--- a/src/net/internal/linkdialling.cpp
+++ b/src/net/internal/linkdialling.cpp
@@ -12,27 +12,28 @@
 #include <random>
 #include <utility>
 
-/// Which peers a hub dials, and when.
+/// Dialling of LinkHub: which peers it connects to, and when.
 namespace saltvane::net {
 
 namespace {
 
-constexpr Duration LowerHostFirst = 200ms; ///< Head start of the lower host id's dialling.
-constexpr int SmallestJitterPercent = 50;
+constexpr Duration HigherHostDialDelay = 200ms; ///< The host with the lower id dials first.
+constexpr int MinJitterPercent = 50;
 constexpr int Percent = 100;
 
 } // namespace
 
-WantedLink* LinkHub::wantedOf(const Link& link) const
+DesiredLink* LinkHub::desiredLinkOf(const Link& link) const
 {
-    const auto found
-        = std::find_if(wanted_.begin(), wanted_.end(), [&](const auto& wanted) { return wanted->attempt == &link; });
-    return found == wanted_.end() ? nullptr : found->get();
+    const auto found = std::find_if(
+        desiredLinks_.begin(), desiredLinks_.end(), [&](const auto& desired) { return desired->attempt == &link; });
+    return found == desiredLinks_.end() ? nullptr : found->get();
 }
 
-bool LinkHub::isWanted(const HostId& host) const
+bool LinkHub::isDesired(const HostId& host) const
 {
-    return std::any_of(wanted_.begin(), wanted_.end(), [&](const auto& wanted) { return wanted->host() == host; });
+    return std::any_of(
+        desiredLinks_.begin(), desiredLinks_.end(), [&](const auto& desired) { return desired->host() == host; });
 }
 
 Link* LinkHub::suspectLinkTo(const HostId& host) const
@@ -42,75 +43,75 @@
     return link != nullptr && link->isSuspect() ? link : nullptr;
 }
 
-void LinkHub::dialBesideSuspects()
+void LinkHub::dialSuspectPeers()
 {
-    for (const auto& wanted : wanted_) {
-        if (wanted->attempt == nullptr && !wanted->isDiallingSoon() && suspectLinkTo(wanted->host()) != nullptr)
-            dial(*wanted);
+    for (const auto& desired : desiredLinks_) {
+        if (desired->attempt == nullptr && !desired->isDiallingSoon() && suspectLinkTo(desired->host()) != nullptr)
+            dial(*desired);
     }
 }
 
-bool LinkHub::isLinkStillOfUse(Link& link)
+bool LinkHub::isReplacementNeeded(Link& link)
 {
     if (Link* const suspect = suspectLinkTo(link.peerHost()))
-        suspect->catchUp();
-    const bool isOfUse = !isUp(link.peerHost()) || suspectLinkTo(link.peerHost()) != nullptr;
-    WantedLink* const wanted = wantedOf(link);
-    if (!isOfUse && wanted != nullptr)
-        wanted->resetWait(); // It was reached: what made its tries rarer is over.
-    return isOfUse;
+        suspect->receivePending();
+    const bool isNeeded = !isUp(link.peerHost()) || suspectLinkTo(link.peerHost()) != nullptr;
+    DesiredLink* const desired = desiredLinkOf(link);
+    if (!isNeeded && desired != nullptr)
+        desired->resetWait(); // The peer was reached, so the wait starts over.
+    return isNeeded;
 }
 
 void LinkHub::carryOut(const host::LinksWanted& action)
 {
-    std::vector<std::unique_ptr<WantedLink>> before = std::exchange(wanted_, {});
+    std::vector<std::unique_ptr<DesiredLink>> before = std::exchange(desiredLinks_, {});
     for (const host::LinksWanted::Peer& peer : action.peers) {
         const auto known
             = std::find_if(before.begin(), before.end(), [&](const auto& old) { return old && old->peer() == peer; });
         if (known != before.end()) {
-            wanted_.push_back(std::move(*known));
+            desiredLinks_.push_back(std::move(*known));
             continue;
         }
         if (peer.host == options_.self)
             continue;
-        wanted_.push_back(
-            std::make_unique<WantedLink>(options_.loop, peer, [this](WantedLink& wanted) { dial(wanted); }));
-        const bool goesFirst = peer.host.isEmpty() || options_.self < peer.host;
-        wanted_.back()->dialAfter(goesFirst ? Duration::zero() : LowerHostFirst);
+        desiredLinks_.push_back(
+            std::make_unique<DesiredLink>(options_.loop, peer, [this](DesiredLink& desired) { dial(desired); }));
+        const bool dialsFirst = peer.host.isEmpty() || options_.self < peer.host;
+        desiredLinks_.back()->dialAfter(dialsFirst ? Duration::zero() : HigherHostDialDelay);
     }
-    std::vector<Link*> unwanted;
+    std::vector<Link*> undesired;
     for (Link& link : links_) {
         const bool isDialled = link.role() == LinkRole::Initiator;
         const bool isAttempt = link.state() < Link::State::Up;
-        const bool isKept = isAttempt ? wantedOf(link) != nullptr : isWanted(link.peerHost());
+        const bool isKept = isAttempt ? desiredLinkOf(link) != nullptr : isDesired(link.peerHost());
         if (isDialled && !isKept)
-            unwanted.push_back(&link);
+            undesired.push_back(&link);
     }
-    for (Link* link : unwanted)
-        link->end(LinkEnd::NotWanted);
+    for (Link* link : undesired)
+        link->close(LinkCloseReason::NotWanted);
 }
 
-void LinkHub::dial(WantedLink& wanted)
+void LinkHub::dial(DesiredLink& desired)
 {
-    const bool isLinked = isUp(wanted.host()) && suspectLinkTo(wanted.host()) == nullptr;
-    if (wanted.isSelf || wanted.attempt != nullptr || isLinked)
+    const bool isLinked = isUp(desired.host()) && suspectLinkTo(desired.host()) == nullptr;
+    if (desired.isSelf || desired.attempt != nullptr || isLinked)
         return;
-    const auto address = SocketAddress::from(wanted.peer().address);
+    const auto address = SocketAddress::from(desired.peer().address);
     if (!address)
         return;
     UniqueFd fd(::socket(address->family(), SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
     if (!fd.isOpen() || (::connect(fd.get(), address->get(), address->length()) != 0 && errno != EINPROGRESS))
-        return dialAgain(wanted);
-    wanted.attempt = &addLink(LinkRole::Initiator, std::move(fd), wanted.peer().address,
-        {.connectLimit = wanted.nextConnectLimit(), .isBesideSuspect = isUp(wanted.host())});
+        return scheduleRetry(desired);
+    desired.attempt = &addLink(LinkRole::Initiator, std::move(fd), desired.peer().address,
+        {.connectTimeout = desired.nextConnectTimeout(), .replacesSuspect = isUp(desired.host())});
 }
 
-void LinkHub::dialAgain(WantedLink& wanted)
+void LinkHub::scheduleRetry(DesiredLink& desired)
 {
-    if (wanted.isSelf)
+    if (desired.isSelf)
         return;
-    std::uniform_int_distribution<int> percent(SmallestJitterPercent, Percent);
-    wanted.dialAfter(wanted.nextWait() * percent(jitter_) / Percent);
+    std::uniform_int_distribution<int> percent(MinJitterPercent, Percent);
+    desired.dialAfter(desired.nextWait() * percent(jitter_) / Percent);
 }
 
 } // namespace saltvane::net
--- a/src/net/internal/linkhello.cpp
+++ b/src/net/internal/linkhello.cpp
@@ -14,32 +14,32 @@
 constexpr std::string_view Magic = "SVLK";
 constexpr char Version = 1;
 constexpr size_t IncarnationBytes = 8;
-constexpr size_t LargestName = 255;
-constexpr unsigned int BitsOfByte = 8;
+constexpr size_t MaxNameBytes = 255;
+constexpr unsigned int BitsPerByte = 8;
 
 void appendName(std::string& to, std::string_view name)
 {
-    const std::string_view cut = name.substr(0, LargestName);
+    const std::string_view cut = name.substr(0, MaxNameBytes);
     to += static_cast<char>(cut.size());
     to += cut;
 }
 
-/// Cuts the first `count` bytes off `rest`.
-std::optional<std::string_view> takeBytes(std::string_view& rest, size_t count)
+/// Removes the first `count` bytes from `rest` and returns them.
+std::optional<std::string_view> popBytes(std::string_view& rest, size_t count)
 {
     if (rest.size() < count)
         return std::nullopt;
-    const std::string_view taken = rest.substr(0, count);
+    const std::string_view popped = rest.substr(0, count);
     rest.remove_prefix(count);
-    return taken;
+    return popped;
 }
 
-std::optional<std::string_view> takeName(std::string_view& rest)
+std::optional<std::string_view> popName(std::string_view& rest)
 {
-    const auto size = takeBytes(rest, 1);
+    const auto size = popBytes(rest, 1);
     if (!size)
         return std::nullopt;
-    return takeBytes(rest, static_cast<unsigned char>(size->front()));
+    return popBytes(rest, static_cast<unsigned char>(size->front()));
 }
 
 } // namespace
@@ -48,7 +48,7 @@
 {
     std::string text(bytes, '\0');
     for (size_t i = 0; i < bytes; ++i)
-        text[i] = static_cast<char>(value >> (BitsOfByte * i));
+        text[i] = static_cast<char>(value >> (BitsPerByte * i));
     return text;
 }
 
@@ -56,7 +56,7 @@
 {
     uint64_t value = 0;
     for (size_t i = 0; i < bytes.size(); ++i)
-        value |= static_cast<uint64_t>(static_cast<unsigned char>(bytes[i])) << (BitsOfByte * i);
+        value |= static_cast<uint64_t>(static_cast<unsigned char>(bytes[i])) << (BitsPerByte * i);
     return value;
 }
 
@@ -73,12 +73,12 @@
 
 std::optional<LinkHello> decodeLinkHello(std::string_view bytes)
 {
-    const auto magic = takeBytes(bytes, Magic.size());
-    const auto version = takeBytes(bytes, 1);
-    const auto nonce = takeBytes(bytes, LinkNonceBytes);
-    const auto incarnation = takeBytes(bytes, IncarnationBytes);
-    const auto deployment = takeName(bytes);
-    const auto host = takeName(bytes);
+    const auto magic = popBytes(bytes, Magic.size());
+    const auto version = popBytes(bytes, 1);
+    const auto nonce = popBytes(bytes, LinkNonceBytes);
+    const auto incarnation = popBytes(bytes, IncarnationBytes);
+    const auto deployment = popName(bytes);
+    const auto host = popName(bytes);
     if (!host || !bytes.empty() || *magic != Magic || version->front() != Version || host->empty())
         return std::nullopt;
     LinkHello hello {
--- a/src/net/internal/linkhello.h
+++ b/src/net/internal/linkhello.h
@@ -19,7 +19,7 @@
 inline constexpr size_t LinkNonceBytes = 32;
 using LinkNonce = std::array<unsigned char, LinkNonceBytes>;
 
-/// First message of each side of a link: who it is. docs/design/0008-links.md
+/// First message of each side of a link: identifies the sender. docs/design/0008-links.md
 struct LinkHello {
     std::string deployment;
     HostId host;
@@ -27,15 +27,15 @@
     LinkNonce nonce {};
 };
 
-inline constexpr size_t LargestLinkHello = 1024; ///< Bytes, without the length in front.
+inline constexpr size_t MaxLinkHelloBytes = 1024; ///< Without the length prefix.
 inline constexpr size_t LinkHelloLengthBytes = 2;
 
-/// The hello as sent, without the length in front.
+/// The encoded hello, without the length prefix.
 [[nodiscard]] std::string encodeLinkHello(const LinkHello& hello);
-/// No value: another protocol or version, or damaged.
+/// No value: another protocol or version, or a malformed hello.
 [[nodiscard]] std::optional<LinkHello> decodeLinkHello(std::string_view bytes);
 
-/// Little-endian integers as they stand on a link.
+/// Little-endian integers, as used on links and in stored records.
 [[nodiscard]] std::string encodeLinkInteger(uint64_t value, size_t bytes);
 [[nodiscard]] uint64_t decodeLinkInteger(std::string_view bytes);
 
--- a/src/net/internal/linkhub.cpp
+++ b/src/net/internal/linkhub.cpp
@@ -18,8 +18,9 @@
 
 namespace {
 
-constexpr size_t LargestUnprovenCount = 256;
-constexpr Duration Simultaneous = 3s; ///< Longer than any handshake: two links that near were dialled at once.
+constexpr size_t MaxUnauthenticatedLinks = 256;
+/// Longer than any handshake: links that come up within it were dialled at the same time.
+constexpr Duration SimultaneousDialWindow = 3s;
 
 } // namespace
 
@@ -40,9 +41,9 @@
 LinkHub::~LinkHub()
 {
     isStopping_ = true;
-    wanted_.clear();
+    desiredLinks_.clear();
     links_.clear_and_dispose(std::default_delete<Link> {});
-    endedLinks_.clear_and_dispose(std::default_delete<Link> {});
+    closedLinks_.clear_and_dispose(std::default_delete<Link> {});
 }
 
 Result<Done, IoError> LinkHub::start()
@@ -65,9 +66,9 @@
         .role = role,
         .fd = std::move(fd),
         .remote = describe(remote),
-        .connectLimit = dialling.connectLimit,
-        .isBesideSuspect = dialling.isBesideSuspect,
-        .largestSendQueue = options_.largestSendQueue,
+        .connectTimeout = dialling.connectTimeout,
+        .replacesSuspect = dialling.replacesSuspect,
+        .maxSendQueueBytes = options_.maxSendQueueBytes,
         .scratch = scratch_});
     links_.push_back(*link);
     return *link.release();
@@ -82,9 +83,9 @@
         UniqueFd fd(::accept4(listening_.get(), address, &length, SOCK_NONBLOCK | SOCK_CLOEXEC));
         if (!fd.isOpen())
             return;
-        const auto unproven = std::count_if(
+        const auto unauthenticated = std::count_if(
             links_.begin(), links_.end(), [](const Link& link) { return link.state() < Link::State::Up; });
-        if (static_cast<size_t>(unproven) >= LargestUnprovenCount)
+        if (static_cast<size_t>(unauthenticated) >= MaxUnauthenticatedLinks)
             continue;
         Link& link = addLink(LinkRole::Responder, std::move(fd), SocketAddress::from(address, length).address());
         link.flush();
@@ -104,14 +105,14 @@
     return found == links_.end() ? nullptr : &*found;
 }
 
-void LinkHub::endOwnLink(Link& link, Link& otherEnd)
+void LinkHub::closeSelfLink(Link& link, Link& otherEnd)
 {
-    for (Link* end : {&link, &otherEnd}) {
-        if (WantedLink* wanted = wantedOf(*end))
-            wanted->isSelf = true;
+    for (Link* linkEnd : {&link, &otherEnd}) {
+        if (DesiredLink* desired = desiredLinkOf(*linkEnd))
+            desired->isSelf = true;
     }
-    link.end(LinkEnd::NotWanted, "self");
-    otherEnd.end(LinkEnd::NotWanted, "self");
+    link.close(LinkCloseReason::NotWanted, "self");
+    otherEnd.close(LinkCloseReason::NotWanted, "self");
 }
 
 bool LinkHub::isPreferred(const Link& link) const
@@ -122,41 +123,41 @@
 
 bool LinkHub::isExpected(Link& link)
 {
-    WantedLink* wanted = wantedOf(link);
-    if (wanted != nullptr && wanted->peer().host.isEmpty())
-        wanted->learnedHost = link.peerHost();
+    DesiredLink* desired = desiredLinkOf(link);
+    if (desired != nullptr && desired->peer().host.isEmpty())
+        desired->learnedHost = link.peerHost();
     if (link.peerHost() == options_.self) {
         if (Link* otherEnd = otherEndOf(link))
-            endOwnLink(link, *otherEnd);
+            closeSelfLink(link, *otherEnd);
         else
             refuse(link, "own-host-id");
         return false;
     }
-    if (wanted == nullptr || wanted->host() == link.peerHost())
+    if (desired == nullptr || desired->host() == link.peerHost())
         return true;
-    link.end(LinkEnd::NotWanted, "other-host-at-address");
+    link.close(LinkCloseReason::NotWanted, "other-host-at-address");
     return false;
 }
 
-void LinkHub::linkProven(Link& link)
+void LinkHub::onLinkAuthenticated(Link& link)
 {
     if (!isExpected(link))
         return;
-    if (WantedLink* wanted = wantedOf(link)) {
-        wanted->attempt = nullptr;
-        wanted->resetWait();
+    if (DesiredLink* desired = desiredLinkOf(link)) {
+        desired->attempt = nullptr;
+        desired->resetWait();
     }
     Peer& peer = peers_[link.peerHost()];
-    // Starts are ordered by the time of day, which may step back between two of them: while no link stands, the start
-    // that has just proven itself is the living one, whatever its number.
+    // Incarnations are ordered by the wall clock, which can step back between two starts of a host. Without a current
+    // link, the incarnation that has just authenticated itself is the running one, whatever its number.
     if (link.peerIncarnation() < peer.incarnation && peer.current != nullptr)
         return refuse(link, "older-incarnation");
     if (link.peerIncarnation() != peer.incarnation) {
         Link* older = peer.current;
-        tellDown(link.peerHost(), peer);
+        reportLinkDown(link.peerHost(), peer);
         peer = Peer {.incarnation = link.peerIncarnation()};
         if (older != nullptr)
-            older->end(LinkEnd::Replaced, "newer-incarnation");
+            older->close(LinkCloseReason::Replaced, "newer-incarnation");
     }
     adopt(link, peer);
 }
@@ -176,61 +177,61 @@
 
 void LinkHub::replaceCurrent(Link& link, Peer& peer)
 {
-    // A peer dials only while it has no link or hears nothing on it: where the one in use isn't as young as a dialling
-    // at the same time would make it, the peer lost it. Compared by a clock that doesn't step: with the time of day set
-    // back in between, the dead link would be kept and the new one refused.
-    const bool isOlder = link.upSince() - peer.current->upSince() > Simultaneous;
+    // A peer dials only if it has no link or receives nothing on it. If the current link is too old to be from
+    // simultaneous dialling, the peer has lost it. Compared by the monotonic clock: if the wall clock was set back in
+    // between, the dead link would be kept and the new one refused.
+    const bool isOlder = link.upSince() - peer.current->upSince() > SimultaneousDialWindow;
     const bool isCurrentLost = isOlder || peer.current->isSuspect();
     const bool isBetter = isPreferred(link) && !isPreferred(*peer.current);
     if (!isCurrentLost && !isBetter)
         return link.retire();
     if (isCurrentLost) {
-        // What was under way on it is lost: the core has to begin anew with the peer.
+        // Messages in flight on it are lost, so the core must start over with the peer.
         Link* lost = std::exchange(peer.current, nullptr);
-        tellDown(link.peerHost(), peer);
-        lost->end(LinkEnd::Replaced, "dialled-again");
+        reportLinkDown(link.peerHost(), peer);
+        lost->close(LinkCloseReason::Replaced, "dialled-again");
         return adopt(link, peer);
     }
     Link* older = std::exchange(peer.current, &link);
     peer.retiring = older;
-    link.holdReceiving(true);
+    link.setReceivingPaused(true);
     older->retire();
 }
 
-void LinkHub::refuse(Link& link, std::string_view reason) { link.end(LinkEnd::Refused, reason); }
+void LinkHub::refuse(Link& link, std::string_view reason) { link.close(LinkCloseReason::Refused, reason); }
 
-void LinkHub::linkReceived(Link& link, model::Message message)
+void LinkHub::onLinkMessage(Link& link, model::Message message)
 {
-    deliver(); // LinkUp comes first.
+    deliver(); // LinkUp must precede the messages.
     options_.sink(model::Delivery {
         .from = link.peerHost(), .fromIncarnation = link.peerIncarnation(), .message = std::move(message)});
 }
 
-void LinkHub::linkEnded(Link& link, LinkEnd end, std::string_view detail)
+void LinkHub::onLinkClosed(Link& link, LinkCloseReason reason, std::string_view detail)
 {
     links_.erase(links_.iterator_to(link));
-    endedLinks_.push_back(link);
+    closedLinks_.push_back(link);
     flushTask_.schedule();
     std::erase(dirty_, &link);
-    if (end == LinkEnd::Refused)
+    if (reason == LinkCloseReason::Refused)
         options_.counters->add(model::Counter::LinkAuthFailures);
-    if (end == LinkEnd::BadRecord)
+    if (reason == LinkCloseReason::BadRecord)
         options_.counters->add(model::Counter::BadFrames);
-    logEnd(link, end, detail);
-    if (WantedLink* wanted = wantedOf(link)) {
-        wanted->attempt = nullptr;
-        if (end == LinkEnd::ConnectTimedOut)
-            wanted->dialAfter(Duration::zero()); // The limit was wait enough.
+    logClose(link, reason, detail);
+    if (DesiredLink* desired = desiredLinkOf(link)) {
+        desired->attempt = nullptr;
+        if (reason == LinkCloseReason::ConnectTimedOut)
+            desired->dialAfter(Duration::zero()); // The connect timeout was delay enough.
         else
-            dialAgain(*wanted);
+            scheduleRetry(*desired);
     }
     const auto found = peers_.find(link.peerHost());
     if (found != peers_.end())
-        peerLinkEnded(link, found->second);
-    settleOrphans();
+        onPeerLinkClosed(link, found->second);
+    reportOrphanedPeers();
 }
 
-void LinkHub::peerLinkEnded(const Link& link, Peer& peer)
+void LinkHub::onPeerLinkClosed(const Link& link, Peer& peer)
 {
     if (peer.current == &link)
         peer.current = nullptr;
@@ -238,33 +239,33 @@
         return;
     peer.retiring = nullptr;
     if (peer.current != nullptr)
-        peer.current->holdReceiving(false);
+        peer.current->setReceivingPaused(false);
 }
 
-bool LinkHub::hasGreetedLink(const HostId& host) const
+bool LinkHub::hasLinkAwaitingProof(const HostId& host) const
 {
     return std::any_of(links_.begin(), links_.end(),
         [&](const Link& link) { return link.state() == Link::State::AwaitingProof && link.peerHost() == host; });
 }
 
-void LinkHub::settleOrphans()
+void LinkHub::reportOrphanedPeers()
 {
     for (auto& [host, peer] : peers_) {
-        // The peer may have closed the link in use for one that is about to be proven here.
-        if (peer.isUp && peer.current == nullptr && !hasGreetedLink(host))
-            tellDown(host, peer);
+        // The peer may have closed the current link in favour of one that is about to be authenticated here.
+        if (peer.isUp && peer.current == nullptr && !hasLinkAwaitingProof(host))
+            reportLinkDown(host, peer);
     }
 }
 
-void LinkHub::tellDown(const HostId& host, Peer& peer)
+void LinkHub::reportLinkDown(const HostId& host, Peer& peer)
 {
     if (!peer.isUp)
         return;
     peer.isUp = false;
     emit(host::LinkDown {.host = host});
-    for (const auto& wanted : wanted_) {
-        if (wanted->host() == host && wanted->attempt == nullptr)
-            dialAgain(*wanted);
+    for (const auto& desired : desiredLinks_) {
+        if (desired->host() == host && desired->attempt == nullptr)
+            scheduleRetry(*desired);
     }
 }
 
@@ -280,7 +281,7 @@
         || std::holds_alternative<model::BundlePart>(outgoing.message);
     if (isBundle)
         options_.counters->add(model::Counter::BundleBytes, bytes);
-    watchBacklog(link);
+    onBacklogGrown(link);
     if (link.isDirty || link.state() != Link::State::Up)
         return;
     link.isDirty = true;
@@ -290,22 +291,22 @@
 
 void LinkHub::keepLinksAlive()
 {
-    // Of a copy: a link that ends leaves the list. Its memory stays until the flush.
+    // Iterates over a copy: a link that closes leaves the list. It is destroyed only in flush().
     std::vector<Link*> links;
     for (Link& link : links_)
         links.push_back(&link);
     for (Link* link : links)
         link->keepAlive();
-    dialBesideSuspects();
+    dialSuspectPeers();
 }
 
 void LinkHub::flush()
 {
     for (Link* link : std::exchange(dirty_, {})) {
-        if (link->state() != Link::State::Ended)
+        if (link->state() != Link::State::Closed)
             link->flush();
     }
-    endedLinks_.clear_and_dispose(std::default_delete<Link> {});
+    closedLinks_.clear_and_dispose(std::default_delete<Link> {});
 }
 
 void LinkHub::emit(host::Event event)
@@ -325,18 +326,19 @@
     }
 }
 
-void LinkHub::logEnd(const Link& link, LinkEnd end, std::string_view detail)
+void LinkHub::logClose(const Link& link, LinkCloseReason reason, std::string_view detail)
 {
-    const WantedLink* wanted = wantedOf(link);
-    const bool isUnreached = end == LinkEnd::ConnectFailed || end == LinkEnd::ConnectTimedOut;
-    if (isStopping_ || (isUnreached && wanted != nullptr && !wanted->isTryLogged()))
+    const DesiredLink* desired = desiredLinkOf(link);
+    const bool isUnreached = reason == LinkCloseReason::ConnectFailed || reason == LinkCloseReason::ConnectTimedOut;
+    if (isStopping_ || (isUnreached && desired != nullptr && !desired->isAttemptLogged()))
         return;
-    const bool isRefusal = end == LinkEnd::Refused || end == LinkEnd::BadRecord || end == LinkEnd::TooSlow;
+    const bool isRefusal = reason == LinkCloseReason::Refused || reason == LinkCloseReason::BadRecord
+        || reason == LinkCloseReason::TooSlow;
     const auto severity = isRefusal ? google::GLOG_WARNING : google::GLOG_INFO;
     google::LogMessage(__FILE__, __LINE__, severity).stream()
-        << "module=net event=link_end reason=" << toString(end) << " detail=\"" << detail
+        << "module=net event=link_end reason=" << toString(reason) << " detail=\"" << detail
         << "\" peer=" << link.peerHost().value() << " remote=" << link.remote() << " silent_ms="
-        << std::chrono::duration_cast<std::chrono::milliseconds>(monotonicNow() - link.heardAt()).count();
+        << std::chrono::duration_cast<std::chrono::milliseconds>(monotonicNow() - link.lastReceivedAt()).count();
 }
 
 } // namespace saltvane::net
--- a/src/net/internal/linkhub.h
+++ b/src/net/internal/linkhub.h
@@ -6,10 +6,10 @@
 #pragma once
 
 #include "net/inetadapters.h"
+#include "net/internal/desiredlink.h"
 #include "net/internal/iowatcher.h"
 #include "net/internal/link.h"
 #include "net/internal/looptask.h"
-#include "net/internal/wantedlink.h"
 
 #include <deque>
 #include <map>
@@ -19,13 +19,13 @@
 
 namespace saltvane::net {
 
-/// Of a link that this host dials; see Link::Options.
+/// Options of a link that this host dials; see Link::Options.
 struct DialOptions {
-    Duration connectLimit {};
-    bool isBesideSuspect = false;
+    Duration connectTimeout {};
+    bool replacesSuspect = false;
 };
 
-/// All links of a host. Keeps one link in use with each other host. docs/design/0008-links.md
+/// All links of a host. Uses one link per peer at a time. docs/design/0008-links.md
 class LinkHub final : public ILinkHub, private ILinkOwner {
 public:
     explicit LinkHub(LinkHubOptions options);
@@ -43,53 +43,53 @@
 private:
     void keepLinksAlive();
 
-    /// Another host that has proven itself.
+    /// Another host that has authenticated itself.
     struct Peer {
-        Incarnation incarnation; ///< Of the link that stands, or stood last.
-        Link* current = nullptr; ///< In use for sending.
-        Link* retiring = nullptr; ///< Its last messages come before those of `current`.
-        bool isUp = false; ///< The core was told LinkUp.
+        Incarnation incarnation; ///< Of the current link, or of the last one.
+        Link* current = nullptr; ///< The link that is used for sending.
+        Link* retiring = nullptr; ///< Its last messages are delivered before those of `current`.
+        bool isUp = false; ///< LinkUp was sent to the core.
     };
 
-    void linkProven(Link& link) override;
-    void linkReceived(Link& link, model::Message message) override;
-    [[nodiscard]] bool isLinkStillOfUse(Link& link) override;
-    void linkEnded(Link& link, LinkEnd end, std::string_view detail) override;
+    void onLinkAuthenticated(Link& link) override;
+    void onLinkMessage(Link& link, model::Message message) override;
+    [[nodiscard]] bool isReplacementNeeded(Link& link) override;
+    void onLinkClosed(Link& link, LinkCloseReason reason, std::string_view detail) override;
 
     void accept();
-    void dial(WantedLink& wanted);
-    void dialAgain(WantedLink& wanted);
+    void dial(DesiredLink& desired);
+    void scheduleRetry(DesiredLink& desired);
     [[nodiscard]] Link& addLink(
         LinkRole role, UniqueFd fd, const model::Address& remote, const DialOptions& dialling = {});
     [[nodiscard]] bool isUp(const HostId& host) const;
-    /// The link in use, where nothing is heard on it; null for any other.
+    /// The current link to `host` if it is suspect, else null.
     [[nodiscard]] Link* suspectLinkTo(const HostId& host) const;
-    void dialBesideSuspects();
-    [[nodiscard]] bool isWanted(const HostId& host) const;
-    /// Of a link from this host to itself; null for any other.
+    void dialSuspectPeers();
+    [[nodiscard]] bool isDesired(const HostId& host) const;
+    /// The other end of a link from this host to itself; null for any other link.
     [[nodiscard]] Link* otherEndOf(const Link& link);
-    void endOwnLink(Link& link, Link& otherEnd);
+    void closeSelfLink(Link& link, Link& otherEnd);
     [[nodiscard]] bool isPreferred(const Link& link) const;
-    [[nodiscard]] bool hasGreetedLink(const HostId& host) const;
-    [[nodiscard]] WantedLink* wantedOf(const Link& link) const;
+    [[nodiscard]] bool hasLinkAwaitingProof(const HostId& host) const;
+    [[nodiscard]] DesiredLink* desiredLinkOf(const Link& link) const;
 
-    /// False: it is this host itself, or not the host that was wanted.
+    /// False: the peer is this host itself, or not the host that was dialled.
     [[nodiscard]] bool isExpected(Link& link);
     void adopt(Link& link, Peer& peer);
     void replaceCurrent(Link& link, Peer& peer);
     void refuse(Link& link, std::string_view reason);
-    void peerLinkEnded(const Link& link, Peer& peer);
-    void settleOrphans();
-    void tellDown(const HostId& host, Peer& peer);
+    void onPeerLinkClosed(const Link& link, Peer& peer);
+    void reportOrphanedPeers();
+    void reportLinkDown(const HostId& host, Peer& peer);
     void emit(host::Event event);
     void deliver();
     void flush();
-    void logEnd(const Link& link, LinkEnd end, std::string_view detail);
-    /// After a message was queued on this link.
-    void watchBacklog(const Link& grown);
+    void logClose(const Link& link, LinkCloseReason reason, std::string_view detail);
+    /// Called after a message was queued on `grown`.
+    void onBacklogGrown(const Link& grown);
     void logBacklog();
-    /// Ends the link for which most waits, while too much waits over all links.
-    void holdBacklog();
+    /// Closes the links with the longest queues until the backlog over all links is within its limit.
+    void enforceBacklogLimit();
 
     LinkHubOptions options_;
     LinkIdentity identity_;
@@ -97,9 +97,9 @@
     UniqueFd listening_;
     model::Address boundAddress_;
     Links links_;
-    Links endedLinks_; ///< Destroyed later, outside of their own calls.
+    Links closedLinks_; ///< Destroyed in flush(), never during their own calls.
     std::map<HostId, Peer> peers_;
-    std::vector<std::unique_ptr<WantedLink>> wanted_;
+    std::vector<std::unique_ptr<DesiredLink>> desiredLinks_;
     std::vector<Link*> dirty_;
     std::deque<host::Event> events_;
     std::minstd_rand jitter_;
--- a/src/net/internal/linkkeys.cpp
+++ b/src/net/internal/linkkeys.cpp
@@ -14,7 +14,7 @@
 static_assert(LinkKeyBytes == crypto_auth_KEYBYTES);
 static_assert(LinkProofBytes == crypto_auth_BYTES);
 
-/// Sets these keys apart from any other use of the link key.
+/// Domain separation from any other use of the link key.
 constexpr std::string_view SecretContext = "saltvane link v1 secret";
 constexpr std::string_view ProofContext = "proof";
 constexpr std::string_view SessionContext = "session";
@@ -22,7 +22,7 @@
 
 const unsigned char* bytesOf(std::string_view text) { return reinterpret_cast<const unsigned char*>(text.data()); }
 
-/// Every part with its length in front, so that no two transcripts look alike.
+/// Each hello is length-prefixed, so that different hellos never give the same transcript.
 std::string transcriptOf(std::string_view context, LinkRole role, const LinkHellos& hellos)
 {
     std::string transcript(context);
--- a/src/net/internal/logitems.cpp
+++ b/src/net/internal/logitems.cpp
@@ -13,7 +13,7 @@
 
 constexpr size_t IntegerBytes = 8;
 
-/// Stands in front of each item: its index in LogItem. Never reordered.
+/// First byte of each stored item; equals the index in LogItem, so the order must never change.
 enum class ItemKind : char { SegmentStart, HardState, Truncate, Entry, SnapshotMark };
 
 class ItemWriter {
@@ -79,7 +79,7 @@
 
     [[nodiscard]] LogItem item()
     {
-        switch (static_cast<ItemKind>(take(1).front())) {
+        switch (static_cast<ItemKind>(read(1).front())) {
         case ItemKind::SegmentStart:
             return SegmentStart {integer(), {{integer()}, {integer()}}, hardState()};
         case ItemKind::HardState:
@@ -96,19 +96,19 @@
     }
 
 private:
-    [[nodiscard]] std::string_view take(uint64_t size)
+    [[nodiscard]] std::string_view read(uint64_t size)
     {
         if (size > rest_.size()) {
             isGood_ = false;
             rest_ = {};
             return std::string_view("\0", 1);
         }
-        const std::string_view taken = rest_.substr(0, size);
+        const std::string_view bytes = rest_.substr(0, size);
         rest_.remove_prefix(size);
-        return taken;
+        return bytes;
     }
-    [[nodiscard]] uint64_t integer() { return decodeLinkInteger(take(IntegerBytes)); }
-    [[nodiscard]] std::string_view text() { return take(integer()); }
+    [[nodiscard]] uint64_t integer() { return decodeLinkInteger(read(IntegerBytes)); }
+    [[nodiscard]] std::string_view text() { return read(integer()); }
     [[nodiscard]] control::HardState hardState() { return control::HardState {{integer()}, model::ReplicaId(text())}; }
 
     std::string_view rest_;
@@ -124,7 +124,7 @@
         items.emplace_back(*write.hardState);
     if (write.truncateFrom)
         items.emplace_back(Truncate {*write.truncateFrom});
-    // Entries behind a received snapshot don't follow those before it: its mark stands between them.
+    // Entries after a received snapshot do not continue those before it, so its mark is written between them.
     const LogIndex last = write.snapshot ? write.snapshotIndex : LogIndex {};
     for (const model::LogEntry& entry : write.append) {
         if (entry.index <= last)
--- a/src/net/internal/logstate.cpp
+++ b/src/net/internal/logstate.cpp
@@ -11,7 +11,7 @@
 {
     if (const auto* start = std::get_if<SegmentStart>(&item))
         return applyStart(*start);
-    isBlank_ = false;
+    isEmpty_ = false;
     if (const auto* hardState = std::get_if<control::HardState>(&item))
         hardState_ = *hardState;
     if (const auto* truncate = std::get_if<Truncate>(&item))
@@ -30,15 +30,15 @@
     return {.index = entries_.back().index, .term = entries_.back().term};
 }
 
-std::vector<model::LogEntry> LogState::takeEntries()
+std::vector<model::LogEntry> LogState::releaseEntries()
 {
-    std::vector<model::LogEntry> taken;
-    taken.reserve(entries_.size());
+    std::vector<model::LogEntry> entries;
+    entries.reserve(entries_.size());
     for (model::LogEntry& entry : entries_) {
-        taken.push_back(std::move(entry));
-        entry = {.index = taken.back().index, .term = taken.back().term, .payload = {}};
+        entries.push_back(std::move(entry));
+        entry = {.index = entries.back().index, .term = entries.back().term, .payload = {}};
     }
-    return taken;
+    return entries;
 }
 
 std::optional<LogTerm> LogState::termAt(LogIndex index) const
@@ -53,7 +53,7 @@
 std::optional<std::string> LogState::applyStart(const SegmentStart& start)
 {
     if (!segment_) {
-        isBlank_ = start.segment == 1;
+        isEmpty_ = start.segment == 1;
         base_ = start.last;
         hardState_ = start.hardState;
     } else if (start.segment != *segment_ + 1) {
@@ -70,7 +70,7 @@
     if (entry.index.value > last().index.value + 1)
         return "entries before " + std::to_string(entry.index.value) + " are missing";
     if (entry.index <= base_.index)
-        return std::nullopt; // A snapshot holds it.
+        return std::nullopt; // Included in a snapshot.
     applyTruncate(entry.index);
     entries_.push_back(entry);
     return std::nullopt;
@@ -87,7 +87,7 @@
     if (mark.index < base_.index)
         return;
     if (termAt(mark.index) != mark.term)
-        entries_.clear(); // They continue another log than the snapshot's.
+        entries_.clear(); // They belong to another log than the snapshot.
     while (!entries_.empty() && entries_.front().index <= mark.index)
         entries_.pop_front();
     base_ = mark;
--- a/src/net/internal/logstate.h
+++ b/src/net/internal/logstate.h
@@ -13,23 +13,23 @@
 
 namespace saltvane::net {
 
-/// What the items of all segments amount to, applied in order.
+/// The state that results from applying the items of all segments in order.
 class LogState {
 public:
-    /// The error, if the item can't follow what came before.
+    /// Returns an error if the item cannot follow the previous ones.
     [[nodiscard]] std::optional<std::string> apply(const LogItem& item);
-    /// The error, if the snapshot on disk and the entries don't meet.
+    /// Returns an error if entries are missing between the snapshot on disk and the log.
     [[nodiscard]] std::optional<std::string> finish(const SnapshotMark& snapshot);
 
     [[nodiscard]] const control::HardState& hardState() const { return hardState_; }
-    /// Index and term of the last entry, or of the snapshot where none follows it.
+    /// Index and term of the last entry, or of the snapshot if no entry follows it.
     [[nodiscard]] SnapshotMark last() const;
-    /// True: nothing but a first segment's start was ever written.
-    [[nodiscard]] bool isBlank() const { return isBlank_; }
-    /// What the entries follow: the last snapshot's mark, or the first segment's start.
+    /// True if only the start of the first segment was ever written.
+    [[nodiscard]] bool isEmpty() const { return isEmpty_; }
+    /// The position that the entries follow: the last snapshot's mark, or the first segment's start.
     [[nodiscard]] const SnapshotMark& base() const { return base_; }
-    /// The entries with their payloads, which are gone from here afterwards.
-    [[nodiscard]] std::vector<model::LogEntry> takeEntries();
+    /// Moves the entries' payloads out; the entries stay here without them.
+    [[nodiscard]] std::vector<model::LogEntry> releaseEntries();
 
 private:
     [[nodiscard]] std::optional<std::string> applyStart(const SegmentStart& start);
@@ -39,9 +39,9 @@
     [[nodiscard]] std::optional<LogTerm> termAt(LogIndex index) const;
 
     control::HardState hardState_;
-    std::optional<uint64_t> segment_; ///< The last one that started.
-    bool isBlank_ = true;
-    SnapshotMark base_; ///< Entries follow it without a gap.
+    std::optional<uint64_t> segment_; ///< Number of the current segment.
+    bool isEmpty_ = true;
+    SnapshotMark base_; ///< The entries follow it without a gap.
     std::deque<model::LogEntry> entries_;
 };
 
--- a/src/net/internal/looptask.h
+++ b/src/net/internal/looptask.h
@@ -11,10 +11,10 @@
 
 namespace saltvane::net {
 
-/// Order of deferred work within one turn of the loop: all I/O first, the flush of links last.
+/// Order of deferred tasks within a loop iteration: after all I/O; links are flushed last.
 enum class TaskOrder : int { AfterIo = -1, Last = EV_MINPRI };
 
-/// Work that runs later in the same turn of the loop, before the loop blocks. Asking twice runs it once.
+/// A task that runs later in the same loop iteration, before the loop blocks. Scheduling it twice runs it once.
 class LoopTask {
 public:
     LoopTask(struct ev_loop* loop, TaskOrder order, std::function<void()> work)
--- a/src/net/internal/recordseal.cpp
+++ b/src/net/internal/recordseal.cpp
@@ -17,8 +17,8 @@
 static_assert(RecordSeal::TagBytes == crypto_onetimeauth_BYTES);
 static_assert(LinkKeyBytes == crypto_stream_chacha20_KEYBYTES);
 
-constexpr size_t FrameHeaderRoom = 64; ///< More than what a frame has beside its envelope.
-constexpr size_t LargestRecord = wire::LargestFrame + FrameHeaderRoom;
+constexpr size_t MaxFrameHeaderBytes = 64; ///< Upper bound on a frame's bytes beside its envelope.
+constexpr size_t MaxRecordBytes = wire::LargestFrame + MaxFrameHeaderBytes;
 
 } // namespace
 
@@ -49,14 +49,14 @@
     if (bytes.size() < LengthBytes)
         return {};
     const uint64_t length = decodeLinkInteger(bytes.substr(0, LengthBytes));
-    if (length > LargestRecord)
+    if (length > MaxRecordBytes)
         return {.result = OpenResult::TooLarge};
     const size_t size = LengthBytes + length + TagBytes;
     if (bytes.size() < size)
         return {};
     const Tag expected = nextTag(bytes.substr(0, LengthBytes + length));
-    const auto* given = reinterpret_cast<const unsigned char*>(bytes.data() + LengthBytes + length);
-    if (crypto_verify_16(expected.data(), given) != 0)
+    const auto* receivedTag = reinterpret_cast<const unsigned char*>(bytes.data() + LengthBytes + length);
+    if (crypto_verify_16(expected.data(), receivedTag) != 0)
         return {.result = OpenResult::BadTag};
     return {.result = OpenResult::Opened, .frame = bytes.substr(LengthBytes, length), .size = size};
 }
--- a/src/net/internal/recordseal.h
+++ b/src/net/internal/recordseal.h
@@ -14,8 +14,9 @@
 
 namespace saltvane::net {
 
-/// Protects the records of one direction of a link: length (4 bytes, little endian), frame, and a Poly1305 tag over
-/// both with a key of the record's number. A changed, repeated, left-out or reordered record does not open.
+/// Authenticates the records of one direction of a link. A record is the length (4 bytes, little endian), the frame and
+/// a Poly1305 tag over both, whose one-time key depends on the record's number. Verification therefore fails for a
+/// modified, repeated, missing or reordered record.
 class RecordSeal {
 public:
     static constexpr size_t LengthBytes = 4;
@@ -32,10 +33,10 @@
     enum class OpenResult { Opened, Incomplete, TooLarge, BadTag };
     struct Opened {
         OpenResult result = OpenResult::Incomplete;
-        std::string_view frame; ///< Within the bytes given.
-        size_t size = 0; ///< Of the whole record.
+        std::string_view frame; ///< Part of the bytes passed to open().
+        size_t size = 0; ///< Bytes of the complete record.
     };
-    /// Opens the record that `bytes` begin with.
+    /// Verifies the record at the beginning of `bytes`.
     [[nodiscard]] Opened open(std::string_view bytes);
 
 private:
@@ -43,7 +44,7 @@
     [[nodiscard]] Tag nextTag(std::string_view lengthAndFrame);
 
     LinkSecret key_;
-    uint64_t number_ = 0; ///< Of the next record.
+    uint64_t number_ = 0; ///< Number of the next record.
 };
 
 } // namespace saltvane::net
--- a/src/net/internal/requestframing.cpp
+++ b/src/net/internal/requestframing.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr std::string_view TokenMarks = "!#$%&'*+-.^_`|~";
+constexpr std::string_view TokenPunctuation = "!#$%&'*+-.^_`|~";
 constexpr unsigned char FirstPrintable = 0x21;
 constexpr unsigned char Delete = 0x7f;
 constexpr size_t ByteValues = 256;
@@ -25,7 +25,7 @@
     const char low = lowered(c);
     if ((low >= 'a' && low <= 'z') || (c >= '0' && c <= '9'))
         return true;
-    return TokenMarks.find(c) != std::string_view::npos;
+    return TokenPunctuation.find(c) != std::string_view::npos;
 }
 
 using CharacterTable = std::array<bool, ByteValues>;
@@ -59,11 +59,11 @@
     return {.status = 400, .reason = model::Reason::BadRequest, .message = std::move(message)};
 }
 
-/// One header that rules framing, as often as it was given.
+/// A header that determines framing, with its number of occurrences.
 struct FramingField {
     std::string_view name;
     size_t count = 0;
-    std::string_view value {}; ///< Of the first one.
+    std::string_view value {}; ///< Of the first occurrence.
 };
 
 struct FramingFields {
@@ -76,12 +76,12 @@
     {
         for (const model::Header& header : head.headers) {
             for (FramingField* field : {&contentLength, &transferEncoding, &host, &expect})
-                note(*field, header);
+                record(*field, header);
         }
     }
 
 private:
-    static void note(FramingField& field, const model::Header& header)
+    static void record(FramingField& field, const model::Header& header)
     {
         if (!equalsIgnoringCase(header.name, field.name))
             return;
@@ -97,7 +97,7 @@
         if (!isToken(header.name))
             return badRequest("header name is not a token");
         if (!isFieldValue(header.value))
-            return badRequest("header " + header.name + " holds a control character");
+            return badRequest("header " + header.name + " contains a control character");
     }
     return std::nullopt;
 }
@@ -117,7 +117,7 @@
     if (coding.count == 0)
         return std::nullopt;
     if (!head.isHttp11)
-        return badRequest("Transfer-Encoding needs HTTP/1.1");
+        return badRequest("Transfer-Encoding requires HTTP/1.1");
     if (!equalsIgnoringCase(coding.value, "chunked"))
         return badRequest("Transfer-Encoding other than chunked");
     return std::nullopt;
@@ -137,13 +137,13 @@
     if (!isToken(head.method))
         return badRequest("method is not a token");
     if (head.method == "CONNECT" || head.method == "TRACE")
-        return EdgeRefusal {.status = 405, .reason = model::Reason::BadRequest, .message = "method is not served"};
+        return EdgeRefusal {.status = 405, .reason = model::Reason::BadRequest, .message = "method is not supported"};
     if (!isRequestTarget(head.target))
-        return badRequest("request target holds a blank, a control character or a fragment");
+        return badRequest("request target contains a space, a control character or a fragment");
     const std::string_view path = pathOf(head.target);
     const bool isServerWide = head.method == "OPTIONS" && path == "*";
     if (!isServerWide && !path.starts_with('/'))
-        return badRequest("request target is no path");
+        return badRequest("request target is not a path");
     return std::nullopt;
 }
 
--- a/src/net/internal/responsehead.cpp
+++ b/src/net/internal/responsehead.cpp
@@ -13,22 +13,22 @@
 
 namespace {
 
-constexpr size_t LargestHead = 256 * 1024; ///< Bytes, interim heads included.
+constexpr size_t MaxHeadBytes = 256 * 1024; ///< Including heads of interim responses.
 constexpr std::string_view VersionPrefix = "HTTP/1.";
-constexpr size_t StatusOffset = 9; ///< Behind "HTTP/1.1 ".
+constexpr size_t StatusOffset = 9; ///< After "HTTP/1.1 ".
 constexpr size_t StatusDigits = 3;
 constexpr int FirstFinalStatus = 200;
 constexpr int SwitchingProtocols = 101;
 constexpr int NoContent = 204;
 constexpr int NotModified = 304;
-constexpr std::string_view Blanks = " \t";
+constexpr std::string_view Whitespace = " \t";
 
 std::string_view trimmed(std::string_view text)
 {
-    const size_t first = text.find_first_not_of(Blanks);
+    const size_t first = text.find_first_not_of(Whitespace);
     if (first == std::string_view::npos)
         return {};
-    return text.substr(first, text.find_last_not_of(Blanks) - first + 1);
+    return text.substr(first, text.find_last_not_of(Whitespace) - first + 1);
 }
 
 std::string_view withoutLineEnd(std::string_view line)
@@ -53,7 +53,7 @@
     if (state_ != State::Reading)
         return state_;
     size_ += line.size();
-    if (size_ > LargestHead)
+    if (size_ > MaxHeadBytes)
         return fail("head too large");
     line = withoutLineEnd(line);
     if (status_ == 0)
@@ -66,14 +66,14 @@
 ResponseHead::State ResponseHead::startHead(std::string_view statusLine)
 {
     if (!statusLine.starts_with(VersionPrefix) || statusLine.size() < StatusOffset + StatusDigits)
-        return fail("no HTTP/1 status line");
+        return fail("not an HTTP/1 status line");
     const std::string_view digits = statusLine.substr(StatusOffset, StatusDigits);
     const auto parsed = parseLength(digits);
     if (!parsed || *parsed < 100 || *parsed > 999)
         return fail("bad status");
     status_ = static_cast<int>(*parsed);
     if (status_ == SwitchingProtocols)
-        return fail("protocol switched without being asked");
+        return fail("protocol switched without a request");
     return state_;
 }
 
@@ -82,7 +82,7 @@
     const bool isContinued = line.front() == ' ' || line.front() == '\t';
     if (isContinued) {
         if (headers_.empty())
-            return fail("head begins with a continued line");
+            return fail("head begins with a continuation line");
         headers_.back().value += " " + std::string(trimmed(line));
         return state_;
     }
@@ -96,7 +96,7 @@
     return state_;
 }
 
-bool ResponseHead::hasNoBody() const { return isAnswerToHead_ || status_ == NoContent || status_ == NotModified; }
+bool ResponseHead::hasNoBody() const { return isResponseToHead_ || status_ == NoContent || status_ == NotModified; }
 
 ResponseHead::State ResponseHead::finish()
 {
@@ -127,7 +127,7 @@
     if (hasNoBody())
         return state_ = State::Complete;
     if (!isChunked && !length)
-        return fail("neither Content-Length nor chunked: the end of the body can't be checked");
+        return fail("neither Content-Length nor chunked: the end of the body cannot be verified");
     bodyLength_ = isChunked ? std::nullopt : parseLength(*length);
     return state_ = State::Complete;
 }
--- a/src/net/internal/responsehead.h
+++ b/src/net/internal/responsehead.h
@@ -15,27 +15,27 @@
 
 namespace saltvane::net {
 
-/// Reads the head of a target's answer line by line. Heads of status 1xx are skipped.
+/// Parses the head of a target's response line by line. Heads of interim responses (1xx) are skipped.
 class ResponseHead {
 public:
     enum class State {
         Reading,
-        Complete, ///< The final head is in; later lines are trailers and are dropped.
+        Complete, ///< The final head is complete; later lines are trailers and are ignored.
         Bad ///< error() says why.
     };
 
-    explicit ResponseHead(bool isAnswerToHead)
-        : isAnswerToHead_(isAnswerToHead)
+    explicit ResponseHead(bool isResponseToHead)
+        : isResponseToHead_(isResponseToHead)
     {
     }
 
-    /// One line with its line end, as received.
+    /// Adds one line as received, with its line ending.
     [[nodiscard]] State addLine(std::string_view line);
     [[nodiscard]] State state() const { return state_; }
     [[nodiscard]] const std::string& error() const { return error_; }
     [[nodiscard]] int status() const { return status_; }
     [[nodiscard]] std::vector<model::Header>& headers() { return headers_; }
-    /// Length of the body that follows: 0 for an answer without one (HEAD, 204, 304). No value: chunked.
+    /// Bytes of the body that follows; 0 for a response without body (HEAD, 204, 304). No value: chunked.
     [[nodiscard]] std::optional<uint64_t> bodyLength() const { return bodyLength_; }
 
 private:
@@ -45,7 +45,7 @@
     [[nodiscard]] State finish();
     [[nodiscard]] bool hasNoBody() const;
 
-    bool isAnswerToHead_;
+    bool isResponseToHead_;
     State state_ = State::Reading;
     std::string error_;
     int status_ = 0;
--- a/src/net/internal/segment.cpp
+++ b/src/net/internal/segment.cpp
@@ -44,7 +44,7 @@
     return number;
 }
 
-IoError damageAt(const std::string& path, uint64_t offset, const std::string& message)
+IoError corruptionAt(const std::string& path, uint64_t offset, const std::string& message)
 {
     return {.place = path + ":" + std::to_string(offset), .message = message};
 }
@@ -63,30 +63,30 @@
     if (!file)
         return file.error();
     const std::string_view bytes = file.value();
-    RecordPlace place {.file = number};
-    while (place.offset < bytes.size()) {
-        const auto payload = recordAt(bytes, place);
+    RecordPosition position {.file = number};
+    while (position.offset < bytes.size()) {
+        const auto payload = recordAt(bytes, position);
         if (!payload) {
-            // A segment appears with its first record whole.
-            if (!isLast || place.offset == 0 || hasRecordFrom(bytes, place))
-                return damageAt(path, place.offset, "damaged record");
-            return SegmentContent {.goodBytes = place.offset, .tornBytes = bytes.size() - place.offset};
+            // Segments are created atomically with their first record, so that one is never incomplete.
+            if (!isLast || position.offset == 0 || hasRecordFrom(bytes, position))
+                return corruptionAt(path, position.offset, "damaged record");
+            return SegmentContent {.validBytes = position.offset, .tornBytes = bytes.size() - position.offset};
         }
         const auto items = decodeItems(*payload);
         if (!items)
-            return damageAt(path, place.offset, "record of an unknown kind");
+            return corruptionAt(path, position.offset, "record of an unknown kind");
         const auto* start = items->empty() ? nullptr : std::get_if<SegmentStart>(&items->front());
-        if (place.offset == 0 && (start == nullptr || start->segment != number))
-            return damageAt(path, place.offset, "the segment does not begin with its start");
+        if (position.offset == 0 && (start == nullptr || start->segment != number))
+            return corruptionAt(path, position.offset, "the segment does not begin with its start record");
         for (const LogItem& item : *items) {
             if (const auto error = onItem(item))
-                return damageAt(path, place.offset, *error);
+                return corruptionAt(path, position.offset, *error);
         }
-        place.offset += RecordHeaderBytes + payload->size();
+        position.offset += RecordHeaderBytes + payload->size();
     }
-    if (place.offset == 0)
-        return damageAt(path, 0, "empty segment");
-    return SegmentContent {.goodBytes = place.offset};
+    if (position.offset == 0)
+        return corruptionAt(path, 0, "empty segment");
+    return SegmentContent {.validBytes = position.offset};
 }
 
 Segment::Segment(IDiskCalls& disk, std::string path, uint64_t number, UniqueFd fd, uint64_t size)
@@ -116,43 +116,43 @@
     if (!fd.isOpen())
         return lastError(path, "open");
     auto segment = std::make_unique<Segment>(disk, std::move(path), number, std::move(fd), size);
-    segment->hasRemains_ = true;
-    if (auto cut = segment->cutOff(); !cut)
-        return cut.error();
+    segment->hasPartialWrite_ = true;
+    if (auto discarded = segment->discardPartialWrite(); !discarded)
+        return discarded.error();
     return segment;
 }
 
-Result<Done, IoError> Segment::cutOff()
+Result<Done, IoError> Segment::discardPartialWrite()
 {
-    if (!hasRemains_)
+    if (!hasPartialWrite_)
         return Done {};
     if (disk_.truncate(fd_.get(), static_cast<off_t>(size_)) != 0)
         return lastError(path_, "ftruncate");
     if (disk_.syncData(fd_.get()) != 0)
         return lastError(path_, "fdatasync");
-    hasRemains_ = false;
+    hasPartialWrite_ = false;
     return Done {};
 }
 
 Result<Done, IoError> Segment::append(std::string_view payload)
 {
-    if (payload.size() > LargestRecordPayload)
+    if (payload.size() > MaxRecordPayloadBytes)
         return IoError {.place = path_, .message = "write too large", .code = EFBIG};
-    if (auto cut = cutOff(); !cut)
-        return cut;
+    if (auto discarded = discardPartialWrite(); !discarded)
+        return discarded;
     const std::string record = encodeRecord({.file = number_, .offset = size_}, payload);
-    hasRemains_ = true;
+    hasPartialWrite_ = true;
     if (auto written = writeAll(disk_, fd_.get(), record, static_cast<off_t>(size_), path_); !written) {
-        (void)cutOff(); // Tried again before the next write where it fails.
+        (void)discardPartialWrite(); // If it fails, the next append() retries it.
         return written;
     }
     if (disk_.syncData(fd_.get()) != 0) {
         const IoError error = lastError(path_, "fdatasync");
-        (void)cutOff();
+        (void)discardPartialWrite();
         return error;
     }
     size_ += record.size();
-    hasRemains_ = false;
+    hasPartialWrite_ = false;
     return Done {};
 }
 
--- a/src/net/internal/segment.h
+++ b/src/net/internal/segment.h
@@ -22,28 +22,28 @@
 /// Name of a segment's file: "segment-" and its number in 16 hexadecimal digits.
 [[nodiscard]] std::string segmentName(uint64_t number);
 [[nodiscard]] std::string snapshotName(LogIndex index);
-/// The number in the name of a segment or snapshot; no value: another file.
+/// The number in the name of a segment or snapshot; no value for other files.
 [[nodiscard]] std::optional<uint64_t> segmentNumberOf(std::string_view name);
 [[nodiscard]] std::optional<uint64_t> snapshotIndexOf(std::string_view name);
 
-/// What reading a segment found.
+/// Result of reading a segment.
 struct SegmentContent {
-    uint64_t goodBytes = 0; ///< Up to the end of the last valid record.
-    uint64_t tornBytes = 0; ///< Behind it; only in the last segment.
+    uint64_t validBytes = 0; ///< Up to the end of the last valid record.
+    uint64_t tornBytes = 0; ///< Of an incomplete write after that; only in the last segment.
 };
 
-/// Reads a segment and hands out its items. A damaged record is refused with its place, unless it is the end of the
-/// last segment: then it is a write that was never confirmed.
+/// Reads a segment and passes its items to `onItem`. A corrupted record is an error with its location, unless it is at
+/// the end of the last segment, where it is a write that was never confirmed.
 [[nodiscard]] Result<SegmentContent, IoError> readSegment(const std::string& path, uint64_t number, bool isLast,
     const std::function<std::optional<std::string>(const LogItem&)>& onItem);
 
-/// The segment that writes go to.
+/// The segment that is appended to.
 class Segment {
 public:
-    /// Creates a new segment, synced with its folder.
+    /// Creates a new segment and syncs it and its folder.
     [[nodiscard]] static Result<std::unique_ptr<Segment>, IoError> create(
         IDiskCalls& disk, const std::string& folder, const SegmentStart& start);
-    /// Opens one that was read; cuts it off at `size`.
+    /// Opens a segment that was read and truncates it to `size` bytes.
     [[nodiscard]] static Result<std::unique_ptr<Segment>, IoError> open(
         IDiskCalls& disk, const std::string& folder, uint64_t number, uint64_t size);
 
@@ -52,18 +52,18 @@
     [[nodiscard]] uint64_t number() const { return number_; }
     [[nodiscard]] uint64_t size() const { return size_; }
 
-    /// Writes and syncs one record. After an error the file ends where it did before, or will before the next write.
+    /// Writes and syncs one record. After an error the partial write is discarded, at the latest before the next write.
     [[nodiscard]] Result<Done, IoError> append(std::string_view payload);
 
 private:
-    [[nodiscard]] Result<Done, IoError> cutOff();
+    [[nodiscard]] Result<Done, IoError> discardPartialWrite();
 
     IDiskCalls& disk_;
     std::string path_;
     uint64_t number_;
     UniqueFd fd_;
-    uint64_t size_; ///< Of valid, synced records.
-    bool hasRemains_ = false; ///< Of a failed write, behind size_.
+    uint64_t size_; ///< Bytes of valid, synced records.
+    bool hasPartialWrite_ = false; ///< Bytes of a failed write may follow size_.
 };
 
 } // namespace saltvane::net
--- a/src/net/internal/sendqueue.h
+++ b/src/net/internal/sendqueue.h
@@ -13,29 +13,29 @@
 
 namespace saltvane::net {
 
-/// Bytes that wait to be sent, in blocks that are given back as they are sent: what it takes of memory goes with what
-/// waits, at its fullest as well as while it empties.
+/// Queue of bytes to send, in blocks that are freed as soon as they are sent: its memory is proportional to the queued
+/// bytes, both when it is full and while it drains.
 class SendQueue {
 public:
     [[nodiscard]] bool isEmpty() const { return blocks_.empty(); }
     [[nodiscard]] size_t bytes() const { return bytes_; }
-    /// That its blocks take.
+    /// Bytes allocated by its blocks.
     [[nodiscard]] size_t memory() const { return memory_; }
 
     void append(std::string_view bytes)
     {
-        const bool hasRoom = !blocks_.empty() && blocks_.back().capacity() - blocks_.back().size() >= bytes.size();
-        if (!hasRoom)
+        const bool isFitting = !blocks_.empty() && blocks_.back().capacity() - blocks_.back().size() >= bytes.size();
+        if (!isFitting)
             addBlock(bytes.size());
         blocks_.back().append(bytes);
         bytes_ += bytes.size();
     }
-    /// The first bytes that wait; empty where none do.
+    /// The first queued bytes; empty if the queue is empty.
     [[nodiscard]] std::string_view front() const
     {
         return blocks_.empty() ? std::string_view() : std::string_view(blocks_.front()).substr(sent_);
     }
-    /// Some of front() are sent.
+    /// Removes the first `count` bytes of front().
     void consume(size_t count)
     {
         sent_ += count;
@@ -49,19 +49,19 @@
 
 private:
     /// Small messages share a block.
-    static constexpr size_t LeastBlock = 2 * 1024;
-    static constexpr size_t UsualBlock = 16 * 1024;
+    static constexpr size_t MinBlockBytes = 2 * 1024;
+    static constexpr size_t TypicalBlockBytes = 16 * 1024;
 
-    void addBlock(size_t least)
+    void addBlock(size_t minBytes)
     {
         std::string block;
-        block.reserve(std::max(least, blocks_.empty() ? LeastBlock : UsualBlock));
+        block.reserve(std::max(minBytes, blocks_.empty() ? MinBlockBytes : TypicalBlockBytes));
         memory_ += block.capacity();
         blocks_.push_back(std::move(block));
     }
 
     std::deque<std::string> blocks_;
-    size_t sent_ = 0; ///< Of the first block.
+    size_t sent_ = 0; ///< Bytes of the first block.
     size_t bytes_ = 0;
     size_t memory_ = 0;
 };
--- a/src/net/internal/socketaddress.cpp
+++ b/src/net/internal/socketaddress.cpp
@@ -70,10 +70,10 @@
     return ip + ":" + std::to_string(address.port);
 }
 
-IoError lastError(std::string place, const std::string& call)
+IoError lastError(std::string location, const std::string& call)
 {
     const int code = errno;
-    return {.place = std::move(place), .message = call + ": " + std::strerror(code), .code = code};
+    return {.place = std::move(location), .message = call + ": " + std::strerror(code), .code = code};
 }
 
 Result<UniqueFd, IoError> listenOn(const model::Address& address)
--- a/src/net/internal/socketaddress.h
+++ b/src/net/internal/socketaddress.h
@@ -15,10 +15,10 @@
 
 namespace saltvane::net {
 
-/// An IP address and port in the form the socket calls take.
+/// An IP address and port as a sockaddr.
 class SocketAddress {
 public:
-    /// No value: `address` is no IP number.
+    /// No value: `address` is not a numeric IP address.
     [[nodiscard]] static std::optional<SocketAddress> from(const model::Address& address);
     [[nodiscard]] static SocketAddress from(const sockaddr* address, socklen_t length);
 
@@ -36,9 +36,9 @@
 [[nodiscard]] std::string describe(const model::Address& address);
 
 /// The error of the last system call.
-[[nodiscard]] IoError lastError(std::string place, const std::string& call);
+[[nodiscard]] IoError lastError(std::string location, const std::string& call);
 
-/// A non-blocking listening socket; port 0 takes a free one.
+/// A non-blocking listening socket; port 0 selects a free port.
 [[nodiscard]] Result<UniqueFd, IoError> listenOn(const model::Address& address);
 /// The address `fd` is bound to.
 [[nodiscard]] model::Address boundAddressOf(int fd);
--- a/src/net/internal/targetclient.cpp
+++ b/src/net/internal/targetclient.cpp
@@ -9,14 +9,14 @@
 
 namespace {
 
-constexpr size_t LargestBlankPool = 256;
+constexpr size_t MaxPooledTransfers = 256;
 
 requests::DispatchId dispatchOf(const requests::TargetEvent& event)
 {
     return std::visit([](const auto& item) { return item.dispatch; }, event);
 }
 
-bool endsExchange(const requests::TargetEvent& event)
+bool isFinal(const requests::TargetEvent& event)
 {
     return std::holds_alternative<requests::TargetResponseDone>(event)
         || std::holds_alternative<requests::TargetFailed>(event);
@@ -26,7 +26,7 @@
 
 TargetClient::TargetClient(TargetClientOptions options)
     : options_(std::move(options))
-    , curl_(options_.loop, [this](CURL* transfer, CURLcode code) { transferEnded(transfer, code); })
+    , curl_(options_.loop, [this](CURL* transfer, CURLcode code) { onTransferDone(transfer, code); })
     , deliverTask_(options_.loop, TaskOrder::AfterIo, [this] { deliver(); })
 {
 }
@@ -34,7 +34,7 @@
 TargetClient::~TargetClient()
 {
     exchanges_.clear();
-    for (CURL* transfer : blankTransfers_)
+    for (CURL* transfer : pooledTransfers_)
         curl_easy_cleanup(transfer);
 }
 
@@ -44,12 +44,12 @@
     return found == exchanges_.end() ? nullptr : found->second.get();
 }
 
-CURL* TargetClient::blankTransfer()
+CURL* TargetClient::acquireTransfer()
 {
-    if (blankTransfers_.empty())
+    if (pooledTransfers_.empty())
         return curl_easy_init();
-    CURL* transfer = blankTransfers_.back();
-    blankTransfers_.pop_back();
+    CURL* transfer = pooledTransfers_.back();
+    pooledTransfers_.pop_back();
     return transfer;
 }
 
@@ -68,13 +68,13 @@
                                                .connectTimeout = options_.connectTimeout,
                                                .receiveBuffer = options_.receiveBuffer,
                                                .emit = [this](requests::TargetEvent event) { emit(std::move(event)); }},
-            blankTransfer());
+            acquireTransfer());
     const bool isStarted = exchange->start();
     exchanges_.insert_or_assign(dispatch, std::move(exchange));
     if (isStarted)
         return;
     emit(requests::TargetFailed {
-        .dispatch = dispatch, .mayHaveReachedTarget = false, .message = "request can't be sent as it is"});
+        .dispatch = dispatch, .mayHaveReachedTarget = false, .message = "request is not valid HTTP"});
 }
 
 void TargetClient::carryOut(requests::TargetRequestBody action)
@@ -89,22 +89,22 @@
         exchange->widenWindow(action.bytes);
 }
 
-void TargetClient::carryOut(const requests::TargetCancel& action) { drop(action.dispatch); }
+void TargetClient::carryOut(const requests::TargetCancel& action) { removeExchange(action.dispatch); }
 
-void TargetClient::drop(requests::DispatchId dispatch)
+void TargetClient::removeExchange(requests::DispatchId dispatch)
 {
     const auto found = exchanges_.find(dispatch);
     if (found == exchanges_.end())
         return;
-    CURL* transfer = found->second->takeTransfer();
+    CURL* transfer = found->second->releaseTransfer();
     exchanges_.erase(found);
-    if (blankTransfers_.size() < LargestBlankPool)
-        blankTransfers_.push_back(transfer);
+    if (pooledTransfers_.size() < MaxPooledTransfers)
+        pooledTransfers_.push_back(transfer);
     else
         curl_easy_cleanup(transfer);
 }
 
-void TargetClient::transferEnded(CURL* transfer, CURLcode code)
+void TargetClient::onTransferDone(CURL* transfer, CURLcode code)
 {
     TargetExchange* exchange = nullptr;
     curl_easy_getinfo(transfer, CURLINFO_PRIVATE, &exchange);
@@ -120,11 +120,11 @@
         const requests::DispatchId dispatch = dispatchOf(event);
         TargetExchange* exchange = find(dispatch);
         if (exchange == nullptr)
-            continue; // Cancelled since.
+            continue; // Cancelled in the meantime.
         if (std::holds_alternative<requests::TargetResponseHead>(event))
-            exchange->releaseSender();
-        if (endsExchange(event))
-            drop(dispatch);
+            exchange->resumeSending();
+        if (isFinal(event))
+            removeExchange(dispatch);
         options_.sink(event);
     }
 }
--- a/src/net/internal/targetclient.h
+++ b/src/net/internal/targetclient.h
@@ -17,8 +17,8 @@
 
 namespace saltvane::net {
 
-/// HTTP client towards targets: one libcurl transfer a dispatch. Events wait for the loop, so none comes out of an
-/// action or a callback of libcurl.
+/// HTTP client for targets: one libcurl transfer per dispatch. Events are delivered later in the loop iteration, never
+/// from within an action or a libcurl callback.
 class TargetClient final : public ITargetClient {
 public:
     explicit TargetClient(TargetClientOptions options);
@@ -33,16 +33,16 @@
 
 private:
     [[nodiscard]] TargetExchange* find(requests::DispatchId dispatch) const;
-    [[nodiscard]] CURL* blankTransfer();
+    [[nodiscard]] CURL* acquireTransfer();
     void emit(requests::TargetEvent event);
-    void transferEnded(CURL* transfer, CURLcode code);
-    void drop(requests::DispatchId dispatch);
+    void onTransferDone(CURL* transfer, CURLcode code);
+    void removeExchange(requests::DispatchId dispatch);
     void deliver();
 
     TargetClientOptions options_;
     CurlLoop curl_;
     std::unordered_map<requests::DispatchId, std::unique_ptr<TargetExchange>> exchanges_;
-    std::vector<CURL*> blankTransfers_;
+    std::vector<CURL*> pooledTransfers_;
     std::deque<requests::TargetEvent> events_;
     LoopTask deliverTask_;
 };
--- a/src/net/internal/targetexchange.cpp
+++ b/src/net/internal/targetexchange.cpp
@@ -18,17 +18,18 @@
 
 namespace {
 
-// Of each transfer in flight.
-constexpr long ReceiveBuffer = 16 * 1024;
-constexpr long SendBuffer = 16 * 1024;
+// Buffers of each transfer in flight.
+constexpr long ReceiveBufferBytes = 16 * 1024;
+constexpr long SendBufferBytes = 16 * 1024;
 
-/// Set by this class from the request's framing, or never sent to a target.
-constexpr std::array<std::string_view, 4> OwnHeaders {"Content-Length", "Transfer-Encoding", "Expect", "Connection"};
+/// Request headers that are not forwarded: this class sets them from the request's framing, or omits them.
+constexpr std::array<std::string_view, 4> ReservedHeaders {
+    "Content-Length", "Transfer-Encoding", "Expect", "Connection"};
 
-bool isOwnHeader(std::string_view name)
+bool isReservedHeader(std::string_view name)
 {
-    return std::any_of(
-        OwnHeaders.begin(), OwnHeaders.end(), [name](std::string_view own) { return equalsIgnoringCase(name, own); });
+    return std::any_of(ReservedHeaders.begin(), ReservedHeaders.end(),
+        [name](std::string_view reserved) { return equalsIgnoringCase(name, reserved); });
 }
 
 bool hasHeader(const std::vector<model::Header>& headers, std::string_view name)
@@ -50,10 +51,10 @@
 TargetExchange::~TargetExchange()
 {
     if (transfer_ != nullptr)
-        curl_easy_cleanup(takeTransfer());
+        curl_easy_cleanup(releaseTransfer());
 }
 
-CURL* TargetExchange::takeTransfer()
+CURL* TargetExchange::releaseTransfer()
 {
     if (isInTransfer_)
         options_.curl.remove(transfer_);
@@ -97,14 +98,14 @@
     curl_easy_setopt(transfer_, CURLOPT_NOPROXY, "*");
     curl_easy_setopt(transfer_, CURLOPT_NOSIGNAL, 1L);
     curl_easy_setopt(transfer_, CURLOPT_CONNECTTIMEOUT_MS, static_cast<long>(connectMs));
-    curl_easy_setopt(transfer_, CURLOPT_BUFFERSIZE, ReceiveBuffer);
-    curl_easy_setopt(transfer_, CURLOPT_UPLOAD_BUFFERSIZE, SendBuffer);
-    if (needsOwnConnection())
-        setOwnConnection();
+    curl_easy_setopt(transfer_, CURLOPT_BUFFERSIZE, ReceiveBufferBytes);
+    curl_easy_setopt(transfer_, CURLOPT_UPLOAD_BUFFERSIZE, SendBufferBytes);
+    if (needsExclusiveConnection())
+        setExclusiveConnection();
     else if (options_.start.needsNewConnection)
         curl_easy_setopt(transfer_, CURLOPT_FRESH_CONNECT, 1L);
     else if (options_.start.reuseIdleLimit > Duration::zero())
-        setReuseLimit();
+        setMaxReuseIdleTime();
     curl_easy_setopt(transfer_, CURLOPT_SOCKOPTFUNCTION, &TargetExchange::onSocketMade);
     curl_easy_setopt(transfer_, CURLOPT_SOCKOPTDATA, this);
     curl_easy_setopt(transfer_, CURLOPT_HEADERFUNCTION, &TargetExchange::onHeader);
@@ -117,21 +118,21 @@
     curl_easy_setopt(transfer_, CURLOPT_PREREQDATA, this);
 }
 
-bool TargetExchange::needsOwnConnection() const
+bool TargetExchange::needsExclusiveConnection() const
 {
     return !options_.start.isRepeatable && options_.start.reuseIdleLimit <= Duration::zero();
 }
 
-void TargetExchange::setReuseLimit()
+void TargetExchange::setMaxReuseIdleTime()
 {
     const auto seconds = std::chrono::ceil<std::chrono::seconds>(options_.start.reuseIdleLimit).count();
     curl_easy_setopt(transfer_, CURLOPT_MAXAGE_CONN, static_cast<long>(seconds));
 }
 
-void TargetExchange::setOwnConnection()
+void TargetExchange::setExclusiveConnection()
 {
-    // A pool of connections used once would outgrow what a target holds, and closing each the usual way would use up
-    // the local ports: they are reset once the answer is whole.
+    // Pooling connections that are used once would exceed the connections that a target accepts, and closing each
+    // normally would exhaust the local ports (TIME_WAIT). They are closed with a reset after the complete response.
     curl_easy_setopt(transfer_, CURLOPT_FRESH_CONNECT, 1L);
     curl_easy_setopt(transfer_, CURLOPT_FORBID_REUSE, 1L);
 }
@@ -140,7 +141,7 @@
 {
     const auto& self = *static_cast<const TargetExchange*>(exchange);
     const linger reset {.l_onoff = 1, .l_linger = 0};
-    if (self.needsOwnConnection())
+    if (self.needsExclusiveConnection())
         ::setsockopt(fd, SOL_SOCKET, SO_LINGER, &reset, sizeof(reset));
     const int receiveBuffer = self.options_.receiveBuffer;
     if (receiveBuffer > 0)
@@ -173,18 +174,18 @@
 {
     const requests::TargetStart& request = options_.start;
     for (const model::Header& header : request.headers) {
-        if (isOwnHeader(header.name))
+        if (isReservedHeader(header.name))
             continue;
-        // libcurl's notation of an empty value is a semicolon; "Name:" would remove the header.
+        // libcurl expects "Name;" for an empty value; "Name:" would remove the header.
         addHeader(header.value.empty() ? header.name + ";" : header.name + ": " + header.value);
     }
     addHeader("Expect:");
-    if (needsOwnConnection())
+    if (needsExclusiveConnection())
         addHeader("Connection: close");
     if (!hasHeader(request.headers, "Accept"))
         addHeader("Accept:");
-    const bool saysNoBody = request.method == "POST" || request.method == "PUT" || request.method == "PATCH";
-    if (request.bodyLength == 0 && saysNoBody)
+    const bool needsZeroLength = request.method == "POST" || request.method == "PUT" || request.method == "PATCH";
+    if (request.bodyLength == 0 && needsZeroLength)
         addHeader("Content-Length: 0");
     curl_easy_setopt(transfer_, CURLOPT_HTTPHEADER, headerLines_);
 }
@@ -193,22 +194,22 @@
     void* exchange, char* /*remoteIp*/, char* /*localIp*/, int /*remotePort*/, int /*localPort*/)
 {
     auto& self = *static_cast<TargetExchange*>(exchange);
-    if (self.hasReachedConnection_) {
-        // libcurl is about to repeat the request by itself on another connection.
-        self.failure_ = "connection closed without an answer";
+    if (self.hasConnected_) {
+        // libcurl is about to retry the request on another connection.
+        self.failure_ = "connection closed without a response";
         return CURL_PREREQFUNC_ABORT;
     }
-    self.hasReachedConnection_ = true;
+    self.hasConnected_ = true;
     return CURL_PREREQFUNC_OK;
 }
 
 size_t TargetExchange::onHeader(char* data, size_t size, size_t count, void* exchange)
 {
     auto& self = *static_cast<TargetExchange*>(exchange);
-    return self.takeHeadLine({data, size * count}) ? size * count : 0;
+    return self.handleHeadLine({data, size * count}) ? size * count : 0;
 }
 
-bool TargetExchange::takeHeadLine(std::string_view line)
+bool TargetExchange::handleHeadLine(std::string_view line)
 {
     if (head_.state() == ResponseHead::State::Complete)
         return true; // A trailer.
@@ -216,9 +217,9 @@
     if (state == ResponseHead::State::Bad)
         failure_ = head_.error();
     if (state == ResponseHead::State::Complete && isOfAnotherRequest()) {
-        // The transfer fails, so libcurl closes the connection: kept, it would hand every later request the answer of
-        // the one before.
-        failure_ = "answer of another request";
+        // The failed transfer makes libcurl close the connection. If it stayed open, every later request on it would
+        // receive the response of the previous one.
+        failure_ = "response of another request";
         return false;
     }
     if (state == ResponseHead::State::Complete) {
@@ -243,22 +244,22 @@
 
 size_t TargetExchange::onBody(char* data, size_t size, size_t count, void* exchange)
 {
-    return static_cast<TargetExchange*>(exchange)->takeBody({data, size * count});
+    return static_cast<TargetExchange*>(exchange)->receiveBody({data, size * count});
 }
 
-size_t TargetExchange::takeBody(std::string_view bytes)
+size_t TargetExchange::receiveBody(std::string_view bytes)
 {
-    if (window_ == 0 || !heldBack_.empty()) {
+    if (window_ == 0 || !buffered_.empty()) {
         isReceivePaused_ = true;
         return CURL_WRITEFUNC_PAUSE;
     }
     const size_t now = std::min<uint64_t>(bytes.size(), window_);
-    heldBack_.assign(bytes.substr(now));
-    passOn(bytes.substr(0, now));
+    buffered_.assign(bytes.substr(now));
+    emitBody(bytes.substr(0, now));
     return bytes.size();
 }
 
-void TargetExchange::passOn(std::string_view bytes)
+void TargetExchange::emitBody(std::string_view bytes)
 {
     if (bytes.empty())
         return;
@@ -269,12 +270,12 @@
 void TargetExchange::widenWindow(uint64_t bytes)
 {
     window_ += bytes;
-    const size_t now = std::min<uint64_t>(heldBack_.size(), window_);
-    const std::string held = std::exchange(heldBack_, heldBack_.substr(now));
-    passOn(std::string_view(held).substr(0, now));
-    if (isAnswerWhole_ && heldBack_.empty())
-        return emitEnd();
-    if (!isReceivePaused_ || !heldBack_.empty() || window_ == 0)
+    const size_t now = std::min<uint64_t>(buffered_.size(), window_);
+    const std::string buffered = std::exchange(buffered_, buffered_.substr(now));
+    emitBody(std::string_view(buffered).substr(0, now));
+    if (isResponseComplete_ && buffered_.empty())
+        return emitDone();
+    if (!isReceivePaused_ || !buffered_.empty() || window_ == 0)
         return;
     isReceivePaused_ = false;
     applyPauses();
@@ -282,16 +283,16 @@
 
 void TargetExchange::addRequestBody(std::string_view bytes, bool isLast)
 {
-    if (requestTaken_ == requestBody_.size()) {
+    if (requestOffset_ == requestBody_.size()) {
         requestBody_.clear();
-        requestTaken_ = 0;
+        requestOffset_ = 0;
     }
     requestBody_.append(bytes);
-    isRequestWhole_ = isRequestWhole_ || isLast;
-    releaseSender();
+    isRequestComplete_ = isRequestComplete_ || isLast;
+    resumeSending();
 }
 
-void TargetExchange::releaseSender()
+void TargetExchange::resumeSending()
 {
     if (!isSendPaused_)
         return;
@@ -313,27 +314,27 @@
     return static_cast<TargetExchange*>(exchange)->readBody(buffer, size * count);
 }
 
-size_t TargetExchange::readBody(char* buffer, size_t room)
+size_t TargetExchange::readBody(char* buffer, size_t capacity)
 {
     const auto& length = options_.start.bodyLength;
-    const size_t available = requestBody_.size() - requestTaken_;
-    const bool isTooLong = length && requestGiven_ + available > *length;
-    const bool isTooShort = length && available == 0 && isRequestWhole_ && requestGiven_ < *length;
+    const size_t available = requestBody_.size() - requestOffset_;
+    const bool isTooLong = length && requestSent_ + available > *length;
+    const bool isTooShort = length && available == 0 && isRequestComplete_ && requestSent_ < *length;
     if (isTooLong || isTooShort) {
-        failure_ = "request body differs from its length";
+        failure_ = "request body does not match its declared length";
         return CURL_READFUNC_ABORT;
     }
-    if (available == 0 && !isRequestWhole_) {
+    if (available == 0 && !isRequestComplete_) {
         isSendPaused_ = true;
         return CURL_READFUNC_PAUSE;
     }
-    const size_t taken = std::min(room, available);
-    std::memcpy(buffer, requestBody_.data() + requestTaken_, taken);
-    requestTaken_ += taken;
-    requestGiven_ += taken;
-    if (taken > 0)
-        options_.emit(requests::TargetRequestProgress {.dispatch = options_.start.dispatch, .bytes = taken});
-    return taken;
+    const size_t count = std::min(capacity, available);
+    std::memcpy(buffer, requestBody_.data() + requestOffset_, count);
+    requestOffset_ += count;
+    requestSent_ += count;
+    if (count > 0)
+        options_.emit(requests::TargetRequestProgress {.dispatch = options_.start.dispatch, .bytes = count});
+    return count;
 }
 
 void TargetExchange::end(CURLcode code)
@@ -342,13 +343,13 @@
     if (code != CURLE_OK)
         return fail(failure_.empty() ? curl_easy_strerror(code) : failure_, isConnectionRefused(code));
     if (head_.state() != ResponseHead::State::Complete)
-        return fail("no whole head");
-    isAnswerWhole_ = true;
-    if (heldBack_.empty())
-        emitEnd();
+        return fail("incomplete response head");
+    isResponseComplete_ = true;
+    if (buffered_.empty())
+        emitDone();
 }
 
-void TargetExchange::emitEnd() { options_.emit(requests::TargetResponseDone {.dispatch = options_.start.dispatch}); }
+void TargetExchange::emitDone() { options_.emit(requests::TargetResponseDone {.dispatch = options_.start.dispatch}); }
 
 bool TargetExchange::isConnectionRefused(CURLcode code) const
 {
@@ -360,7 +361,7 @@
 void TargetExchange::fail(std::string message, bool isRefused)
 {
     options_.emit(requests::TargetFailed {.dispatch = options_.start.dispatch,
-        .mayHaveReachedTarget = hasReachedConnection_,
+        .mayHaveReachedTarget = hasConnected_,
         .message = std::move(message),
         .isRefused = isRefused});
 }
--- a/src/net/internal/targetexchange.h
+++ b/src/net/internal/targetexchange.h
@@ -17,7 +17,7 @@
 
 namespace saltvane::net {
 
-/// One request to a target and its answer: the callbacks of one libcurl transfer.
+/// One request to a target and its response: the callbacks of one libcurl transfer.
 class TargetExchange {
 public:
     struct Options {
@@ -25,26 +25,26 @@
         requests::TargetStart start;
         Duration connectTimeout {};
         int receiveBuffer = 0;
-        /// Never calls back into this exchange at once.
+        /// Must not call back into this exchange synchronously.
         std::function<void(requests::TargetEvent)> emit;
     };
-    /// `transfer` is blank; the exchange gives it back by takeTransfer().
+    /// `transfer` has no options set; releaseTransfer() returns it.
     TargetExchange(Options options, CURL* transfer);
     ~TargetExchange();
     TargetExchange(const TargetExchange&) = delete;
     TargetExchange& operator=(const TargetExchange&) = delete;
 
-    /// False: it can't be sent as it is; nothing was sent.
+    /// False: the request is invalid and nothing was sent.
     [[nodiscard]] bool start();
     void addRequestBody(std::string_view bytes, bool isLast);
     void widenWindow(uint64_t bytes);
-    /// After an answer that came ahead of the request's end: libcurl sends no more of the body of a request that
-    /// was refused, but a paused sender would keep it waiting for ever.
-    void releaseSender();
-    /// The transfer ended; libcurl has let go of it.
+    /// To be called for a response that arrives before the request is complete: libcurl stops sending the body of a
+    /// refused request, but would wait forever if sending is paused.
+    void resumeSending();
+    /// Called when libcurl has completed and removed the transfer.
     void end(CURLcode code);
-    /// Lets go of the transfer, in whatever state it is.
-    [[nodiscard]] CURL* takeTransfer();
+    /// Cancels the transfer if it is in progress and returns its reset handle.
+    [[nodiscard]] CURL* releaseTransfer();
 
 private:
     static size_t onHeader(char* data, size_t size, size_t count, void* exchange);
@@ -56,19 +56,19 @@
 
     [[nodiscard]] bool isSendable() const;
     void setOptions();
-    [[nodiscard]] bool needsOwnConnection() const;
-    void setOwnConnection();
-    void setReuseLimit();
+    [[nodiscard]] bool needsExclusiveConnection() const;
+    void setExclusiveConnection();
+    void setMaxReuseIdleTime();
     void setMethod();
     void addHeaders();
     void addHeader(const std::string& line);
-    [[nodiscard]] bool takeHeadLine(std::string_view line);
-    /// The head, now whole, belongs to another request: a surplus answer came in the place of this one's.
+    [[nodiscard]] bool handleHeadLine(std::string_view line);
+    /// True if the complete head belongs to another request: a surplus response arrived instead of the expected one.
     [[nodiscard]] bool isOfAnotherRequest();
-    [[nodiscard]] size_t takeBody(std::string_view bytes);
-    [[nodiscard]] size_t readBody(char* buffer, size_t room);
-    void passOn(std::string_view bytes);
-    void emitEnd();
+    [[nodiscard]] size_t receiveBody(std::string_view bytes);
+    [[nodiscard]] size_t readBody(char* buffer, size_t capacity);
+    void emitBody(std::string_view bytes);
+    void emitDone();
     void fail(std::string message, bool isRefused = false);
     [[nodiscard]] bool isConnectionRefused(CURLcode code) const;
     void applyPauses();
@@ -79,21 +79,21 @@
     std::string url_;
     ResponseHead head_;
     bool isInTransfer_ = false;
-    bool hasReachedConnection_ = false; ///< A connection stood; bytes may have been sent since.
-    std::string failure_; ///< Found by a callback; says more than libcurl's code.
+    bool hasConnected_ = false; ///< A connection was established, so bytes may have been sent.
+    std::string failure_; ///< Set by a callback; more specific than libcurl's code.
 
     // Request body.
-    std::string requestBody_; ///< Not taken by libcurl yet.
-    size_t requestTaken_ = 0;
-    uint64_t requestGiven_ = 0; ///< Bytes libcurl took, in all.
-    bool isRequestWhole_ = false;
+    std::string requestBody_; ///< Part of the request body that is buffered.
+    size_t requestOffset_ = 0; ///< Bytes of requestBody_ that were passed to libcurl.
+    uint64_t requestSent_ = 0; ///< Bytes passed to libcurl so far.
+    bool isRequestComplete_ = false;
     bool isSendPaused_ = false;
 
-    // Answer's body.
+    // Response body.
     uint64_t window_ = requests::InitialBodyWindow;
-    std::string heldBack_; ///< Received beyond the window.
+    std::string buffered_; ///< Bytes received beyond the window.
     bool isReceivePaused_ = false;
-    bool isAnswerWhole_ = false; ///< Only held-back bytes are missing.
+    bool isResponseComplete_ = false; ///< The response was received; buffered_ is not delivered yet.
 };
 
 } // namespace saltvane::net
--- a/src/net/internal/timerwatcher.h
+++ b/src/net/internal/timerwatcher.h
@@ -13,7 +13,7 @@
 
 namespace saltvane::net {
 
-/// One timer of the loop.
+/// A timer of the event loop.
 class TimerWatcher {
 public:
     TimerWatcher(struct ev_loop* loop, std::function<void()> onTime)
--- a/src/net/netmodule.cpp
+++ b/src/net/netmodule.cpp
@@ -46,7 +46,7 @@
 
 Result<std::unique_ptr<IDataFolder>, IoError> openDataFolder(const std::string& path)
 {
-    static DiskCalls disk; // Holds nothing.
+    static DiskCalls disk; // Stateless.
     if (sodium_init() < 0)
         return IoError {.place = "libsodium", .message = "no random numbers"};
     auto folder = std::make_unique<DataFolder>(path, disk);
--- a/src/net/tests/datacrashtests.cpp
+++ b/src/net/tests/datacrashtests.cpp
@@ -8,47 +8,47 @@
 namespace saltvane::net::tests {
 namespace {
 
-/// The process ends at every byte it may write, and at every call that changes the disk.
+/// Stops the process at every byte that it writes, and at every call that changes the disk.
 class CrashTest : public testing::Test {
 protected:
-    /// Writes until the disk fails; the writes that counted. No value: not even opened.
+    /// Writes until the disk fails. Returns the number of successful writes; no value if opening failed.
     static std::optional<size_t> runUntilFailure(FaultyDisk& disk, const std::string& path)
     {
         DataFolder folder(path, disk);
         if (!folder.open())
             return std::nullopt;
-        const auto writes = lifeOfAReplica();
+        const auto writes = replicaHistory();
         for (size_t i = 0; i < writes.size(); ++i) {
             if (!folder.write(writes[i]))
                 return i;
         }
         return writes.size();
     }
-    static void checkRecovered(const std::string& path, std::optional<size_t> counted, uint64_t fault)
+    static void checkRecovered(const std::string& path, std::optional<size_t> successfulWrites, uint64_t fault)
     {
-        const auto writes = lifeOfAReplica();
+        const auto writes = replicaHistory();
         FaultyDisk disk;
         DataFolder folder(path, disk);
         const auto opened = folder.open();
         ASSERT_TRUE(opened.isOk()) << fault << " " << opened.error().place << " " << opened.error().message;
         const RecoveredState& found = folder.recovered();
-        const size_t least = counted.value_or(0);
-        bool isExpected = isSame(found, expectedAfter(writes, least));
-        if (least < writes.size())
-            isExpected
-                = isExpected || isSame(found, expectedAfter(writes, least + 1)) || isPartial(found, writes, least);
-        EXPECT_TRUE(isExpected) << fault << ": " << least << " writes counted, found " << describe(found);
+        const size_t minWrites = successfulWrites.value_or(0);
+        bool isExpected = isSame(found, expectedAfter(writes, minWrites));
+        if (minWrites < writes.size())
+            isExpected = isExpected || isSame(found, expectedAfter(writes, minWrites + 1))
+                || isPartial(found, writes, minWrites);
+        EXPECT_TRUE(isExpected) << fault << ": " << minWrites << " writes counted, found " << describe(found);
     }
     /// A snapshot may be on disk before the rest of its write.
-    static bool isPartial(const RecoveredState& found, const std::vector<StorageWrite>& writes, size_t least)
+    static bool isPartial(const RecoveredState& found, const std::vector<StorageWrite>& writes, size_t minWrites)
     {
-        if (!writes[least].snapshot)
+        if (!writes[minWrites].snapshot)
             return false;
-        std::vector<StorageWrite> partial(writes.begin(), writes.begin() + static_cast<std::ptrdiff_t>(least));
-        StorageWrite only = writes[least];
+        std::vector<StorageWrite> partial(writes.begin(), writes.begin() + static_cast<std::ptrdiff_t>(minWrites));
+        StorageWrite only = writes[minWrites];
         only.append.clear();
         only.truncateFrom.reset();
-        const RecoveredState before = expectedAfter(partial, least);
+        const RecoveredState before = expectedAfter(partial, minWrites);
         const bool isAhead = before.entries.empty() || before.entries.back().index < only.snapshotIndex;
         const auto own = std::find_if(before.entries.begin(), before.entries.end(),
             [&](const model::LogEntry& item) { return item.index == only.snapshotIndex; });
@@ -63,15 +63,15 @@
 {
     FaultyDisk whole;
     const TemporaryFolder reference;
-    ASSERT_EQ(runUntilFailure(whole, reference.path()), lifeOfAReplica().size());
+    ASSERT_EQ(runUntilFailure(whole, reference.path()), replicaHistory().size());
     for (uint64_t bytes = 0; bytes < whole.bytesWritten; ++bytes) {
         const TemporaryFolder folder;
         FaultyDisk disk;
         disk.bytesLeft = bytes;
         disk.diesWhenFull = true;
-        const auto counted = runUntilFailure(disk, folder.path());
+        const auto successfulWrites = runUntilFailure(disk, folder.path());
         ASSERT_TRUE(disk.isDead) << bytes;
-        checkRecovered(folder.path(), counted, bytes);
+        checkRecovered(folder.path(), successfulWrites, bytes);
     }
 }
 
@@ -79,7 +79,7 @@
 {
     FaultyDisk whole;
     const TemporaryFolder reference;
-    ASSERT_EQ(runUntilFailure(whole, reference.path()), lifeOfAReplica().size());
+    ASSERT_EQ(runUntilFailure(whole, reference.path()), replicaHistory().size());
     for (uint64_t call = 0; call < whole.calls; ++call) {
         const TemporaryFolder folder;
         FaultyDisk disk;
@@ -89,18 +89,18 @@
     }
 }
 
-TEST_F(CrashTest, FailedCallsAreTriedAgain)
+TEST_F(CrashTest, FailedCallsAreRetried)
 {
     FaultyDisk whole;
     const TemporaryFolder reference;
-    ASSERT_EQ(runUntilFailure(whole, reference.path()), lifeOfAReplica().size());
-    const auto writes = lifeOfAReplica();
+    ASSERT_EQ(runUntilFailure(whole, reference.path()), replicaHistory().size());
+    const auto writes = replicaHistory();
     for (uint64_t call = 0; call < whole.calls; ++call) {
-        for (const uint64_t inARow : {1, 2, 5}) {
+        for (const uint64_t consecutive : {1, 2, 5}) {
             const TemporaryFolder folder;
             FaultyDisk disk;
             disk.failingCall = call;
-            disk.failingCalls = inARow;
+            disk.failingCalls = consecutive;
             size_t failures = 0;
             {
                 auto open = std::make_unique<DataFolder>(folder.path(), disk);
@@ -120,15 +120,15 @@
     }
 }
 
-TEST_F(CrashTest, FullDiskIsAnErrorAndRecoveredFrom)
+TEST_F(CrashTest, FullDiskIsAnErrorAndWritesCanBeRetried)
 {
     const TemporaryFolder folder;
     FaultyDisk disk;
     DataFolder open(folder.path(), disk);
     ASSERT_TRUE(open.open().isOk());
     ASSERT_TRUE(open.write(appending(1, 3, 1)).isOk());
-    for (const uint64_t room : {0, 1, 20}) {
-        disk.bytesLeft = room;
+    for (const uint64_t bytesLeft : {0, 1, 20}) {
+        disk.bytesLeft = bytesLeft;
         const auto full = open.write(appending(4, 6, 1));
         ASSERT_FALSE(full.isOk());
         EXPECT_EQ(full.error().code, ENOSPC);
--- a/src/net/tests/datadamagetests.cpp
+++ b/src/net/tests/datadamagetests.cpp
@@ -30,57 +30,57 @@
     int copies = 0;
 };
 
-TEST_F(DamageTest, InTheMiddleIsRefusedWithItsPlace)
+TEST_F(DamageTest, CorruptedRecordIsAnErrorWithItsLocation)
 {
     const auto segments = filesWith(folder.path(), "segment-");
     ASSERT_EQ(segments.size(), 2u);
     for (const std::string& segment : segments) {
         const bool isLast = segment == segments.back();
         const uint64_t size = fs::file_size(segment);
-        // The last record of the last segment can't be told from a write that was cut short.
+        // Corruption of the last record of the last segment looks like an interrupted write.
         const uint64_t end = isLast ? size - 60 : size;
         for (uint64_t offset = 0; offset < end; offset += 3) {
-            const std::string damaged = copy();
-            const std::string file = damaged + "/" + fs::path(segment).filename().string();
+            const std::string corrupted = copy();
+            const std::string file = corrupted + "/" + fs::path(segment).filename().string();
             flipByte(file, offset);
-            const auto opened = openDataFolder(damaged);
+            const auto opened = openDataFolder(corrupted);
             ASSERT_FALSE(opened.isOk()) << segment << " " << offset;
             EXPECT_TRUE(opened.error().place.starts_with(file + ":")) << opened.error().place;
-            fs::remove_all(damaged);
+            fs::remove_all(corrupted);
         }
     }
 }
 
-TEST_F(DamageTest, TornTailIsCutOffWithAWarning)
+TEST_F(DamageTest, IncompleteLastWriteIsTruncatedWithAWarning)
 {
     const std::string name = fs::path(filesWith(folder.path(), "segment-").back()).filename();
     const uint64_t size = fs::file_size(folder.path() + "/" + name);
     for (uint64_t lost = 1; lost < 20; ++lost) {
-        const std::string torn = copy();
-        fs::resize_file(torn + "/" + name, size - lost);
-        auto opened = reopened(torn);
+        const std::string truncated = copy();
+        fs::resize_file(truncated + "/" + name, size - lost);
+        auto opened = reopened(truncated);
         ASSERT_EQ(opened->warnings().size(), 1u);
         EXPECT_NE(opened->warnings().front().find(name), std::string::npos);
         EXPECT_EQ(opened->recovered().entries.back().index, LogIndex {8});
         ASSERT_TRUE(opened->write(appending(9, 10, 2)).isOk());
         opened.reset();
-        const auto again = reopened(torn);
+        const auto again = reopened(truncated);
         EXPECT_TRUE(again->warnings().empty());
         EXPECT_EQ(again->recovered().entries.back(), entry(10, 2));
     }
 }
 
-TEST_F(DamageTest, OfSingleFilesIsRefused)
+TEST_F(DamageTest, CorruptedSingleRecordFilesAreRefused)
 {
     for (const std::string name : {"replica", "starts", "format", "last-segment", "snapshot-0000000000000002"}) {
         const uint64_t size = fs::file_size(folder.path() + "/" + name);
         for (uint64_t offset = 0; offset < size; ++offset) {
-            const std::string damaged = copy();
-            flipByte(damaged + "/" + name, offset);
-            const auto opened = openDataFolder(damaged);
+            const std::string corrupted = copy();
+            flipByte(corrupted + "/" + name, offset);
+            const auto opened = openDataFolder(corrupted);
             ASSERT_FALSE(opened.isOk()) << name << " " << offset;
             EXPECT_NE(opened.error().place.find(name), std::string::npos);
-            fs::remove_all(damaged);
+            fs::remove_all(corrupted);
         }
     }
 }
@@ -89,13 +89,13 @@
 {
     for (const auto& item : fs::directory_iterator(folder.path())) {
         const std::string name = item.path().filename();
-        // The lock holds nothing; the last segment's number is only there to miss that one.
+        // The lock is empty; last-segment only serves to detect that the last segment is missing.
         if (name == "lock" || name == "last-segment")
             continue;
-        const std::string damaged = copy();
-        fs::remove(damaged + "/" + name);
-        EXPECT_FALSE(openDataFolder(damaged).isOk()) << name;
-        fs::remove_all(damaged);
+        const std::string corrupted = copy();
+        fs::remove(corrupted + "/" + name);
+        EXPECT_FALSE(openDataFolder(corrupted).isOk()) << name;
+        fs::remove_all(corrupted);
     }
 }
 
--- a/src/net/tests/datafolderfixture.h
+++ b/src/net/tests/datafolderfixture.h
@@ -26,7 +26,7 @@
 public:
     TemporaryFolder()
     {
-        // In memory where there is such a folder: thousands of folders are made and removed.
+        // In memory if possible: thousands of folders are created and removed.
         const fs::path inMemory = "/dev/shm";
         const fs::path parent = ::access(inMemory.c_str(), W_OK) == 0 ? inMemory : fs::temp_directory_path();
         std::string pattern = parent / "saltvane-XXXXXX";
@@ -60,8 +60,8 @@
     return {.snapshot = "snapshot" + std::to_string(index), .snapshotIndex = {index}, .snapshotTerm = {term}};
 }
 
-/// Appends, votes, conflicts, own snapshots with entries behind them, and received ones ahead of the log.
-inline std::vector<StorageWrite> lifeOfAReplica()
+/// Appends, votes, conflicts, own snapshots followed by entries, and received snapshots ahead of the log.
+inline std::vector<StorageWrite> replicaHistory()
 {
     std::vector<StorageWrite> writes;
     writes.push_back({.hardState = control::HardState {{1}, model::ReplicaId("v1")}});
@@ -85,7 +85,7 @@
     return writes;
 }
 
-/// What the writes amount to, by the plainest means.
+/// Simple reference implementation of the state after the first `count` writes.
 inline RecoveredState expectedAfter(const std::vector<StorageWrite>& writes, size_t count)
 {
     RecoveredState state;
--- a/src/net/tests/datafoldertests.cpp
+++ b/src/net/tests/datafoldertests.cpp
@@ -19,7 +19,7 @@
     return state;
 }
 
-TEST(DataFolderTest, NewFolderHasAFreshIdentityAndNothingElse)
+TEST(DataFolderTest, NewFolderHasANewIdentityAndNoState)
 {
     const TemporaryFolder first;
     const TemporaryFolder second;
@@ -32,7 +32,7 @@
     EXPECT_EQ(a->startCount(), 1u);
 }
 
-TEST(DataFolderTest, KeepsIdentityAndCountsStarts)
+TEST(DataFolderTest, PreservesIdentityAndCountsStarts)
 {
     const TemporaryFolder folder;
     const auto replica = reopened(folder.path())->recovered().replica;
@@ -45,18 +45,18 @@
     EXPECT_FALSE(reopened(folder.path())->recovered().isNewDisk);
 }
 
-TEST(DataFolderTest, SoftStateOfAnotherVersionIsLeftOutWithAWarning)
+TEST(DataFolderTest, SoftStateOfAnotherVersionIsIgnoredWithAWarning)
 {
     const TemporaryFolder folder;
     (void)reopened(folder.path());
     std::ofstream(folder.path() + "/soft-state", std::ios::binary)
-        << encodeRecord(SoftStatePlace, "bytes of another version");
+        << encodeRecord(SoftStatePosition, "bytes of another version");
     const auto second = reopened(folder.path());
     EXPECT_TRUE(second->softState().targets.targets.empty());
     EXPECT_EQ(second->warnings().size(), 1U);
 }
 
-TEST(DataFolderTest, KeepsTheSoftStateWrittenLast)
+TEST(DataFolderTest, RestoresTheLastSoftState)
 {
     const TemporaryFolder folder;
     auto first = reopened(folder.path());
@@ -72,19 +72,19 @@
     EXPECT_TRUE(second->warnings().empty());
 }
 
-TEST(DataFolderTest, SoftStateOfTargetsAloneIsRead)
+TEST(DataFolderTest, SoftStateWithOnlyTargetsIsRead)
 {
     const TemporaryFolder folder;
     (void)reopened(folder.path());
     std::ofstream(folder.path() + "/soft-state", std::ios::binary)
-        << encodeRecord(SoftStatePlace, wire::encodeFrame(stateOf("one").targets));
+        << encodeRecord(SoftStatePosition, wire::encodeFrame(stateOf("one").targets));
     const auto second = reopened(folder.path());
     EXPECT_EQ(second->softState().targets.targets.size(), 1U);
     EXPECT_TRUE(second->softState().suspects.requests.empty());
     EXPECT_TRUE(second->warnings().empty());
 }
 
-TEST(DataFolderTest, DamagedSoftStateIsLeftOutWithAWarning)
+TEST(DataFolderTest, CorruptedSoftStateIsIgnoredWithAWarning)
 {
     const TemporaryFolder folder;
     auto first = reopened(folder.path());
@@ -99,7 +99,7 @@
 
 TEST(DataFolderTest, RecoversAfterEachWrite)
 {
-    const auto writes = lifeOfAReplica();
+    const auto writes = replicaHistory();
     const TemporaryFolder folder;
     for (size_t i = 0; i < writes.size(); ++i) {
         auto open = reopened(folder.path());
@@ -112,9 +112,9 @@
     }
 }
 
-TEST(DataFolderTest, RecoversAllWritesOfOneStart)
+TEST(DataFolderTest, RecoversAllWritesOfOneProcess)
 {
-    const auto writes = lifeOfAReplica();
+    const auto writes = replicaHistory();
     const TemporaryFolder folder;
     auto open = reopened(folder.path());
     for (const StorageWrite& write : writes)
@@ -123,7 +123,7 @@
     EXPECT_TRUE(isSame(reopened(folder.path())->recovered(), expectedAfter(writes, writes.size())));
 }
 
-TEST(DataFolderTest, RemovesWhatASnapshotReplaces)
+TEST(DataFolderTest, RemovesFilesThatASnapshotReplaces)
 {
     const TemporaryFolder folder;
     auto open = reopened(folder.path());
@@ -135,7 +135,7 @@
     EXPECT_LE(filesWith(folder.path(), "segment-").size(), 2u);
 }
 
-TEST(DataFolderTest, OneProcessAtATime)
+TEST(DataFolderTest, SecondProcessIsRefused)
 {
     const TemporaryFolder folder;
     const auto open = reopened(folder.path());
--- a/src/net/tests/faultydisk.h
+++ b/src/net/tests/faultydisk.h
@@ -14,8 +14,8 @@
 
 namespace saltvane::net::tests {
 
-/// The real files until a chosen byte or call; from there on it fails, for once or for good. Stands for the end of the
-/// process, not of the machine: syncs only count.
+/// Writes to real files up to a chosen byte or call, then fails once or permanently. Simulates a crash of the process,
+/// not of the machine: syncs are only counted.
 class FaultyDisk final : public IDiskCalls {
 public:
     [[nodiscard]] ssize_t write(int fd, const void* bytes, size_t size, off_t offset) override
@@ -42,10 +42,10 @@
     [[nodiscard]] int syncFolder(const std::string& path) override { return fails() || path.empty() ? -1 : 0; }
 
     static constexpr uint64_t Unlimited = std::numeric_limits<uint64_t>::max();
-    uint64_t bytesLeft = Unlimited; ///< Before the disk is full.
-    bool diesWhenFull = false; ///< As if the process ended there.
+    uint64_t bytesLeft = Unlimited; ///< Until the disk is full.
+    bool diesWhenFull = false; ///< Simulates a crash of the process at that byte.
     uint64_t failingCall = Unlimited; ///< Counts from 0.
-    uint64_t failingCalls = 1; ///< In a row.
+    uint64_t failingCalls = 1; ///< Consecutive failures.
     int error = ENOSPC;
     bool isDead = false;
     uint64_t calls = 0;
