--- a/src/net/tests/httprequesttests.cpp
+++ b/src/net/tests/httprequesttests.cpp
@@ -10,7 +10,7 @@
 
 class HttpRequestTest : public HttpServerTest { };
 
-TEST_F(HttpRequestTest, TellsTheRequestAsSent)
+TEST_F(HttpRequestTest, ReportsTheRequestUnchanged)
 {
     auto client = connect();
     client.send(PlainGet);
@@ -69,16 +69,16 @@
     EXPECT_TRUE(log.http<HttpRequestBody>().back().isLast);
 }
 
-TEST_F(HttpRequestTest, EarlyRefusalReadsTheBodyAndAnswers)
+TEST_F(HttpRequestTest, EarlyRefusalDrainsTheBodyAndResponds)
 {
-    answerAtOnce({.status = 429, .bodyLength = 0});
+    respondAtOnce({.status = 429, .bodyLength = 0});
     const std::string body(InitialBodyWindow * 2, 'x');
     auto client = connect();
     const std::string request
         = "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
     ASSERT_TRUE(exchange(client, request, "HTTP/1.1 429"));
     EXPECT_TRUE(log.http<HttpRequestBody>().empty());
-    EXPECT_FALSE(client.isPeerGone());
+    EXPECT_FALSE(client.isPeerDisconnected());
 }
 
 TEST_F(HttpRequestTest, ContinueIsSentUnlessTheRequestIsRefused)
@@ -90,15 +90,15 @@
     client.send("abc");
     ASSERT_TRUE(runner.runUntil([&] { return bodyReceived() == "abc"; }));
 
-    answerAtOnce({.status = 503, .bodyLength = 0});
+    respondAtOnce({.status = 503, .bodyLength = 0});
     auto refused = connect();
     ASSERT_TRUE(exchange(refused, head, "HTTP/1.1 503"));
     EXPECT_FALSE(refused.hasReceived("100 Continue"));
 }
 
-TEST_F(HttpRequestTest, CallerGoneWhileItsBodyWaits)
+TEST_F(HttpRequestTest, CallerDisconnectsWhileItsBodyWaits)
 {
-    // A close is seen behind bytes that fit into the socket's buffer; a reset is seen in any case.
+    // A close is detected only if the bytes before it fit into the socket's buffer; a reset is always detected.
     const size_t fewBeyondWindow = InitialBodyWindow + 1000;
     const size_t manyBeyondWindow = InitialBodyWindow * 16;
     for (const size_t size : {fewBeyondWindow, manyBeyondWindow}) {
@@ -139,7 +139,7 @@
     for (const std::string& head : heads) {
         auto client = connect();
         client.send("POST /secret HTTP/1.1\r\nHost: h\r\n" + head + "\r\nabc");
-        ASSERT_TRUE(runner.runUntil([&] { return client.isPeerGone(); })) << head;
+        ASSERT_TRUE(runner.runUntil([&] { return client.isPeerDisconnected(); })) << head;
         EXPECT_TRUE(client.hasReceived("HTTP/1.1 400") || client.hasReceived("HTTP/1.1 413"))
             << head << client.received;
         ASSERT_TRUE(runner.runUntil([&] { return server->openConnections() == 0; }));
@@ -157,7 +157,7 @@
     for (const std::string& line : lines) {
         auto client = connect();
         client.send(line + "\r\nHost: h\r\n\r\n");
-        ASSERT_TRUE(runner.runUntil([&] { return client.isPeerGone(); })) << line;
+        ASSERT_TRUE(runner.runUntil([&] { return client.isPeerDisconnected(); })) << line;
         ASSERT_TRUE(runner.runUntil([&] { return server->openConnections() == 0; }));
         EXPECT_GT(badRequests(), count) << line << client.received;
         count = badRequests();
@@ -173,7 +173,7 @@
     EXPECT_EQ(log.http<HttpRequestStarted>().front().path, "/x?y=1");
 }
 
-TEST_F(HttpRequestTest, HoldsItsLimits)
+TEST_F(HttpRequestTest, EnforcesLimits)
 {
     server.reset();
     makeServer({.requestHeaderBytes = 4096, .requestBodyBytes = 100, .connections = 2});
@@ -196,11 +196,11 @@
     auto third = connect();
     ASSERT_TRUE(exchange(third, PlainGet, "too-many-connections"));
     EXPECT_TRUE(third.hasReceived("HTTP/1.1 503"));
-    EXPECT_TRUE(runner.runUntil([&] { return third.isPeerGone(); }));
+    EXPECT_TRUE(runner.runUntil([&] { return third.isPeerDisconnected(); }));
     EXPECT_EQ(badRequests(), 3u);
 }
 
-TEST_F(HttpRequestTest, SlowHeadersEndTheConnection)
+TEST_F(HttpRequestTest, SlowHeadersCloseTheConnection)
 {
     server.reset();
     makeServer({.headerTimeout = 50ms});
@@ -208,9 +208,9 @@
     auto trickling = connect();
     trickling.send("GET / HTTP/1.1\r\n");
     EXPECT_TRUE(runner.runUntil([&] {
-        if (!trickling.isPeerGone())
+        if (!trickling.isPeerDisconnected())
             trickling.send("X: y\r\n");
-        return silent.isPeerGone() && trickling.isPeerGone();
+        return silent.isPeerDisconnected() && trickling.isPeerDisconnected();
     }));
     EXPECT_TRUE(log.http<HttpRequestStarted>().empty());
 }
--- a/src/net/tests/httpserverfixture.h
+++ b/src/net/tests/httpserverfixture.h
@@ -17,7 +17,7 @@
 
 inline constexpr const char* PlainGet = "GET /a%20b?x=1&y=%2F HTTP/1.1\r\nHost: h\r\nX-Two: 1\r\nX-Two: 2\r\n\r\n";
 
-/// A server whose events a test reads, and that answers when a test says so.
+/// A server with recorded events, whose responses the test sends.
 class HttpServerTest : public testing::Test {
 protected:
     void SetUp() override { makeServer({}); }
@@ -51,8 +51,8 @@
         return all;
     }
     [[nodiscard]] uint64_t badRequests() const { return counters.value(model::Counter::BadHttpRequests); }
-    /// Answers each request at once, from within the event.
-    void answerAtOnce(HttpRespond pattern)
+    /// Responds to each request from within its event.
+    void respondAtOnce(HttpRespond pattern)
     {
         onEvent = [this, pattern](const host::Event& event) {
             const auto* http = std::get_if<HttpEvent>(&event);
@@ -67,7 +67,7 @@
     [[nodiscard]] bool exchange(RawSocket& client, std::string_view request, std::string_view expected)
     {
         client.send(request);
-        return runner.runUntil([&] { return client.hasReceived(expected) || client.isPeerGone(); })
+        return runner.runUntil([&] { return client.hasReceived(expected) || client.isPeerDisconnected(); })
             && client.hasReceived(expected);
     }
 
--- a/src/net/tests/httpservertests.cpp
+++ b/src/net/tests/httpservertests.cpp
@@ -8,9 +8,9 @@
 namespace saltvane::net::tests {
 namespace {
 
-TEST_F(HttpServerTest, AnswersAtOnceAndKeepsTheConnection)
+TEST_F(HttpServerTest, RespondsImmediatelyAndKeepsTheConnection)
 {
-    answerAtOnce({.headers = {{"X-A", "1"}, {"X-A", "2"}, {"Content-Length", "99"}}, .bodyLength = 2, .bytes = "ok"});
+    respondAtOnce({.headers = {{"X-A", "1"}, {"X-A", "2"}, {"Content-Length", "99"}}, .bodyLength = 2, .bytes = "ok"});
     auto client = connect();
     ASSERT_TRUE(exchange(client, PlainGet, "\r\n\r\nok"));
     EXPECT_TRUE(client.hasReceived("X-A: 1\r\nX-A: 2\r\n"));
@@ -20,15 +20,16 @@
     ASSERT_TRUE(exchange(client, "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabc", "\r\n\r\nok"));
     client.received.clear();
     ASSERT_TRUE(exchange(client, "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n", "\r\n\r\nok"));
-    EXPECT_FALSE(client.isPeerGone());
+    EXPECT_FALSE(client.isPeerDisconnected());
     EXPECT_TRUE(runner.runUntil([&] { return log.http<HttpResponseDone>().size() == 3; }));
     EXPECT_EQ(server->openConnections(), 1u);
 }
 
-TEST_F(HttpServerTest, PassesHeadersOnOnce)
+TEST_F(HttpServerTest, ForwardsHeadersOnce)
 {
-    answerAtOnce({.headers = {{"Date", "Mon, 01 Jan 2024 00:00:00 GMT"}, {"X-Tab", "a\tb"}, {"Transfer-Encoding", "x"}},
-        .bodyLength = 0});
+    respondAtOnce(
+        {.headers = {{"Date", "Mon, 01 Jan 2024 00:00:00 GMT"}, {"X-Tab", "a\tb"}, {"Transfer-Encoding", "x"}},
+            .bodyLength = 0});
     auto client = connect();
     ASSERT_TRUE(exchange(client, PlainGet, "\r\n\r\n"));
     EXPECT_TRUE(client.hasReceived("Date: Mon, 01 Jan 2024 00:00:00 GMT\r\n"));
@@ -37,7 +38,7 @@
     EXPECT_FALSE(client.hasReceived("Transfer-Encoding"));
 }
 
-TEST_F(HttpServerTest, AnswersLater)
+TEST_F(HttpServerTest, RespondsLater)
 {
     auto client = connect();
     client.send(PlainGet);
@@ -48,7 +49,7 @@
     EXPECT_TRUE(runner.runUntil([&] { return log.http<HttpResponseDone>().size() == 1; }));
 }
 
-TEST_F(HttpServerTest, StreamsAnAnswerInParts)
+TEST_F(HttpServerTest, StreamsAResponseInParts)
 {
     auto client = connect();
     client.send(PlainGet);
@@ -67,7 +68,7 @@
     EXPECT_EQ(progress, 6u);
 }
 
-TEST_F(HttpServerTest, StreamsAnAnswerInChunks)
+TEST_F(HttpServerTest, StreamsAChunkedResponse)
 {
     auto client = connect();
     client.send(PlainGet);
@@ -77,10 +78,10 @@
     server->carryOut(HttpResponseBody {.handle = handleOf(0), .isLast = true});
     ASSERT_TRUE(runner.runUntil([&] { return client.hasReceived("0\r\n\r\n"); }));
     EXPECT_TRUE(client.hasReceived("Transfer-Encoding: chunked"));
-    EXPECT_FALSE(client.isPeerGone());
+    EXPECT_FALSE(client.isPeerDisconnected());
 }
 
-TEST_F(HttpServerTest, BrokenAnswerIsVisiblyShort)
+TEST_F(HttpServerTest, AbortedResponseIsVisiblyIncomplete)
 {
     for (const bool isChunked : {true, false}) {
         auto client = connect();
@@ -92,25 +93,25 @@
             HttpRespond {.handle = handleOf(index), .bodyLength = length, .bytes = "abc", .isLast = false});
         ASSERT_TRUE(runner.runUntil([&] { return client.hasReceived("abc"); }));
         server->carryOut(HttpAbort {.handle = handleOf(index)});
-        ASSERT_TRUE(runner.runUntil([&] { return client.isPeerGone(); }));
+        ASSERT_TRUE(runner.runUntil([&] { return client.isPeerDisconnected(); }));
         EXPECT_FALSE(client.hasReceived("\r\n0\r\n"));
     }
     EXPECT_TRUE(log.http<HttpResponseDone>().empty());
     EXPECT_TRUE(log.http<HttpRequestAborted>().empty());
 }
 
-TEST_F(HttpServerTest, AnswerShorterThanStatedIsBroken)
+TEST_F(HttpServerTest, ResponseShorterThanDeclaredIsAborted)
 {
     auto client = connect();
     client.send(PlainGet);
     ASSERT_TRUE(waitStarted(1));
     server->carryOut(HttpRespond {.handle = handleOf(0), .bodyLength = 10, .bytes = "abc", .isLast = true});
-    ASSERT_TRUE(runner.runUntil([&] { return client.isPeerGone(); }));
+    ASSERT_TRUE(runner.runUntil([&] { return client.isPeerDisconnected(); }));
     ASSERT_TRUE(runner.runUntil([&] { return log.http<HttpRequestAborted>().size() == 1; }));
     EXPECT_TRUE(log.http<HttpResponseDone>().empty());
 }
 
-TEST_F(HttpServerTest, AnswerLongerThanStatedIsBroken)
+TEST_F(HttpServerTest, ResponseLongerThanDeclaredIsAborted)
 {
     auto client = connect();
     client.send(PlainGet);
@@ -118,28 +119,28 @@
     server->carryOut(HttpRespond {.handle = handleOf(0), .bodyLength = 4, .bytes = "abc", .isLast = false});
     ASSERT_TRUE(runner.runUntil([&] { return client.hasReceived("abc"); }));
     server->carryOut(HttpResponseBody {.handle = handleOf(0), .bytes = "de", .isLast = true});
-    EXPECT_TRUE(runner.runUntil([&] { return client.isPeerGone(); }));
+    EXPECT_TRUE(runner.runUntil([&] { return client.isPeerDisconnected(); }));
 }
 
-TEST_F(HttpServerTest, ChunkedAnswerToHttp10IsNotSent)
+TEST_F(HttpServerTest, ChunkedResponseToHttp10IsNotSent)
 {
     auto client = connect();
     client.send("GET / HTTP/1.0\r\n\r\n");
     ASSERT_TRUE(waitStarted(1));
     server->carryOut(HttpRespond {.handle = handleOf(0), .bytes = "abc", .isLast = false});
-    ASSERT_TRUE(runner.runUntil([&] { return client.isPeerGone(); }));
+    ASSERT_TRUE(runner.runUntil([&] { return client.isPeerDisconnected(); }));
     EXPECT_EQ(client.received, "");
     EXPECT_EQ(log.http<HttpRequestAborted>().size(), 1u);
 }
 
 TEST_F(HttpServerTest, HeadHasLengthAndNoBody)
 {
-    answerAtOnce({.headers = {{"Content-Length", "1234"}}, .bodyLength = 0});
+    respondAtOnce({.headers = {{"Content-Length", "1234"}}, .bodyLength = 0});
     auto client = connect();
     ASSERT_TRUE(exchange(client, "HEAD / HTTP/1.1\r\nHost: h\r\n\r\n", "\r\n\r\n"));
     EXPECT_TRUE(client.hasReceived("Content-Length: 1234\r\n"));
     client.received.clear();
-    ASSERT_TRUE(exchange(client, PlainGet, "HTTP/1.1 200")); // The connection is still in step.
+    ASSERT_TRUE(exchange(client, PlainGet, "HTTP/1.1 200")); // The connection is still usable.
     EXPECT_TRUE(runner.runUntil([&] { return log.http<HttpResponseDone>().size() == 2; }));
 }
 
@@ -148,7 +149,7 @@
     auto client = connect();
     for (const int status : {204, 304}) {
         client.received.clear();
-        answerAtOnce({.status = status, .bodyLength = 0});
+        respondAtOnce({.status = status, .bodyLength = 0});
         ASSERT_TRUE(exchange(client, PlainGet, "\r\n\r\n"));
         EXPECT_TRUE(client.received.ends_with("\r\n\r\n"));
         EXPECT_TRUE(client.hasReceived("HTTP/1.1 " + std::to_string(status)));
@@ -156,7 +157,7 @@
     }
 }
 
-TEST_F(HttpServerTest, CallerGoneWhileTheCoreWorks)
+TEST_F(HttpServerTest, CallerDisconnectsWhileTheCoreWorks)
 {
     auto closing = connect();
     closing.send(PlainGet);
@@ -168,14 +169,14 @@
     ASSERT_TRUE(waitStarted(2));
     resetting.closeWithReset();
     EXPECT_TRUE(runner.runUntil([&] { return log.http<HttpRequestAborted>().size() == 2; }));
-    // An answer that comes now reaches nobody and does no harm.
+    // A response after the disconnect is ignored.
     server->carryOut(HttpRespond {.handle = handleOf(0), .bodyLength = 0});
     ASSERT_TRUE(runner.runUntil([&] { return server->openConnections() == 0; }));
     EXPECT_EQ(log.http<HttpRequestAborted>().size(), 2u);
     EXPECT_TRUE(log.http<HttpResponseDone>().empty());
 }
 
-TEST_F(HttpServerTest, CallerGoneInTheMiddleOfTheBodies)
+TEST_F(HttpServerTest, CallerDisconnectsDuringTheBodies)
 {
     auto sending = connect();
     sending.send("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 10\r\n\r\nabc");
@@ -193,7 +194,7 @@
     EXPECT_TRUE(log.http<HttpResponseDone>().empty());
 }
 
-TEST_F(HttpServerTest, SlowReaderHoldsABoundedShare)
+TEST_F(HttpServerTest, SlowReaderBuffersABoundedAmount)
 {
     auto client = connect();
     client.isReading = false;
@@ -244,13 +245,13 @@
     forReader.send(PlainGet);
     ASSERT_TRUE(waitStarted(4));
     server->carryOut(HttpRespond {.handle = handleOf(3), .bytes = std::string(30'000'000, 'y'), .isLast = false});
-    (void)runner.turnsPerTick(); // Until the socket's buffers are full.
+    (void)runner.turnsPerTick(); // Fills the socket's buffers.
     EXPECT_LT(runner.turnsPerTick(), 3);
     auto idle = connect();
     EXPECT_LT(runner.turnsPerTick(), 3);
 }
 
-TEST_F(HttpServerTest, MetricsAreAnsweredAtTheEdge)
+TEST_F(HttpServerTest, MetricsAreServedWithoutTheCore)
 {
     auto client = connect();
     ASSERT_TRUE(exchange(client, "GET /metrics HTTP/1.1\r\nHost: h\r\n\r\n", "\r\n\r\nup 1\n"));
@@ -264,23 +265,23 @@
     ASSERT_TRUE(waitStarted(1));
     server->stopAccepting();
     auto late = connect();
-    EXPECT_TRUE(runner.runUntil([&] { return late.isPeerGone(); }));
+    EXPECT_TRUE(runner.runUntil([&] { return late.isPeerDisconnected(); }));
     server->carryOut(HttpRespond {.handle = handleOf(0), .bodyLength = 2, .bytes = "ok"});
     EXPECT_TRUE(runner.runUntil([&] { return client.hasReceived("\r\n\r\nok"); }));
     EXPECT_EQ(server->openConnections(), 1u);
 }
 
-TEST_F(HttpServerTest, OtherLimitsHoldAtOnceAndOnOpenConnections)
+TEST_F(HttpServerTest, NewLimitsApplyAtOnceAndToOpenConnections)
 {
     makeServer({.idleTimeout = 60s, .headerTimeout = 60s});
-    answerAtOnce({.status = 200, .bodyLength = 0});
+    respondAtOnce({.status = 200, .bodyLength = 0});
     RawSocket resting = connect();
     resting.send(PlainGet);
     ASSERT_TRUE(runner.runUntil([&] { return resting.hasReceived("200 OK"); }));
     RawSocket stalled = connect();
     stalled.send("GET / HTTP/1.1\r\nHo");
     server->setCallerLimits({.headerBytes = 200, .headerTimeout = 100ms, .idleTimeout = 100ms});
-    EXPECT_TRUE(runner.runUntil([&] { return resting.isPeerGone() && stalled.isPeerGone(); }));
+    EXPECT_TRUE(runner.runUntil([&] { return resting.isPeerDisconnected() && stalled.isPeerDisconnected(); }));
     RawSocket large = connect();
     large.send("GET / HTTP/1.1\r\nHost: h\r\nX-A: " + std::string(300, 'a') + "\r\n\r\n");
     EXPECT_TRUE(runner.runUntil([&] { return large.hasReceived("HTTP/1.1 431"); }));
@@ -300,7 +301,7 @@
     EXPECT_LT(client.received.find("first"), client.received.find("second"));
 }
 
-TEST_F(HttpServerTest, DestructionWithOpenRequestsIsSilent)
+TEST_F(HttpServerTest, DestructionWithOpenRequestsEmitsNoEvents)
 {
     auto waiting = connect();
     waiting.send(PlainGet);
--- a/src/net/tests/linkhubfixture.h
+++ b/src/net/tests/linkhubfixture.h
@@ -21,10 +21,10 @@
 inline constexpr const char* Key = "0123456789abcdef0123456789abcdef";
 inline constexpr const char* OtherKey = "fedcba9876543210fedcba9876543210";
 
-/// One host's hub with what it told.
+/// A host's link hub with its recorded events.
 struct Host {
     Host(const LoopRunner& runner, std::string id, uint64_t incarnation = 1, std::string key = Key,
-        std::string deployment = "d", size_t largestSendQueue = 8 * 1024 * 1024,
+        std::string deployment = "d", size_t maxSendQueueBytes = 8 * 1024 * 1024,
         size_t largestBacklog = 64 * 1024 * 1024)
         : name(id)
     {
@@ -36,11 +36,14 @@
             .listenAddress = {.ip = "127.0.0.1", .port = 0},
             .sink = [this](host::Event event) { log.events.push_back(std::move(event)); },
             .counters = &counters,
-            .largestSendQueue = largestSendQueue,
+            .maxSendQueueBytes = maxSendQueueBytes,
             .largestBacklog = largestBacklog});
         hub = std::move(made.value());
     }
-    void want(std::vector<host::LinksWanted::Peer> peers) const { hub->carryOut(host::LinksWanted {std::move(peers)}); }
+    void requestLinks(std::vector<host::LinksWanted::Peer> peers) const
+    {
+        hub->carryOut(host::LinksWanted {std::move(peers)});
+    }
     [[nodiscard]] host::LinksWanted::Peer known() const
     {
         return {.host = HostId(name), .address = hub->boundAddress()};
@@ -68,7 +71,7 @@
     std::unique_ptr<ILinkHub> hub;
 };
 
-/// Speaks the link protocol by hand towards a hub.
+/// A raw socket that speaks the link protocol with a hub.
 class RawPeer {
 public:
     explicit RawPeer(const Host& to, std::string name = "raw", uint64_t incarnation = 1, std::string deployment = "d")
@@ -86,14 +89,14 @@
     }
     [[nodiscard]] bool readPeerHello(LoopRunner& runner)
     {
-        const bool isThere = runner.runUntil([&] {
+        const bool isReceived = runner.runUntil([&] {
             socket.pump();
             return socket.received.size() >= 2
                 && socket.received.size() >= 2 + decodeLinkInteger(socket.received.substr(0, 2));
         });
-        if (isThere)
+        if (isReceived)
             peerHello = socket.received.substr(2, decodeLinkInteger(socket.received.substr(0, 2)));
-        return isThere;
+        return isReceived;
     }
     [[nodiscard]] std::string proof(const std::string& key) const
     {
@@ -103,7 +106,7 @@
     {
         return RecordSeal(deriveSessionKey(deriveLinkSecret(Key), LinkRole::Initiator, {hello, peerHello}));
     }
-    /// Shakes hands; the link is up at the hub afterwards.
+    /// Performs the handshake; the link is up at the hub afterwards.
     [[nodiscard]] bool join(LoopRunner& runner, const Host& to)
     {
         const size_t before = to.ups();
--- a/src/net/tests/linkhubtests.cpp
+++ b/src/net/tests/linkhubtests.cpp
@@ -3,8 +3,8 @@
  * saltvane: global traffic steering
  * Copyright (c) 2026 the saltvane authors
  */
+#include "net/internal/desiredlink.h"
 #include "net/internal/link.h"
-#include "net/internal/wantedlink.h"
 #include "net/tests/linkhubfixture.h"
 
 #include <chrono>
@@ -17,7 +17,7 @@
 {
     Host a(runner, "a", 7);
     Host b(runner, "b", 9);
-    a.want({b.known()});
+    a.requestLinks({b.known()});
     ASSERT_TRUE(waitUp(a, b));
     EXPECT_EQ(b.log.plain<host::LinkUp>().front().host, HostId("a"));
     EXPECT_EQ(b.log.plain<host::LinkUp>().front().incarnation, Incarnation {7});
@@ -34,7 +34,7 @@
     EXPECT_EQ(b.log.plain<model::Delivery>().front().fromIncarnation, Incarnation {7});
 }
 
-TEST_F(LinkHubTest, SendingWithoutALinkIsDropped)
+TEST_F(LinkHubTest, DropsMessagesWithoutALink)
 {
     Host a(runner, "a");
     Host b(runner, "b");
@@ -43,14 +43,14 @@
     EXPECT_TRUE(b.log.events.empty());
 }
 
-TEST_F(LinkHubTest, BothDiallingKeepsOneLinkAndLosesNothing)
+TEST_F(LinkHubTest, SimultaneousDiallingKeepsOneLinkAndLosesNoMessage)
 {
     for (int round = 0; round < 10; ++round) {
         Host a(runner, "a");
         Host b(runner, "b");
-        // Seeds are dialled at once by both sides.
-        a.want({b.seed()});
-        b.want({a.seed()});
+        // Both sides dial seeds immediately.
+        a.requestLinks({b.seed()});
+        b.requestLinks({a.seed()});
         std::vector<uint64_t> sent;
         uint64_t next = 0;
         ASSERT_TRUE(runner.runUntil([&] {
@@ -68,19 +68,19 @@
     }
 }
 
-TEST_F(LinkHubTest, HigherHostDialsTooWhereItAloneWantsTheLink)
+TEST_F(LinkHubTest, HigherHostDialsIfOnlyItRequestsTheLink)
 {
     Host a(runner, "a");
     Host b(runner, "b");
-    b.want({a.known()});
+    b.requestLinks({a.known()});
     EXPECT_TRUE(waitUp(a, b));
 }
 
-TEST_F(LinkHubTest, SeedThatIsSelfIsDropped)
+TEST_F(LinkHubTest, SeedWithOwnAddressIsDropped)
 {
     Host a(runner, "a");
     Host b(runner, "b");
-    a.want({a.seed(), b.seed()});
+    a.requestLinks({a.seed(), b.seed()});
     ASSERT_TRUE(waitUp(a, b));
     runner.runTurns(100);
     EXPECT_EQ(a.ups(), 1u);
@@ -91,7 +91,7 @@
 {
     Host a(runner, "a");
     Host b(runner, "b", 1, OtherKey);
-    a.want({b.known()});
+    a.requestLinks({b.known()});
     ASSERT_TRUE(runner.runUntil([&] { return a.refused() > 0 && b.refused() > 0; }));
     EXPECT_TRUE(a.log.events.empty());
     EXPECT_TRUE(b.log.events.empty());
@@ -101,25 +101,25 @@
 {
     Host a(runner, "a");
     Host b(runner, "b", 1, Key, "other");
-    a.want({b.known()});
+    a.requestLinks({b.known()});
     ASSERT_TRUE(runner.runUntil([&] { return a.refused() > 0 && b.refused() > 0; }));
     EXPECT_TRUE(a.log.events.empty());
 }
 
-TEST_F(LinkHubTest, HostIdsOfOthersAreRefused)
+TEST_F(LinkHubTest, DuplicateHostIdsAreRefused)
 {
     Host a(runner, "a");
     Host second(runner, "a", 2);
-    second.want({a.seed()});
+    second.requestLinks({a.seed()});
     ASSERT_TRUE(runner.runUntil([&] { return a.refused() > 0; }));
     EXPECT_TRUE(a.log.events.empty());
 
     Host newer(runner, "c", 5);
     Host older(runner, "c", 4);
-    newer.want({a.known()});
+    newer.requestLinks({a.known()});
     ASSERT_TRUE(waitUp(a, newer));
     const uint64_t refusedBefore = a.refused();
-    older.want({a.known()});
+    older.requestLinks({a.known()});
     ASSERT_TRUE(runner.runUntil([&] { return a.refused() > refusedBefore; }));
     EXPECT_EQ(a.ups(), 1u);
     EXPECT_EQ(a.downs(), 0u);
@@ -129,124 +129,124 @@
 {
     Host a(runner, "a");
     Host before(runner, "b", 1);
-    before.want({a.known()});
+    before.requestLinks({a.known()});
     ASSERT_TRUE(waitUp(a, before));
     Host after(runner, "b", 2);
-    after.want({a.known()});
+    after.requestLinks({a.known()});
     ASSERT_TRUE(runner.runUntil([&] { return a.ups() == 2; }));
     EXPECT_EQ(a.downs(), 1u);
     EXPECT_EQ(a.log.plain<host::LinkUp>().back().incarnation, Incarnation {2});
     EXPECT_TRUE(runner.runUntil([&] { return before.downs() >= 1; }));
 }
 
-TEST_F(LinkHubTest, AStartWhoseClockSteppedBackIsTakenOnceTheOneBeforeIsGone)
+TEST_F(LinkHubTest, LowerIncarnationIsAcceptedOnceTheOldLinkIsClosed)
 {
     Host a(runner, "a");
     {
         Host before(runner, "b", 5);
-        before.want({a.known()});
+        before.requestLinks({a.known()});
         ASSERT_TRUE(waitUp(a, before));
     }
     Host after(runner, "b", 3);
-    after.want({a.known()});
+    after.requestLinks({a.known()});
     ASSERT_TRUE(runner.runUntil([&] { return a.ups() == 2; }));
     EXPECT_EQ(a.log.plain<host::LinkUp>().back().incarnation, Incarnation {3});
 }
 
-TEST_F(LinkHubTest, APeerThatDialsAgainBesideASilentLinkIsTakenAsNew)
+TEST_F(LinkHubTest, RedialBesideAnOlderLinkReplacesItWithLinkDown)
 {
     Host a(runner, "a");
     RawPeer silent(a);
     ASSERT_TRUE(silent.join(runner, a));
-    constexpr auto LongerThanSimultaneous = std::chrono::milliseconds(3200);
+    constexpr auto LongerThanDialWindow = std::chrono::milliseconds(3200);
     const auto since = std::chrono::steady_clock::now();
-    ASSERT_TRUE(runner.runUntil([&] { return std::chrono::steady_clock::now() - since > LongerThanSimultaneous; }));
-    // What the hub sent on the silent link may be lost: its core must hear of a new link, to send it all again.
+    ASSERT_TRUE(runner.runUntil([&] { return std::chrono::steady_clock::now() - since > LongerThanDialWindow; }));
+    // Messages sent on the dead link may be lost, so the core must be notified of a new link to send everything again.
     RawPeer again(a);
     ASSERT_TRUE(again.join(runner, a));
     EXPECT_EQ(a.downs(), 1U);
 }
 
-TEST_F(LinkHubTest, ReconnectsAfterThePeerWasAway)
+TEST_F(LinkHubTest, ReconnectsAfterThePeerRestarted)
 {
     Host a(runner, "a");
     auto b = std::make_unique<Host>(runner, "b", 1);
     const auto peer = b->known();
-    a.want({peer});
+    a.requestLinks({peer});
     ASSERT_TRUE(waitUp(a, *b));
     b.reset();
     ASSERT_TRUE(runner.runUntil([&] { return a.downs() == 1; }));
-    RawListener taken; // Somebody else may have the port; the peer comes back at a new address.
+    RawListener taken; // May get the old port; the peer restarts at a new address.
     Host back(runner, "b", 2);
-    a.want({back.known()});
+    a.requestLinks({back.known()});
     EXPECT_TRUE(runner.runUntil([&] { return a.ups() == 2; }));
 }
 
-TEST_F(LinkHubTest, UnwantedLinkIsClosedByTheOneThatDialled)
+TEST_F(LinkHubTest, UndesiredLinkIsClosedByTheDiallingHost)
 {
     Host a(runner, "a");
     Host b(runner, "b");
-    a.want({b.known()});
+    a.requestLinks({b.known()});
     ASSERT_TRUE(waitUp(a, b));
     const size_t eventsBefore = a.log.events.size();
-    a.want({});
-    EXPECT_EQ(a.log.events.size(), eventsBefore); // No event out of an action.
+    a.requestLinks({});
+    EXPECT_EQ(a.log.events.size(), eventsBefore); // Actions must not emit events synchronously.
     EXPECT_TRUE(runner.runUntil([&] { return a.downs() == 1 && b.downs() == 1; }));
 }
 
-TEST_F(LinkHubTest, AnotherHostAtAKnownAddressIsNotTaken)
+TEST_F(LinkHubTest, UnexpectedHostAtAKnownAddressIsRejected)
 {
     Host a(runner, "a");
     Host b(runner, "b");
-    a.want({{.host = HostId("c"), .address = b.hub->boundAddress()}});
+    a.requestLinks({{.host = HostId("c"), .address = b.hub->boundAddress()}});
     ASSERT_TRUE(runner.runUntil([&] { return b.downs() > 0; }));
     EXPECT_EQ(a.ups(), 0u);
 }
 
-TEST_F(LinkHubTest, HostThatAnswersNothingIsDialledAnewBeforeTheKernelRepeatsItsPacket)
+TEST_F(LinkHubTest, UnresponsiveHostIsRedialledBeforeTheKernelRetransmits)
 {
-    // A full queue of new connections drops opening packets, as a host without power does.
+    // A full accept queue drops SYN packets, as a machine without power does.
     RawListener full(0);
-    std::vector<RawSocket> filling;
+    std::vector<RawSocket> pending;
     for (int i = 0; i < 2; ++i)
-        filling.push_back(RawSocket::connectedTo(full.address()));
+        pending.push_back(RawSocket::connectedTo(full.address()));
     Host a(runner, "a");
-    a.want({{.address = full.address()}});
+    a.requestLinks({{.address = full.address()}});
     std::set<int> ports;
     ASSERT_TRUE(runner.runUntil([&] {
-        const std::vector<int> trying = portsConnectingTo(full.address().port);
-        ports.insert(trying.begin(), trying.end());
+        const std::vector<int> connectingPorts = portsConnectingTo(full.address().port);
+        ports.insert(connectingPorts.begin(), connectingPorts.end());
         return ports.size() >= 4;
     }));
-    // With the queue empty again the next try is answered.
+    // The next attempt succeeds once the queue is empty.
     RawSocket taken;
     while (full.accept(taken)) { }
     RawSocket dialled;
     EXPECT_TRUE(runner.runUntil([&] { return full.accept(dialled) && dialled.isOpen(); }));
 }
 
-TEST_F(LinkHubTest, TriesToConnectStartShortAndGrow)
+TEST_F(LinkHubTest, ConnectTimeoutStartsShortAndGrows)
 {
-    constexpr Duration KernelRepeats = 1s; ///< A lost opening packet, by RFC 6298.
-    WantedLink wanted(runner.loop(), {.address = {.ip = "127.0.0.1", .port = 1}}, [](WantedLink&) {});
-    const Duration first = wanted.nextConnectLimit();
-    EXPECT_LT(first, KernelRepeats / 3);
+    constexpr Duration KernelRetransmitDelay = 1s; ///< For a lost SYN, by RFC 6298.
+    DesiredLink desired(runner.loop(), {.address = {.ip = "127.0.0.1", .port = 1}}, [](DesiredLink&) {});
+    const Duration first = desired.nextConnectTimeout();
+    EXPECT_LT(first, KernelRetransmitDelay / 3);
     Duration last = first;
     for (int i = 0; i < 40; ++i) {
-        const Duration next = wanted.nextConnectLimit();
+        const Duration next = desired.nextConnectTimeout();
         EXPECT_GE(next, last);
         last = next;
     }
-    EXPECT_GE(last, 2 * KernelRepeats); // A far peer is reached in the end.
-    wanted.resetWait();
-    EXPECT_EQ(wanted.nextConnectLimit(), first);
+    EXPECT_GE(last, 2 * KernelRetransmitDelay); // A peer with long round trips is reached eventually.
+    desired.resetWait();
+    EXPECT_EQ(desired.nextConnectTimeout(), first);
 }
 
-TEST_F(LinkHubTest, HostThatRefusesIsDialledFourTimesASecond)
+TEST_F(LinkHubTest, RefusingHostIsDialledFourTimesASecond)
 {
-    WantedLink wanted(runner.loop(), {.address = {.ip = "127.0.0.1", .port = 1}}, [](WantedLink&) {});
+    DesiredLink desired(runner.loop(), {.address = {.ip = "127.0.0.1", .port = 1}}, [](DesiredLink&) {});
     for (int i = 0; i < 20; ++i)
-        EXPECT_LE(wanted.nextWait(), 250ms);
+        EXPECT_LE(desired.nextWait(), 250ms);
 }
 
 TEST_F(LinkHubTest, WaitingKeepsTheLoopIdle)
@@ -259,7 +259,7 @@
     Host b(runner, "b");
     for (int i = 0; i < 70; ++i)
         a.sendClaim(b, 1, std::string(100'000, 'x'));
-    (void)runner.turnsPerTick(); // Until the socket's buffers are full.
+    (void)runner.turnsPerTick(); // Fills the socket's buffers.
     EXPECT_LT(runner.turnsPerTick(), 3);
     EXPECT_EQ(a.downs(), 0u);
 }
@@ -277,11 +277,11 @@
     }));
 }
 
-TEST_F(LinkHubTest, OfManySlowPeersThatForWhichMostWaitsIsDisconnected)
+TEST_F(LinkHubTest, BacklogLimitDisconnectsThePeerWithTheLongestQueue)
 {
-    constexpr size_t LargestBacklog = 4 * 1024 * 1024;
+    constexpr size_t MaxBacklogBytes = 4 * 1024 * 1024;
     constexpr size_t MessageBytes = 100'000;
-    Host a(runner, "a", 1, Key, "d", LargestBacklog, LargestBacklog);
+    Host a(runner, "a", 1, Key, "d", MaxBacklogBytes, MaxBacklogBytes);
     RawPeer slow(a, "slow");
     RawPeer slower(a, "slower");
     ASSERT_TRUE(slow.join(runner, a) && slower.join(runner, a));
@@ -297,13 +297,13 @@
         return a.downs() == 1;
     }));
     EXPECT_EQ(a.log.plain<host::LinkDown>().front().host, HostId("slower"));
-    EXPECT_LE(largest, LargestBacklog);
+    EXPECT_LE(largest, MaxBacklogBytes);
     EXPECT_EQ(a.hub->backlog().largestPeer, HostId("slow"));
 }
 
-/// Guards against hosts that end with their memory over the limit while what waits for peers is within its own: the
-/// buffers of links took up to four times what waited in them.
-TEST_F(LinkHubTest, WhatWaitsForASlowPeerTakesLittleMoreMemoryThanItsBytes)
+/// Guards against hosts that exceed their memory limit although the backlog is within its own limit: the buffers of
+/// links allocated up to four times the queued bytes.
+TEST_F(LinkHubTest, BacklogMemoryIsCloseToItsBytes)
 {
     constexpr size_t Messages = 170;
     Host a(runner, "a", 1, Key, "d", 64 * 1024 * 1024);
--- a/src/net/tests/linkprotocoltests.cpp
+++ b/src/net/tests/linkprotocoltests.cpp
@@ -23,13 +23,13 @@
     for (const std::string& bytes : bad) {
         RawPeer peer(a);
         peer.socket.send(bytes);
-        ASSERT_TRUE(runner.runUntil([&] { return peer.socket.isPeerGone(); }));
+        ASSERT_TRUE(runner.runUntil([&] { return peer.socket.isPeerDisconnected(); }));
         EXPECT_EQ(a.refused(), ++count);
     }
     EXPECT_TRUE(a.log.events.empty());
 }
 
-TEST_F(LinkProtocolTest, ProofsOfOtherLinksAndOfTheHubItselfAreRefused)
+TEST_F(LinkProtocolTest, ReplayedAndReflectedProofsAreRefused)
 {
     Host a(runner, "a");
     RawPeer recorded(a);
@@ -39,7 +39,7 @@
     replayed.socket.send(RawPeer::framed(replayed.hello));
     ASSERT_TRUE(replayed.readPeerHello(runner));
     replayed.socket.send(recorded.proof(Key));
-    ASSERT_TRUE(runner.runUntil([&] { return replayed.socket.isPeerGone(); }));
+    ASSERT_TRUE(runner.runUntil([&] { return replayed.socket.isPeerDisconnected(); }));
     EXPECT_EQ(a.refused(), 1u);
 
     RawPeer mirror(a);
@@ -51,12 +51,12 @@
         return mirror.socket.received.size() >= helloSize + LinkProofBytes;
     }));
     mirror.socket.send(mirror.socket.received.substr(helloSize, LinkProofBytes));
-    ASSERT_TRUE(runner.runUntil([&] { return mirror.socket.isPeerGone(); }));
+    ASSERT_TRUE(runner.runUntil([&] { return mirror.socket.isPeerDisconnected(); }));
     EXPECT_EQ(a.refused(), 2u);
     EXPECT_EQ(a.ups(), 1u);
 }
 
-TEST_F(LinkProtocolTest, ChangedRepeatedAndReorderedRecordsEndTheLink)
+TEST_F(LinkProtocolTest, ModifiedRepeatedAndReorderedRecordsCloseTheLink)
 {
     Host a(runner, "a");
     for (int fault = 0; fault < 4; ++fault) {
@@ -73,13 +73,13 @@
             first + changed, first + first, second + first, first + encodeLinkInteger(wire::LargestFrame * 2, 4)};
         const size_t before = a.claims().size();
         peer.socket.send(sequences[static_cast<size_t>(fault)]);
-        ASSERT_TRUE(runner.runUntil([&] { return peer.socket.isPeerGone(); }));
+        ASSERT_TRUE(runner.runUntil([&] { return peer.socket.isPeerDisconnected(); }));
         EXPECT_EQ(a.claims().size() - before, fault == 2 ? 0u : 1u) << fault;
         EXPECT_EQ(a.badFrames(), static_cast<uint64_t>(fault) + 1);
     }
 }
 
-TEST_F(LinkProtocolTest, RecordsArriveInAnyCuts)
+TEST_F(LinkProtocolTest, RecordsAreReassembledFromSingleBytes)
 {
     Host a(runner, "a");
     RawPeer peer(a);
@@ -96,7 +96,7 @@
     EXPECT_EQ(a.claims(), (std::vector<uint64_t> {0, 1, 2}));
 }
 
-TEST_F(LinkProtocolTest, ProperlySealedRubbishEndsTheLink)
+TEST_F(LinkProtocolTest, AuthenticatedInvalidFrameClosesTheLink)
 {
     Host a(runner, "a");
     RawPeer peer(a);
@@ -105,7 +105,7 @@
     RecordSeal sealer = peer.sealer();
     sealer.seal("not a frame, but long enough to be looked at", bytes);
     peer.socket.send(bytes);
-    ASSERT_TRUE(runner.runUntil([&] { return peer.socket.isPeerGone(); }));
+    ASSERT_TRUE(runner.runUntil([&] { return peer.socket.isPeerDisconnected(); }));
     EXPECT_EQ(a.badFrames(), 1u);
 }
 
--- a/src/net/tests/linksilencetests.cpp
+++ b/src/net/tests/linksilencetests.cpp
@@ -4,39 +4,38 @@
  * Copyright (c) 2026 the saltvane authors
  */
 #include "net/internal/link.h"
+#include "net/tests/blackholerelay.h"
 #include "net/tests/linkhubfixture.h"
-#include "net/tests/silencingrelay.h"
 
 #include <chrono>
 
-/// Links on which nothing is heard: of peers that are gone, that stand still, or that something in between silenced.
+/// Links on which nothing is received: the peer is down or stalled, or the network drops its data.
 namespace saltvane::net::tests {
 namespace {
 
-TEST_F(LinkHubTest, SilentPeerIsGivenUp)
+TEST_F(LinkHubTest, HandshakeTimesOutAndIsRetried)
 {
     Host a(runner, "a");
     RawListener listener;
-    a.want({{.address = listener.address()}});
+    a.requestLinks({{.address = listener.address()}});
     RawSocket silent;
     ASSERT_TRUE(runner.runUntil([&] { return listener.accept(silent); }));
-    EXPECT_TRUE(runner.runUntil([&] { return silent.isPeerGone(); }));
+    EXPECT_TRUE(runner.runUntil([&] { return silent.isPeerDisconnected(); }));
     RawSocket again;
     EXPECT_TRUE(runner.runUntil([&] { return listener.accept(again); }));
 }
 
-/// Seen: the connection between two of three registry hosts passed nothing any more, for good, while new ones would
-/// have worked; the third host had lost its disk, so no leader stood until the end. How it came about: something
-/// between the hosts went on acknowledging what it received, so neither the kernel's time limit nor its keep-alive
-/// found it. Cause: a link has no time limit of its own for hearing nothing. Proof: both hosts' logs show the link up
-/// throughout, and no word of the other after 2 s of it.
-TEST_F(LinkHubTest, APeerOfWhichNothingIsHeardForGoodIsLetGo)
+/// Guards against links without a receive timeout of their own. The connection between two of three registry hosts
+/// stopped passing data for good, but a device in between still acknowledged it, so that neither TCP_USER_TIMEOUT nor
+/// TCP keep-alive closed it: both hosts logged the link as up and received nothing after 2 s. The third host had lost
+/// its disk, so no leader was elected.
+TEST_F(LinkHubTest, LinkIsClosedIfNothingIsReceived)
 {
     Host a(runner, "a");
     RawPeer peer(a, "b");
     ASSERT_TRUE(peer.join(runner, a));
     Host b(runner, "b");
-    // Its bytes are taken and acknowledged; it says nothing.
+    // The peer acknowledges the hub's bytes, but sends nothing.
     EXPECT_TRUE(runner.runUntil([&] {
         a.sendClaim(b, 1);
         peer.socket.pump();
@@ -44,43 +43,42 @@
     }));
 }
 
-/// Seen: requests ran by a plan that was acknowledged as replaced more than two seconds before, at gateways free of
-/// faults. How it came about: open connections between hosts fell silent, in both directions and without an end, while
-/// new ones would have worked; a gateway heard of no plan, and of no target that leaves, until its links were let go of
-/// 5.4 to 6.4 s later. Cause: how long silence is borne was set by what a host that stands still needs, and was the
-/// only thing that led to a new connection; the users give a gateway 3 s. Proof: gateways told an unproven plan and no
-/// registry host heard from the first second of the silence to the first new link, and the newest plan right after it.
-TEST_F(LinkHubTest, ALinkThatFellSilentIsReplacedWhereANewOneWorks)
+/// Guards against replacing a dead link only after the long receive timeout that stalled hosts need. Open connections
+/// stopped passing data in both directions for good, while new ones would have worked. Gateways received no plan and no
+/// notice of leaving targets until their links were closed 5.4 to 6.4 s later, and ran requests by a plan that was
+/// acknowledged as replaced more than 2 s before. Gateways must be up to date within 3 s. They reported an unproven
+/// plan and no reachable registry host until the first new link, and the newest plan right after it.
+TEST_F(LinkHubTest, DeadLinkIsReplacedIfANewConnectionWorks)
 {
     Host a(runner, "a");
     Host b(runner, "b");
-    SilencingRelay relay(b.hub->boundAddress());
+    BlackholeRelay relay(b.hub->boundAddress());
     const auto runUntil = [&](const auto& condition) {
         return runner.runUntil([&] {
             relay.pump();
             return condition();
         });
     };
-    a.want({{.host = HostId("b"), .address = relay.address()}});
+    a.requestLinks({{.host = HostId("b"), .address = relay.address()}});
     ASSERT_TRUE(runUntil([&] { return a.ups() == 1 && b.ups() == 1; }));
-    relay.silence();
+    relay.blackhole();
     const auto since = std::chrono::steady_clock::now();
     ASSERT_TRUE(runUntil([&] { return a.ups() == 2 && b.ups() == 2; }));
-    // Of the 3 s, what it takes to ask for the plan and to have it (a pull each half second) is left.
+    // Leaves enough of the 3 s to request and receive the plan (pulled each 0.5 s).
     EXPECT_LE(std::chrono::steady_clock::now() - since, 2s);
     b.sendClaim(a, 1);
     EXPECT_TRUE(runUntil([&] { return a.claims().size() == 1; }));
-    // What was under way is lost: both cores have to begin anew with each other.
+    // Messages in flight are lost, so both cores must start over with each other.
     EXPECT_EQ(a.downs(), 1U);
     EXPECT_EQ(b.downs(), 1U);
 }
 
-/// A host that stood still for a moment goes on with the links that it had: new ones would cost every word anew.
-TEST_F(LinkHubTest, ALinkWhosePeerStoodStillStandsOnceItIsHeardAgain)
+/// A host keeps its links over a short stall: with new ones, all state would be sent again.
+TEST_F(LinkHubTest, LinkSurvivesAShortStallOfThePeer)
 {
     Host a(runner, "a");
     Host b(runner, "b");
-    SilencingRelay relay(b.hub->boundAddress());
+    BlackholeRelay relay(b.hub->boundAddress());
     const auto run = [&](Duration duration) {
         const auto end = std::chrono::steady_clock::now() + duration;
         (void)runner.runUntil([&] {
@@ -88,20 +86,20 @@
             return std::chrono::steady_clock::now() > end;
         });
     };
-    a.want({{.host = HostId("b"), .address = relay.address()}});
+    a.requestLinks({{.host = HostId("b"), .address = relay.address()}});
     run(500ms);
     ASSERT_EQ(a.ups(), 1U);
-    relay.hold(true);
+    relay.setPaused(true);
     a.sendClaim(b, 1);
     run(Link::SuspectAfter + 3 * Link::KeepAliveTick);
-    relay.hold(false);
+    relay.setPaused(false);
     run(1s);
     EXPECT_EQ(a.downs() + b.downs(), 0U);
     EXPECT_EQ(b.claims(), std::vector<uint64_t> {1});
 }
 
-/// The same of a host whose process stood still: what it does first decides which of the two links is heard first.
-TEST_F(LinkHubTest, AProcessThatStoodStillGoesOnWithItsLinks)
+/// The same for a stalled process: the order of its work after the stall decides which of the two links it reads first.
+TEST_F(LinkHubTest, StalledProcessKeepsItsLinks)
 {
     LoopRunner otherRunner;
     Host b(otherRunner, "b");
@@ -116,7 +114,7 @@
     std::vector<std::unique_ptr<Host>> peers;
     for (const char* name : {"a1", "a2", "a3", "a4"}) {
         peers.push_back(std::make_unique<Host>(runner, name));
-        peers.back()->want({b.known()});
+        peers.back()->requestLinks({b.known()});
     }
     run(500ms, true);
     ASSERT_EQ(b.ups(), peers.size());
@@ -125,14 +123,14 @@
     EXPECT_EQ(b.downs(), 0U);
 }
 
-// Hosts that have nothing to tell each other keep their link: longer than silence is borne.
-TEST_F(LinkHubTest, ALinkAtRestStands)
+// Idle hosts keep their link for longer than the receive timeout.
+TEST_F(LinkHubTest, IdleLinkStaysOpen)
 {
     Host a(runner, "a");
     Host b(runner, "b");
-    a.want({b.known()});
+    a.requestLinks({b.known()});
     ASSERT_TRUE(waitUp(a, b));
-    const auto end = std::chrono::steady_clock::now() + Link::LongestSilence + Link::KeepAlivePeriod;
+    const auto end = std::chrono::steady_clock::now() + Link::ReceiveTimeout + Link::KeepAliveInterval;
     EXPECT_TRUE(runner.runUntil([&] { return std::chrono::steady_clock::now() > end; }));
     EXPECT_EQ(a.downs() + b.downs(), 0U);
     a.sendClaim(b, 1);
--- a/src/net/tests/looprunner.h
+++ b/src/net/tests/looprunner.h
@@ -14,7 +14,7 @@
 
 namespace saltvane::net::tests {
 
-/// A loop of its own that runs until a condition holds; the bound only ends a test that would hang.
+/// Runs an event loop until a condition holds, for 10 s at most.
 class LoopRunner {
 public:
     LoopRunner()
@@ -45,15 +45,15 @@
         }
         return true;
     }
-    /// Some turns of the loop, for what must not happen.
+    /// Runs some loop iterations, to check that something does not happen.
     void runTurns(int turns)
     {
         for (int i = 0; i < turns; ++i)
             ev_run(loop_, EVRUN_ONCE);
     }
 
-    /// Turns of the loop for each tick of its timer, when nothing else should happen: about 1, or far more where
-    /// something keeps the loop busy.
+    /// Loop iterations per tick of the loop's timer while nothing else should happen: about 1, or far more if something
+    /// keeps the loop busy.
     [[nodiscard]] double turnsPerTick()
     {
         constexpr int Ticks = 20;
@@ -71,7 +71,7 @@
     ev_timer ticker_ {};
 };
 
-/// Keeps all events of a sink and finds those of one type.
+/// Records all events of a sink and finds those of one type.
 struct EventLog {
     std::vector<host::Event> events;
 
--- a/src/net/tests/rawsocket.h
+++ b/src/net/tests/rawsocket.h
@@ -19,7 +19,7 @@
 
 namespace saltvane::net::tests {
 
-/// A socket driven byte by byte by a test. Never blocks.
+/// A non-blocking socket that a test drives byte by byte.
 class RawSocket {
 public:
     RawSocket() = default;
@@ -45,13 +45,13 @@
         fd_.reset();
     }
 
-    /// Queues bytes; pump() sends what the socket takes.
+    /// Queues bytes, which pump() sends as far as the socket accepts them.
     void send(std::string_view bytes)
     {
         unsent_.append(bytes);
         pump();
     }
-    /// Sends and receives what is possible now.
+    /// Sends and receives as much as possible without blocking.
     void pump()
     {
         sendSome();
@@ -63,7 +63,7 @@
         pump();
         return received.find(text) != std::string::npos;
     }
-    [[nodiscard]] bool isPeerGone()
+    [[nodiscard]] bool isPeerDisconnected()
     {
         pump();
         return peerClosed || peerReset;
@@ -104,7 +104,7 @@
     std::string unsent_;
 };
 
-/// Accepts connections that a test then drives byte by byte.
+/// Accepts connections as RawSockets.
 class RawListener {
 public:
     RawListener()
@@ -112,11 +112,11 @@
         , address_(boundAddressOf(fd_.get()))
     {
     }
-    /// With room for so many connections that nobody has accepted.
-    explicit RawListener(int room)
+    /// With an accept queue of `backlog` connections.
+    explicit RawListener(int backlog)
         : RawListener()
     {
-        ::listen(fd_.get(), room);
+        ::listen(fd_.get(), backlog);
     }
 
     [[nodiscard]] const model::Address& address() const { return address_; }
@@ -138,7 +138,7 @@
     model::Address address_;
 };
 
-/// Local ports of this machine's connections to a port that were not answered yet.
+/// Local ports of this machine's connections to `port` that are in state SYN_SENT.
 inline std::vector<int> portsConnectingTo(uint16_t port)
 {
     constexpr unsigned int SynSent = 2;
--- a/src/net/tests/sendqueuetests.cpp
+++ b/src/net/tests/sendqueuetests.cpp
@@ -11,9 +11,9 @@
 
 namespace saltvane::net::tests {
 
-TEST(SendQueueTest, GivesWhatWasPutInInItsOrder)
+TEST(SendQueueTest, ReturnsBytesInOrderWithLittleMemoryOverhead)
 {
-    std::mt19937 random(11); // NOLINT(cert-msc32-c,cert-msc51-cpp): the same each time.
+    std::mt19937 random(11); // NOLINT(cert-msc32-c,cert-msc51-cpp): a fixed seed, for reproducible runs.
     SendQueue queue;
     std::string expected;
     std::string given;
--- a/src/net/tests/targetclientfixture.h
+++ b/src/net/tests/targetclientfixture.h
@@ -13,9 +13,9 @@
 
 namespace saltvane::net::tests {
 
-using namespace requests; // NOLINT(google-global-names-in-headers): of these tests only
+using namespace requests; // NOLINT(google-global-names-in-headers): test code only
 
-inline constexpr const char* Answer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
+inline constexpr const char* Response = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 
 class TargetClientTest : public testing::Test {
 protected:
@@ -37,8 +37,8 @@
             .bodyLength = 0,
             .isRepeatable = isRepeatable};
     }
-    /// Accepts a connection and reads a request's head from it.
-    [[nodiscard]] bool takeRequest(RawSocket& socket)
+    /// Accepts a connection if `socket` has none, and reads a request's head from it.
+    [[nodiscard]] bool acceptRequest(RawSocket& socket)
     {
         return runner.runUntil([&] {
             if (!socket.isOpen())
@@ -46,7 +46,7 @@
             return socket.isOpen() && socket.hasReceived("\r\n\r\n");
         });
     }
-    [[nodiscard]] bool waitEnd(size_t count = 1)
+    [[nodiscard]] bool waitForCompletion(size_t count = 1)
     {
         return runner.runUntil(
             [&] { return log.target<TargetResponseDone>().size() + log.target<TargetFailed>().size() >= count; });
@@ -58,17 +58,17 @@
             all += part.bytes;
         return all;
     }
-    /// Sends a request, has `answer` sent and the connection closed; the failure or nothing.
-    [[nodiscard]] std::optional<TargetFailed> failureOf(std::string_view answer)
+    /// Sends a request, responds with `response` and closes the connection. Returns the failure, if there is one.
+    [[nodiscard]] std::optional<TargetFailed> failureOf(std::string_view response)
     {
         log.events.clear();
         client->carryOut(request(++lastDispatch));
         RawSocket target;
-        if (!takeRequest(target))
+        if (!acceptRequest(target))
             return std::nullopt;
-        target.send(answer);
+        target.send(response);
         target.close();
-        if (!waitEnd() || log.target<TargetFailed>().empty())
+        if (!waitForCompletion() || log.target<TargetFailed>().empty())
             return std::nullopt;
         return log.target<TargetFailed>().front();
     }
--- a/src/net/tests/targetclienttests.cpp
+++ b/src/net/tests/targetclienttests.cpp
@@ -8,16 +8,16 @@
 namespace saltvane::net::tests {
 namespace {
 
-TEST_F(TargetClientTest, SendsTheRequestAsGiven)
+TEST_F(TargetClientTest, SendsTheRequestUnchanged)
 {
     client->carryOut(request(1));
     EXPECT_TRUE(log.events.empty());
     RawSocket target;
-    ASSERT_TRUE(takeRequest(target));
+    ASSERT_TRUE(acceptRequest(target));
     EXPECT_EQ(target.received, "GET /p?q=%20 HTTP/1.1\r\nHost: service\r\nX-A: 1\r\nX-A: 2\r\nX-Empty:\r\n\r\n");
     target.send("HTTP/1.1 103 Early\r\nLink: x\r\n\r\nHTTP/1.1 201 Made\r\nSet-Cookie: a\r\nSet-Cookie: b\r\n"
                 "Content-Length: 2\r\nContent-Encoding: gzip\r\n\r\nok");
-    ASSERT_TRUE(waitEnd());
+    ASSERT_TRUE(waitForCompletion());
     ASSERT_EQ(log.target<TargetResponseHead>().size(), 1u);
     const auto head = log.target<TargetResponseHead>().front();
     EXPECT_EQ(head.status, 201);
@@ -33,9 +33,9 @@
 {
     client->carryOut(request(1));
     RawSocket target;
-    ASSERT_TRUE(takeRequest(target));
+    ASSERT_TRUE(acceptRequest(target));
     target.send("HTTP/1.1 302 Found\r\nLocation: /other\r\nContent-Length: 0\r\n\r\n");
-    ASSERT_TRUE(waitEnd());
+    ASSERT_TRUE(waitForCompletion());
     EXPECT_EQ(log.target<TargetResponseHead>().front().status, 302);
     EXPECT_EQ(listener.accepted, 1);
 }
@@ -49,7 +49,7 @@
         start.bodyLength = isChunked ? std::nullopt : std::optional<uint64_t>(6);
         client->carryOut(start);
         RawSocket target;
-        ASSERT_TRUE(takeRequest(target));
+        ASSERT_TRUE(acceptRequest(target));
         EXPECT_FALSE(target.hasReceived("Expect"));
         EXPECT_TRUE(target.hasReceived(isChunked ? "Transfer-Encoding: chunked" : "Content-Length: 6"));
         client->carryOut(TargetRequestBody {.dispatch = start.dispatch, .bytes = "abc"});
@@ -57,8 +57,8 @@
         client->carryOut(TargetRequestBody {.dispatch = start.dispatch, .bytes = "def", .isLast = true});
         ASSERT_TRUE(runner.runUntil([&] { return target.hasReceived("def"); }));
         ASSERT_TRUE(runner.runUntil([&] { return !isChunked || target.hasReceived("\r\n0\r\n\r\n"); }));
-        target.send(Answer);
-        ASSERT_TRUE(waitEnd());
+        target.send(Response);
+        ASSERT_TRUE(waitForCompletion());
         EXPECT_EQ(log.target<TargetResponseDone>().size(), 1u);
         uint64_t progress = 0;
         for (const auto& step : log.target<TargetRequestProgress>())
@@ -67,7 +67,7 @@
     }
 }
 
-TEST_F(TargetClientTest, RequestBodyOfAnotherLengthIsNotSentWhole)
+TEST_F(TargetClientTest, RequestBodyOfWrongLengthFails)
 {
     for (const std::string_view bytes : {"ab", "abcd"}) {
         log.events.clear();
@@ -76,51 +76,51 @@
         start.bodyLength = 3;
         client->carryOut(start);
         RawSocket target;
-        ASSERT_TRUE(takeRequest(target));
+        ASSERT_TRUE(acceptRequest(target));
         client->carryOut(TargetRequestBody {.dispatch = start.dispatch, .bytes = std::string(bytes), .isLast = true});
-        ASSERT_TRUE(waitEnd());
+        ASSERT_TRUE(waitForCompletion());
         ASSERT_EQ(log.target<TargetFailed>().size(), 1u);
         EXPECT_TRUE(log.target<TargetFailed>().front().mayHaveReachedTarget);
-        EXPECT_TRUE(runner.runUntil([&] { return target.isPeerGone(); }));
+        EXPECT_TRUE(runner.runUntil([&] { return target.isPeerDisconnected(); }));
     }
 }
 
-TEST_F(TargetClientTest, PostWithoutBodySaysSo)
+TEST_F(TargetClientTest, PostWithoutBodyHasContentLengthZero)
 {
     TargetStart start = request(1);
     start.method = "POST";
     client->carryOut(start);
     RawSocket target;
-    ASSERT_TRUE(takeRequest(target));
+    ASSERT_TRUE(acceptRequest(target));
     EXPECT_TRUE(target.hasReceived("POST /p?q=%20 HTTP/1.1\r\n"));
     EXPECT_TRUE(target.hasReceived("Content-Length: 0\r\n"));
 }
 
-TEST_F(TargetClientTest, AnswersWithoutBody)
+TEST_F(TargetClientTest, ResponsesWithoutBody)
 {
     TargetStart start = request(1);
     start.method = "HEAD";
     client->carryOut(start);
     RawSocket target;
-    ASSERT_TRUE(takeRequest(target));
+    ASSERT_TRUE(acceptRequest(target));
     target.send("HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n");
-    ASSERT_TRUE(waitEnd());
+    ASSERT_TRUE(waitForCompletion());
     EXPECT_EQ(log.target<TargetResponseHead>().front().bodyLength, 0u);
     EXPECT_EQ(log.target<TargetResponseDone>().size(), 1u);
     target.received.clear();
     client->carryOut(request(2));
-    ASSERT_TRUE(takeRequest(target));
+    ASSERT_TRUE(acceptRequest(target));
     target.send("HTTP/1.1 204 No\r\n\r\n");
-    ASSERT_TRUE(waitEnd(2));
+    ASSERT_TRUE(waitForCompletion(2));
     EXPECT_EQ(log.target<TargetResponseDone>().size(), 2u);
 }
 
-TEST_F(TargetClientTest, AnswerWaitsForTheWindow)
+TEST_F(TargetClientTest, ResponseWaitsForTheWindow)
 {
     const std::string large(InitialBodyWindow * 8, 'x');
     client->carryOut(request(1));
     RawSocket target;
-    ASSERT_TRUE(takeRequest(target));
+    ASSERT_TRUE(acceptRequest(target));
     target.send("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(large.size()) + "\r\n\r\n" + large);
     const auto received = [&](size_t size) {
         return runner.runUntil([&] {
@@ -141,7 +141,7 @@
     runner.runTurns(5);
     EXPECT_TRUE(log.target<TargetResponseDone>().empty());
     client->carryOut(TargetResponseWindow {.dispatch = {1}, .bytes = 1});
-    ASSERT_TRUE(waitEnd());
+    ASSERT_TRUE(waitForCompletion());
     EXPECT_EQ(body(), large);
     EXPECT_TRUE(std::holds_alternative<TargetEvent>(log.events.back()));
     EXPECT_TRUE(std::holds_alternative<TargetResponseDone>(std::get<TargetEvent>(log.events.back())));
@@ -154,11 +154,11 @@
     start.bodyLength = std::nullopt;
     client->carryOut(start);
     RawSocket forBody;
-    ASSERT_TRUE(takeRequest(forBody));
+    ASSERT_TRUE(acceptRequest(forBody));
     EXPECT_LT(runner.turnsPerTick(), 3);
     client->carryOut(request(2));
     RawSocket forWindow;
-    ASSERT_TRUE(takeRequest(forWindow));
+    ASSERT_TRUE(acceptRequest(forWindow));
     const std::string large(InitialBodyWindow * 4, 'x');
     forWindow.send("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(large.size()) + "\r\n\r\n" + large);
     ASSERT_TRUE(runner.runUntil([&] {
@@ -170,9 +170,9 @@
     EXPECT_LT(runner.turnsPerTick(), 3);
 }
 
-TEST_F(TargetClientTest, BadAnswersFail)
+TEST_F(TargetClientTest, InvalidResponsesFail)
 {
-    const std::vector<std::string> answers {
+    const std::vector<std::string> responses {
         "",
         "HTTP/1.1 200 OK\r\nContent-Le",
         "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabc",
@@ -190,16 +190,16 @@
         "HTTP/2 200\r\nContent-Length: 0\r\n\r\n",
         "HTTP/1.1 200 OK\r\nX: " + std::string(300 * 1024, 'x') + "\r\nContent-Length: 0\r\n\r\n",
     };
-    for (const std::string& answer : answers) {
-        const auto failure = failureOf(answer);
-        ASSERT_TRUE(failure.has_value()) << answer.substr(0, 100);
-        EXPECT_TRUE(failure->mayHaveReachedTarget) << answer.substr(0, 100);
+    for (const std::string& response : responses) {
+        const auto failure = failureOf(response);
+        ASSERT_TRUE(failure.has_value()) << response.substr(0, 100);
+        EXPECT_TRUE(failure->mayHaveReachedTarget) << response.substr(0, 100);
         EXPECT_FALSE(failure->message.empty());
         EXPECT_TRUE(log.target<TargetResponseDone>().empty());
     }
 }
 
-TEST_F(TargetClientTest, UnsendableRequestsAreNotSent)
+TEST_F(TargetClientTest, InvalidRequestsAreNotSent)
 {
     TargetStart start = request(1);
     start.headers.push_back({"X", "a\r\nEvil: 1"});
@@ -210,8 +210,8 @@
     start = request(3);
     start.address.ip = "localhost";
     client->carryOut(start);
-    EXPECT_TRUE(log.events.empty()); // None out of an action.
-    ASSERT_TRUE(waitEnd(3));
+    EXPECT_TRUE(log.events.empty()); // Actions must not emit events synchronously.
+    ASSERT_TRUE(waitForCompletion(3));
     for (const auto& failure : log.target<TargetFailed>())
         EXPECT_FALSE(failure.mayHaveReachedTarget);
     RawSocket none;
@@ -222,36 +222,36 @@
 {
     client->carryOut(request(1));
     RawSocket target;
-    ASSERT_TRUE(takeRequest(target));
+    ASSERT_TRUE(acceptRequest(target));
     client->carryOut(TargetCancel {.dispatch = {1}});
-    EXPECT_TRUE(runner.runUntil([&] { return target.isPeerGone(); }));
+    EXPECT_TRUE(runner.runUntil([&] { return target.isPeerDisconnected(); }));
     EXPECT_TRUE(log.events.empty());
 }
 
-TEST_F(TargetClientTest, CancelDropsEventsUnderWay)
+TEST_F(TargetClientTest, CancelDropsPendingEvents)
 {
     client->carryOut(request(1));
     RawSocket target;
-    ASSERT_TRUE(takeRequest(target));
+    ASSERT_TRUE(acceptRequest(target));
     target.send("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc");
     ASSERT_TRUE(runner.runUntil([&] { return body() == "abc"; }));
     target.send("def");
     client->carryOut(TargetCancel {.dispatch = {1}});
     const size_t events = log.events.size();
-    ASSERT_TRUE(runner.runUntil([&] { return target.isPeerGone(); }));
+    ASSERT_TRUE(runner.runUntil([&] { return target.isPeerDisconnected(); }));
     EXPECT_EQ(log.events.size(), events);
 }
 
-TEST_F(TargetClientTest, AnswerAheadOfTheRequestsEnd)
+TEST_F(TargetClientTest, ResponseBeforeTheRequestIsComplete)
 {
     TargetStart start = request(1, false);
     start.method = "POST";
     start.bodyLength = 1000;
     client->carryOut(start);
     RawSocket target;
-    ASSERT_TRUE(takeRequest(target));
+    ASSERT_TRUE(acceptRequest(target));
     target.send("HTTP/1.1 503 Busy\r\nContent-Length: 4\r\n\r\nbusy");
-    ASSERT_TRUE(waitEnd());
+    ASSERT_TRUE(waitForCompletion());
     ASSERT_EQ(log.target<TargetResponseHead>().size(), 1u);
     EXPECT_EQ(log.target<TargetResponseHead>().front().status, 503);
     EXPECT_EQ(body(), "busy");
--- a/src/net/tests/targetconnectiontests.cpp
+++ b/src/net/tests/targetconnectiontests.cpp
@@ -5,7 +5,7 @@
  */
 #include "net/tests/targetclientfixture.h"
 
-/// What TargetClient does with connections: which it uses again, and what it tells of those that break or are refused.
+/// Connections of TargetClient: which ones are reused, and how failed or refused ones are reported.
 namespace saltvane::net::tests {
 namespace {
 
@@ -16,7 +16,7 @@
     TargetStart start = request(1);
     listener.close();
     client->carryOut(start);
-    ASSERT_TRUE(waitEnd());
+    ASSERT_TRUE(waitForCompletion());
     ASSERT_EQ(log.target<TargetFailed>().size(), 1u);
     EXPECT_FALSE(log.target<TargetFailed>().front().mayHaveReachedTarget);
     EXPECT_TRUE(log.target<TargetFailed>().front().isRefused);
@@ -28,58 +28,58 @@
     for (const uint64_t dispatch : {1, 2}) {
         target.received.clear();
         client->carryOut(request(dispatch, true));
-        ASSERT_TRUE(takeRequest(target));
-        target.send(Answer);
-        ASSERT_TRUE(waitEnd(dispatch));
+        ASSERT_TRUE(acceptRequest(target));
+        target.send(Response);
+        ASSERT_TRUE(waitForCompletion(dispatch));
     }
     EXPECT_EQ(listener.accepted, 1);
     RawSocket fresh;
     client->carryOut(request(3, false));
-    ASSERT_TRUE(takeRequest(fresh));
+    ASSERT_TRUE(acceptRequest(fresh));
     EXPECT_EQ(listener.accepted, 2);
     EXPECT_TRUE(fresh.hasReceived("Connection: close\r\n"));
-    fresh.send(Answer);
-    ASSERT_TRUE(waitEnd(3));
+    fresh.send(Response);
+    ASSERT_TRUE(waitForCompletion(3));
     EXPECT_EQ(log.target<TargetResponseDone>().size(), 3u);
-    EXPECT_TRUE(runner.runUntil([&] { return fresh.isPeerGone(); }));
-    EXPECT_FALSE(target.isPeerGone());
+    EXPECT_TRUE(runner.runUntil([&] { return fresh.isPeerDisconnected(); }));
+    EXPECT_FALSE(target.isPeerDisconnected());
 }
 
-TEST_F(TargetConnectionTest, AConnectionOfTheStartBeforeIsNotUsedWhereToldSo)
+TEST_F(TargetConnectionTest, NewConnectionIsUsedIfRequested)
 {
     RawSocket before;
     client->carryOut(request(1, true));
-    ASSERT_TRUE(takeRequest(before));
-    before.send(Answer);
-    ASSERT_TRUE(waitEnd(1));
+    ASSERT_TRUE(acceptRequest(before));
+    before.send(Response);
+    ASSERT_TRUE(waitForCompletion(1));
     RawSocket now;
     auto second = request(2, true);
     second.needsNewConnection = true;
     client->carryOut(second);
-    ASSERT_TRUE(takeRequest(now));
+    ASSERT_TRUE(acceptRequest(now));
     EXPECT_EQ(listener.accepted, 2);
-    now.send(Answer);
-    ASSERT_TRUE(waitEnd(2));
+    now.send(Response);
+    ASSERT_TRUE(waitForCompletion(2));
 }
 
-/// The target reads the second request on a reused connection and closes without a byte of an answer: libcurl by
-/// itself would send it again.
+/// The target reads the second request on a reused connection and closes it without sending a response byte. libcurl
+/// would retry the request by default.
 class ReusedConnectionTest : public TargetConnectionTest, public testing::WithParamInterface<bool> { };
 
-TEST_P(ReusedConnectionTest, DiesAndTheRequestRunsOnce)
+TEST_P(ReusedConnectionTest, ClosesAndTheRequestRunsOnce)
 {
     const bool isRepeatable = GetParam();
     int runs = 0;
     RawSocket target;
     client->carryOut(request(1, isRepeatable));
-    ASSERT_TRUE(takeRequest(target));
-    target.send(Answer);
-    ASSERT_TRUE(waitEnd(1));
+    ASSERT_TRUE(acceptRequest(target));
+    target.send(Response);
+    ASSERT_TRUE(waitForCompletion(1));
     target.received.clear();
     client->carryOut(request(2, isRepeatable));
     if (!isRepeatable)
         target = RawSocket();
-    ASSERT_TRUE(takeRequest(target));
+    ASSERT_TRUE(acceptRequest(target));
     ++runs;
     target.close();
     RawSocket repeated;
@@ -88,7 +88,7 @@
             (void)listener.accept(repeated);
         if (repeated.isOpen() && repeated.hasReceived("\r\n\r\n")) {
             ++runs;
-            repeated.send(Answer);
+            repeated.send(Response);
             repeated.received.clear();
         }
         return log.target<TargetResponseDone>().size() + log.target<TargetFailed>().size() >= 2;
@@ -100,7 +100,7 @@
 
 INSTANTIATE_TEST_SUITE_P(Repeatable, ReusedConnectionTest, testing::Values(true, false));
 
-TEST_F(TargetConnectionTest, ASurplusAnswerCostsItsConnectionOneRequest)
+TEST_F(TargetConnectionTest, SurplusResponseFailsOneRequestAndItsConnection)
 {
     const auto named = [&](uint64_t dispatch) {
         TargetStart start = request(dispatch);
@@ -108,48 +108,48 @@
         start.echoedHeader = "x-id";
         return start;
     };
-    const auto answerOf
+    const auto responseFor
         = [](int id) { return "HTTP/1.1 200 OK\r\nX-Id: " + std::to_string(id) + "\r\nContent-Length: 2\r\n\r\nok"; };
     client->carryOut(named(1));
     RawSocket target;
-    ASSERT_TRUE(takeRequest(target));
-    target.send(answerOf(1));
-    ASSERT_TRUE(waitEnd());
+    ASSERT_TRUE(acceptRequest(target));
+    target.send(responseFor(1));
+    ASSERT_TRUE(waitForCompletion());
     target.received.clear();
     client->carryOut(named(2));
-    ASSERT_TRUE(takeRequest(target));
-    target.send(answerOf(1)); // Once more, whole, while the second request waits.
-    ASSERT_TRUE(waitEnd(2));
+    ASSERT_TRUE(acceptRequest(target));
+    target.send(responseFor(1)); // The first response again, while the second request waits.
+    ASSERT_TRUE(waitForCompletion(2));
     ASSERT_EQ(log.target<TargetFailed>().size(), 1U);
     EXPECT_TRUE(log.target<TargetFailed>().front().mayHaveReachedTarget);
-    target.send(answerOf(2));
+    target.send(responseFor(2));
     client->carryOut(named(3));
     RawSocket next;
-    ASSERT_TRUE(takeRequest(next)); // On a connection of its own.
-    next.send(answerOf(3));
-    ASSERT_TRUE(waitEnd(3));
+    ASSERT_TRUE(acceptRequest(next)); // On a new connection.
+    next.send(responseFor(3));
+    ASSERT_TRUE(waitForCompletion(3));
     EXPECT_EQ(log.target<TargetResponseDone>().size(), 2U);
 }
 
-TEST_F(TargetConnectionTest, ATargetThatIsGoneRefusesTheConnectionThatWouldReplaceABrokenOne)
+TEST_F(TargetConnectionTest, RefusedReconnectAfterABrokenConnectionIsReported)
 {
     RawSocket target;
     client->carryOut(request(1, true));
-    ASSERT_TRUE(takeRequest(target));
-    target.send(Answer);
-    ASSERT_TRUE(waitEnd(1));
+    ASSERT_TRUE(acceptRequest(target));
+    target.send(Response);
+    ASSERT_TRUE(waitForCompletion(1));
     target.received.clear();
     client->carryOut(request(2, true));
-    ASSERT_TRUE(takeRequest(target));
+    ASSERT_TRUE(acceptRequest(target));
     listener.close();
     target.close();
-    ASSERT_TRUE(waitEnd(2));
+    ASSERT_TRUE(waitForCompletion(2));
     ASSERT_EQ(log.target<TargetFailed>().size(), 1U);
     EXPECT_TRUE(log.target<TargetFailed>().front().mayHaveReachedTarget);
     EXPECT_TRUE(log.target<TargetFailed>().front().isRefused);
 }
 
-TEST_F(TargetConnectionTest, ABrokenConnectionAloneSaysNothingOfItsTarget)
+TEST_F(TargetConnectionTest, BrokenConnectionAloneIsNotReportedAsRefused)
 {
     const auto failure = failureOf("");
     ASSERT_TRUE(failure);
