--- a/src/net/tests/datacrashtests.cpp
+++ b/src/net/tests/datacrashtests.cpp
@@ -61,26 +61,26 @@
 
 TEST_F(CrashTest, AtEveryByte)
 {
-    FaultyDisk whole;
+    FaultyDisk faultless;
     const TemporaryFolder reference;
-    ASSERT_EQ(runUntilFailure(whole, reference.path()), replicaHistory().size());
-    for (uint64_t bytes = 0; bytes < whole.bytesWritten; ++bytes) {
+    ASSERT_EQ(runUntilFailure(faultless, reference.path()), replicaHistory().size());
+    for (uint64_t bytes = 0; bytes < faultless.bytesWritten; ++bytes) {
         const TemporaryFolder folder;
         FaultyDisk disk;
         disk.bytesLeft = bytes;
-        disk.diesWhenFull = true;
+        disk.crashesWhenFull = true;
         const auto successfulWrites = runUntilFailure(disk, folder.path());
-        ASSERT_TRUE(disk.isDead) << bytes;
+        ASSERT_TRUE(disk.hasCrashed) << bytes;
         checkRecovered(folder.path(), successfulWrites, bytes);
     }
 }
 
 TEST_F(CrashTest, AtEveryCall)
 {
-    FaultyDisk whole;
+    FaultyDisk faultless;
     const TemporaryFolder reference;
-    ASSERT_EQ(runUntilFailure(whole, reference.path()), replicaHistory().size());
-    for (uint64_t call = 0; call < whole.calls; ++call) {
+    ASSERT_EQ(runUntilFailure(faultless, reference.path()), replicaHistory().size());
+    for (uint64_t call = 0; call < faultless.calls; ++call) {
         const TemporaryFolder folder;
         FaultyDisk disk;
         disk.failingCall = call;
@@ -91,11 +91,11 @@
 
 TEST_F(CrashTest, FailedCallsAreRetried)
 {
-    FaultyDisk whole;
+    FaultyDisk faultless;
     const TemporaryFolder reference;
-    ASSERT_EQ(runUntilFailure(whole, reference.path()), replicaHistory().size());
+    ASSERT_EQ(runUntilFailure(faultless, reference.path()), replicaHistory().size());
     const auto writes = replicaHistory();
-    for (uint64_t call = 0; call < whole.calls; ++call) {
+    for (uint64_t call = 0; call < faultless.calls; ++call) {
         for (const uint64_t consecutive : {1, 2, 5}) {
             const TemporaryFolder folder;
             FaultyDisk disk;
--- a/src/net/tests/faultydisk.h
+++ b/src/net/tests/faultydisk.h
@@ -25,7 +25,7 @@
         const size_t taken = static_cast<size_t>(std::min<uint64_t>(size, bytesLeft));
         if (taken == 0 && size > 0) {
             errno = error;
-            isDead = isDead || diesWhenFull;
+            hasCrashed = hasCrashed || crashesWhenFull;
             return -1;
         }
         bytesLeft -= taken;
@@ -43,11 +43,11 @@
 
     static constexpr uint64_t Unlimited = std::numeric_limits<uint64_t>::max();
     uint64_t bytesLeft = Unlimited; ///< Until the disk is full.
-    bool diesWhenFull = false; ///< Simulates a crash of the process at that byte.
+    bool crashesWhenFull = false; ///< Simulates a crash of the process at that byte.
     uint64_t failingCall = Unlimited; ///< Counts from 0.
     uint64_t failingCalls = 1; ///< Consecutive failures.
     int error = ENOSPC;
-    bool isDead = false;
+    bool hasCrashed = false;
     uint64_t calls = 0;
     uint64_t bytesWritten = 0;
 
@@ -57,7 +57,7 @@
         const uint64_t call = calls++;
         const bool isChosen = call >= failingCall && call - failingCall < failingCalls;
         errno = error;
-        return isDead || isChosen;
+        return hasCrashed || isChosen;
     }
     DiskCalls real_;
 };
--- a/src/net/tests/httprequesttests.cpp
+++ b/src/net/tests/httprequesttests.cpp
@@ -204,13 +204,13 @@
 {
     server.reset();
     makeServer({.headerTimeout = 50ms});
-    auto silent = connect();
+    auto idle = connect();
     auto trickling = connect();
     trickling.send("GET / HTTP/1.1\r\n");
     EXPECT_TRUE(runner.runUntil([&] {
         if (!trickling.isPeerDisconnected())
             trickling.send("X: y\r\n");
-        return silent.isPeerDisconnected() && trickling.isPeerDisconnected();
+        return idle.isPeerDisconnected() && trickling.isPeerDisconnected();
     }));
     EXPECT_TRUE(log.http<HttpRequestStarted>().empty());
 }
--- a/src/net/tests/linkhubtests.cpp
+++ b/src/net/tests/linkhubtests.cpp
@@ -156,8 +156,8 @@
 TEST_F(LinkHubTest, RedialBesideAnOlderLinkReplacesItWithLinkDown)
 {
     Host a(runner, "a");
-    RawPeer silent(a);
-    ASSERT_TRUE(silent.join(runner, a));
+    RawPeer unresponsive(a);
+    ASSERT_TRUE(unresponsive.join(runner, a));
     constexpr auto LongerThanDialWindow = std::chrono::milliseconds(3200);
     const auto since = std::chrono::steady_clock::now();
     ASSERT_TRUE(runner.runUntil([&] { return std::chrono::steady_clock::now() - since > LongerThanDialWindow; }));
--- a/src/net/tests/linksilencetests.cpp
+++ b/src/net/tests/linktimeouttests.cpp
@@ -18,9 +18,9 @@
     Host a(runner, "a");
     RawListener listener;
     a.requestLinks({{.address = listener.address()}});
-    RawSocket silent;
-    ASSERT_TRUE(runner.runUntil([&] { return listener.accept(silent); }));
-    EXPECT_TRUE(runner.runUntil([&] { return silent.isPeerDisconnected(); }));
+    RawSocket unresponsive;
+    ASSERT_TRUE(runner.runUntil([&] { return listener.accept(unresponsive); }));
+    EXPECT_TRUE(runner.runUntil([&] { return unresponsive.isPeerDisconnected(); }));
     RawSocket again;
     EXPECT_TRUE(runner.runUntil([&] { return listener.accept(again); }));
 }
