--- a/src/net/tests/faultydisk.h
+++ b/src/net/tests/faultydisk.h
@@ -14,8 +14,8 @@
 
 namespace saltvane::net::tests {
 
-/// The real files until a chosen byte or call; from there on it fails, for once or for good. Stands for the end of the
-/// process, not of the machine: syncs only count.
+/// Writes to real files up to a chosen byte or call, then fails once or permanently. Simulates a crash of the process,
+/// not of the machine: syncs are only counted.
 class FaultyDisk final : public IDiskCalls {
 public:
     [[nodiscard]] ssize_t write(int fd, const void* bytes, size_t size, off_t offset) override
@@ -25,7 +25,7 @@
         const size_t taken = static_cast<size_t>(std::min<uint64_t>(size, bytesLeft));
         if (taken == 0 && size > 0) {
             errno = error;
-            isDead = isDead || diesWhenFull;
+            hasCrashed = hasCrashed || crashesWhenFull;
             return -1;
         }
         bytesLeft -= taken;
@@ -42,12 +42,12 @@
     [[nodiscard]] int syncFolder(const std::string& path) override { return fails() || path.empty() ? -1 : 0; }
 
     static constexpr uint64_t Unlimited = std::numeric_limits<uint64_t>::max();
-    uint64_t bytesLeft = Unlimited; ///< Before the disk is full.
-    bool diesWhenFull = false; ///< As if the process ended there.
+    uint64_t bytesLeft = Unlimited; ///< Until the disk is full.
+    bool crashesWhenFull = false; ///< Simulates a crash of the process at that byte.
     uint64_t failingCall = Unlimited; ///< Counts from 0.
-    uint64_t failingCalls = 1; ///< In a row.
+    uint64_t failingCalls = 1; ///< Consecutive failures.
     int error = ENOSPC;
-    bool isDead = false;
+    bool hasCrashed = false;
     uint64_t calls = 0;
     uint64_t bytesWritten = 0;
 
@@ -57,7 +57,7 @@
         const uint64_t call = calls++;
         const bool isChosen = call >= failingCall && call - failingCall < failingCalls;
         errno = error;
-        return isDead || isChosen;
+        return hasCrashed || isChosen;
     }
     DiskCalls real_;
 };
