--- a/testing/benchmarks/steerbenchmark.cpp
+++ b/testing/benchmarks/steerbenchmark.cpp
@@ -10,20 +10,20 @@
 #include <random>
 #include <string>
 
-/// Time of one steering decision by size of the deployment: steer_decision_ns.
+/// Benchmarks a steering decision (steer_decision_ns) by the size of the deployment.
 namespace saltvane::steering {
 namespace {
 
 constexpr uint32_t Clients = 4096;
 constexpr Duration RequestInterval = 100us;
 constexpr uint32_t ZonesPerRegion = 2;
-constexpr uint32_t RoomOfZone = 36;
-constexpr double DemandOfRegion = 20;
+constexpr uint32_t SlotsPerZone = 36;
+constexpr double DemandPerRegion = 20;
 
-/// Zones from this index on have no credit.
-class CreditUpTo : public ICreditView {
+/// Only the zones below an index have credit.
+class CreditBelowZone : public ICreditView {
 public:
-    explicit CreditUpTo(uint32_t end)
+    explicit CreditBelowZone(uint32_t end)
         : end_(end)
     {
     }
@@ -76,17 +76,18 @@
     std::vector<ZoneRoom> rooms;
     std::vector<RegionDemand> demands;
     for (uint32_t zone = 0; zone < zones; ++zone)
-        rooms.push_back({.service = {0}, .zone = {zone}, .room = RoomOfZone});
-    // The first region overflows, so that its row names many zones.
+        rooms.push_back({.service = {0}, .zone = {zone}, .room = SlotsPerZone});
+    // The first region is overloaded, so that its row lists many zones.
     for (uint32_t region = 0; region < deployment->regionCount(); ++region) {
-        const double demand = region == 0 ? DemandOfRegion * zones : DemandOfRegion;
+        const double demand = region == 0 ? DemandPerRegion * zones : DemandPerRegion;
         demands.push_back({.service = {0}, .clientRegion = {region}, .concurrency = demand});
     }
     steering->update(rooms, demands, now);
     return steering;
 }
 
-/// A whole decision: the client's block and the zone by its region's row, while every zone has credit.
+/// A complete decision: looks up the client's region by its address block and chooses a zone from the region's row;
+/// every zone has credit.
 void steerDecision(benchmark::State& state)
 {
     const auto zones = static_cast<uint32_t>(state.range(0));
@@ -94,7 +95,7 @@
     Timestamp now {1000s};
     const auto deployment = deploymentOf(zones, blocks);
     const auto steering = steeringOf(deployment, now);
-    const CreditUpTo credits(zones);
+    const CreditBelowZone credits(zones);
     std::mt19937 random(1);
     std::vector<std::string> clients;
     for (uint32_t client = 0; client < Clients; ++client)
@@ -108,13 +109,13 @@
 }
 BENCHMARK(steerDecision)->Args({6, 6})->Args({67, 100'000});
 
-/// The choice alone, of a row that names every zone.
+/// Only the choice of a zone, from a row that lists every zone.
 void steerChoice(benchmark::State& state)
 {
     const auto zones = static_cast<uint32_t>(state.range(0));
     Timestamp now {1000s};
     const auto steering = steeringOf(deploymentOf(zones, 1), now);
-    const CreditUpTo credits(zones);
+    const CreditBelowZone credits(zones);
     const ChoiceQuery query {.service = {0}, .clientRegion = {0}};
     for (auto _ : state) {
         now += RequestInterval;
@@ -123,13 +124,13 @@
 }
 BENCHMARK(steerChoice)->Arg(6)->Arg(67);
 
-/// No zone has credit: every open zone is asked before the refusal.
+/// No zone has credit: every open zone is checked before the refusal.
 void steerRefusal(benchmark::State& state)
 {
     const auto zones = static_cast<uint32_t>(state.range(0));
     Timestamp now {1000s};
     const auto steering = steeringOf(deploymentOf(zones, 1), now);
-    const CreditUpTo credits(0);
+    const CreditBelowZone credits(0);
     const ChoiceQuery query {.service = {0}, .clientRegion = {0}};
     for (auto _ : state) {
         now += RequestInterval;
@@ -138,13 +139,13 @@
 }
 BENCHMARK(steerRefusal)->Arg(6)->Arg(67);
 
-/// One tick while nothing moves; ten a second and service.
+/// One tick without changes; a service has ten ticks per second.
 void steerTick(benchmark::State& state)
 {
     const auto zones = static_cast<uint32_t>(state.range(0));
     Timestamp now {1000s};
     const auto steering = steeringOf(deploymentOf(zones, 1), now);
-    const CreditUpTo credits(zones);
+    const CreditBelowZone credits(zones);
     benchmark::DoNotOptimize(steering->choose({.service = {0}, .clientRegion = {0}}, credits, now));
     for (auto _ : state) {
         now += 100ms;
--- a/testing/benchmarks/suspectbenchmark.cpp
+++ b/testing/benchmarks/suspectbenchmark.cpp
@@ -10,13 +10,13 @@
 
 #include <string>
 
-/// What the quarantine of requests that end their targets costs a request, by the length of its body and by the number
-/// of requests that are known to do so.
+/// Cost per request of the quarantine of fatal requests, by the length of the body and by the number of fatal requests
+/// that are known.
 namespace saltvane {
 namespace {
 
 constexpr int64_t NoBody = 0;
-constexpr int64_t UsualBody = 1500;
+constexpr int64_t TypicalBody = 1500;
 constexpr int64_t LargeBody = 1024 * 1024;
 constexpr int64_t Few = 4;
 constexpr int64_t Many = 4096;
@@ -50,7 +50,7 @@
         benchmark::DoNotOptimize(table.isBlamed(digestOf(++number)));
 }
 
-BENCHMARK(digestOfRequest)->Arg(NoBody)->Arg(UsualBody)->Arg(LargeBody);
+BENCHMARK(digestOfRequest)->Arg(NoBody)->Arg(TypicalBody)->Arg(LargeBody);
 BENCHMARK(lookUpVerdict)->Arg(Few)->Arg(Many);
 
 } // namespace
--- a/testing/benchmarks/targetbenchmark.cpp
+++ b/testing/benchmarks/targetbenchmark.cpp
@@ -9,7 +9,7 @@
 
 #include <benchmark/benchmark.h>
 
-/// What one request, report or tick costs by the number of targets that are known.
+/// Cost of one request, report or tick by the number of known targets.
 namespace saltvane {
 namespace {
 
@@ -54,7 +54,7 @@
             {.route = route, .service = service, .object = object % Objects, .left = 10s}, Now);
     };
     for (uint64_t object = 0; object < Objects; ++object)
-        (void)choose(object); // Ranked once, then kept.
+        (void)choose(object); // Ranks the targets of each object; the rankings are cached.
     uint64_t object = 0;
     for (auto _ : state)
         benchmark::DoNotOptimize(choose(++object));
@@ -101,14 +101,15 @@
 }
 
 constexpr int Small = 36;
-constexpr int Grown = 400;
+constexpr int Medium = 400;
 constexpr int Large = 1356;
-constexpr int InTwoYears = 10'000;
-BENCHMARK(chooseTarget)->Arg(Small)->Arg(Grown)->Arg(Large)->Arg(InTwoYears);
-BENCHMARK(noteOneRecord)->Arg(Small)->Arg(Grown)->Arg(Large)->Arg(InTwoYears);
-BENCHMARK(tickGateway)->Arg(Small)->Arg(Grown)->Arg(Large)->Arg(InTwoYears);
-BENCHMARK(noteLoadsOfSixteen)->Arg(Small)->Arg(Grown)->Arg(Large)->Arg(InTwoYears);
-BENCHMARK(hearOneTarget)->Arg(Small)->Arg(Grown)->Arg(Large)->Arg(InTwoYears);
+/// Expected after two years of growth.
+constexpr int VeryLarge = 10'000;
+BENCHMARK(chooseTarget)->Arg(Small)->Arg(Medium)->Arg(Large)->Arg(VeryLarge);
+BENCHMARK(noteOneRecord)->Arg(Small)->Arg(Medium)->Arg(Large)->Arg(VeryLarge);
+BENCHMARK(tickGateway)->Arg(Small)->Arg(Medium)->Arg(Large)->Arg(VeryLarge);
+BENCHMARK(noteLoadsOfSixteen)->Arg(Small)->Arg(Medium)->Arg(Large)->Arg(VeryLarge);
+BENCHMARK(hearOneTarget)->Arg(Small)->Arg(Medium)->Arg(Large)->Arg(VeryLarge);
 
 } // namespace
 } // namespace saltvane
--- a/testing/fuzz/fuzzanswers.cpp
+++ b/testing/fuzz/fuzzanswers.cpp
@@ -9,7 +9,7 @@
 
 #include <string_view>
 
-/// Heads of targets' answers, line by line, and what they tell of their load.
+/// Parses response heads of targets line by line, and the load that their headers report.
 extern "C" int LLVMFuzzerTestOneInput(const uint8_t* data, size_t size)
 {
     using namespace saltvane;
--- a/testing/fuzz/fuzzframes.cpp
+++ b/testing/fuzz/fuzzframes.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// A frame whose length and checksum are right: so the reader gets as far as the envelope.
+/// Wraps an envelope in a frame with a valid length and checksum, so that the reader gets to parse it.
 std::string framed(std::string_view envelope)
 {
     constexpr size_t Alignment = 8;
@@ -38,7 +38,7 @@
 
 } // namespace
 
-/// Frames of other hosts: what is read can be written again.
+/// Parses frames of other hosts: every message that can be read can also be encoded again.
 extern "C" int LLVMFuzzerTestOneInput(const uint8_t* data, size_t size)
 {
     const std::string_view input(reinterpret_cast<const char*>(data), size);
--- a/testing/fuzz/fuzzplans.cpp
+++ b/testing/fuzz/fuzzplans.cpp
@@ -9,7 +9,8 @@
 
 #include <string_view>
 
-/// Route plans: each is read whole or refused with findings, and by the reader of successive plans as by the other.
+/// Parses route plans: each is accepted completely or rejected with findings, and RoutePlanReader, which reads
+/// successive plans, gives the same result as parseRoutePlan().
 extern "C" int LLVMFuzzerTestOneInput(const uint8_t* data, size_t size)
 {
     using namespace saltvane;
@@ -21,7 +22,7 @@
         __builtin_trap();
     (void)registry::statedServices(content);
     settings::RoutePlanReader reader;
-    for (int time = 0; time < 2; ++time) {
+    for (int attempt = 0; attempt < 2; ++attempt) {
         const auto read = reader.read(content, "plan");
         const bool isSame
             = read.isOk() == plan.isOk() && (!read || read.value().routes.size() == plan.value().routes.size());
--- a/testing/fuzz/fuzzreports.cpp
+++ b/testing/fuzz/fuzzreports.cpp
@@ -9,8 +9,8 @@
 
 #include <string_view>
 
-/// Targets' heartbeats and leaves: the first line is the id in the path, the rest the body. Whatever comes, the answer
-/// and the log line can be written.
+/// Parses heartbeats and leave reports of targets: the first line is the id in the path, the rest is the body. The
+/// response and the log line can be written for any input.
 extern "C" int LLVMFuzzerTestOneInput(const uint8_t* data, size_t size)
 {
     using namespace saltvane;
--- a/testing/measure/barehttp.cpp
+++ b/testing/measure/barehttp.cpp
@@ -3,8 +3,8 @@
  * saltvane: global traffic steering
  * Copyright (c) 2026 the saltvane authors
  */
-/// The baseline of look-ups: libmicrohttpd on one thread that answers a constant.
-/// usage: saltvane_barehttp IP PORT BODY_BYTES; ends on SIGTERM.
+/// Baseline for look-up measurements: a libmicrohttpd server on one thread that returns a constant body.
+/// usage: saltvane_barehttp IP PORT BODY_BYTES; exits on SIGTERM.
 
 #include <arpa/inet.h>
 #include <csignal>
--- a/testing/standin/announcer.cpp
+++ b/testing/standin/announcer.cpp
@@ -14,7 +14,7 @@
 
 constexpr double TickSeconds = 0.02;
 constexpr double RetrySeconds = 0.2;
-constexpr double AnswerTimeoutSeconds = 1.0;
+constexpr double ResponseTimeoutSeconds = 1.0;
 constexpr int StatusOk = 200;
 
 } // namespace
@@ -77,7 +77,7 @@
     const double now = ev_now(options_.loop);
     for (size_t index = 0; index < entries_.size(); ++index) {
         Entry& entry = entries_[index];
-        if (entry.isWaiting && now - entry.sentAt > AnswerTimeoutSeconds) {
+        if (entry.isAwaitingResponse && now - entry.sentAt > ResponseTimeoutSeconds) {
             for (const auto& [dispatch, owner] : exchanges_) {
                 if (owner != index)
                     continue;
@@ -87,7 +87,7 @@
             }
             finish(index, false);
         }
-        if (!entry.isWaiting && now >= entry.dueAt)
+        if (!entry.isAwaitingResponse && now >= entry.nextAnnounceAt)
             announce(index);
     }
 }
@@ -109,10 +109,10 @@
     }
     const std::string text = body.dump();
     const requests::DispatchId dispatch {nextDispatch_++};
-    entry.isWaiting = true;
+    entry.isAwaitingResponse = true;
     entry.sentAt = now;
     entry.status = 0;
-    entry.answer.clear();
+    entry.response.clear();
     exchanges_[dispatch] = index;
     client_->carryOut(requests::TargetStart {.dispatch = dispatch,
         .target = spec.target,
@@ -139,7 +139,7 @@
     if (const auto* head = std::get_if<requests::TargetResponseHead>(target))
         entry.status = head->status;
     if (const auto* body = std::get_if<requests::TargetResponseBody>(target))
-        entry.answer += body->bytes;
+        entry.response += body->bytes;
     const bool isDone = std::holds_alternative<requests::TargetResponseDone>(*target);
     if (!isDone && !std::holds_alternative<requests::TargetFailed>(*target))
         return;
@@ -147,35 +147,35 @@
     finish(index, isDone && entry.status == StatusOk);
 }
 
-void Announcer::finish(size_t index, bool isAnswered)
+void Announcer::finish(size_t index, bool isSuccessful)
 {
     Entry& entry = entries_[index];
-    entry.isWaiting = false;
-    if (isAnswered)
-        return takeAnswer(entry);
-    entry.dueAt = ev_now(options_.loop) + RetrySeconds;
+    entry.isAwaitingResponse = false;
+    if (isSuccessful)
+        return applyResponse(entry);
+    entry.nextAnnounceAt = ev_now(options_.loop) + RetrySeconds;
     if (entry.knownHosts.empty())
         return;
-    entry.nextKnown = (entry.nextKnown + 1) % entry.knownHosts.size();
-    entry.announceTo = entry.knownHosts[entry.nextKnown];
+    entry.nextKnownHost = (entry.nextKnownHost + 1) % entry.knownHosts.size();
+    entry.announceTo = entry.knownHosts[entry.nextKnownHost];
 }
 
-void Announcer::takeAnswer(Entry& entry)
+void Announcer::applyResponse(Entry& entry)
 {
-    const nlohmann::json answer = nlohmann::json::parse(entry.answer, nullptr, false);
-    if (!answer.is_object())
+    const nlohmann::json response = nlohmann::json::parse(entry.response, nullptr, false);
+    if (!response.is_object())
         return;
-    const auto owner = answer.find("owner");
-    if (owner != answer.end() && owner->is_object()) {
+    const auto owner = response.find("owner");
+    if (owner != response.end() && owner->is_object()) {
         entry.lease.owner = owner->value("host", std::string());
         entry.lease.ownerIncarnation = owner->value("incarnation", uint64_t {0});
         entry.lease.sequence = entry.sequence;
         entry.lease.receivedAt = ev_now(options_.loop);
     }
-    const auto announceTo = answer.find("announce_to");
-    if (announceTo != answer.end() && announceTo->is_object())
+    const auto announceTo = response.find("announce_to");
+    if (announceTo != response.end() && announceTo->is_object())
         entry.announceTo = model::parseAddress(announceTo->value("address", std::string())).value_or(model::Address {});
-    entry.dueAt = ev_now(options_.loop) + answer.value("announce_after_ms", 500.0) / 1000.0;
+    entry.nextAnnounceAt = ev_now(options_.loop) + response.value("announce_after_ms", 500.0) / 1000.0;
 }
 
 } // namespace saltvane::standin
--- a/testing/standin/announcer.h
+++ b/testing/standin/announcer.h
@@ -17,7 +17,7 @@
 
 namespace saltvane::standin {
 
-/// Announces all targets of the process, each on its own schedule, to the hosts that the answers name.
+/// Announces all targets of the process, each on its own schedule, to the host that the last response named.
 class Announcer {
 public:
     struct Options {
@@ -35,22 +35,22 @@
     struct Lease {
         std::string owner;
         uint64_t ownerIncarnation = 0;
-        uint64_t sequence = 0; ///< Of the announcement whose answer gave it.
-        double receivedAt = 0; ///< Loop time of that answer.
+        uint64_t sequence = 0; ///< Of the announcement whose response granted the lease.
+        double receivedAt = 0; ///< Event loop time of that response, in seconds.
     };
     struct Entry {
         StandInTarget* target = nullptr;
-        std::vector<model::Address> knownHosts; ///< Own zone's first.
-        size_t nextKnown = 0;
+        std::vector<model::Address> knownHosts; ///< Hosts of the target's own zone first.
+        size_t nextKnownHost = 0;
         model::Address announceTo;
         std::string secret;
         uint64_t sequence = 0;
-        double dueAt = 0;
+        double nextAnnounceAt = 0;
         double sentAt = 0;
-        bool isWaiting = false;
+        bool isAwaitingResponse = false;
         Lease lease;
         int status = 0;
-        std::string answer;
+        std::string response;
     };
 
     explicit Announcer(Options options);
@@ -58,8 +58,8 @@
     void tick();
     void announce(size_t index);
     void handle(const host::Event& event);
-    void finish(size_t index, bool isAnswered);
-    void takeAnswer(Entry& entry);
+    void finish(size_t index, bool isSuccessful);
+    void applyResponse(Entry& entry);
     static void onTimer(struct ev_loop* loop, ev_timer* timer, int events);
 
     Options options_;
--- a/testing/standin/main.cpp
+++ b/testing/standin/main.cpp
@@ -31,21 +31,24 @@
     return ExitUsage;
 }
 
-uint64_t incarnationOfThisStart()
+uint64_t makeIncarnation()
 {
     return static_cast<uint64_t>(std::chrono::system_clock::now().time_since_epoch() / std::chrono::microseconds(1));
 }
 
 int serve(
-    const std::vector<standin::TargetSpec>& specs, std::vector<settings::HostSettings> hosts, uint32_t coldAnswers)
+    const std::vector<standin::TargetSpec>& specs, std::vector<settings::HostSettings> hosts, uint32_t coldResponses)
 {
     struct ev_loop* loop = ev_default_loop(EVFLAG_AUTO);
-    standin::RunLedger ledger;
+    standin::ExecutedKeys executedKeys;
     std::vector<std::unique_ptr<standin::StandInTarget>> targets;
     std::vector<standin::StandInTarget*> pointers;
     for (const standin::TargetSpec& spec : specs) {
-        auto target = standin::StandInTarget::start(
-            {.loop = loop, .spec = spec, .ledger = &ledger, .coldAnswers = coldAnswers, .seed = targets.size() + 1});
+        auto target = standin::StandInTarget::start({.loop = loop,
+            .spec = spec,
+            .executedKeys = &executedKeys,
+            .coldResponses = coldResponses,
+            .seed = targets.size() + 1});
         if (!target) {
             std::cerr << target.error().place << ": " << target.error().message << "\n";
             return ExitFailure;
@@ -54,7 +57,7 @@
         targets.push_back(std::move(target.value()));
     }
     auto announcer = standin::Announcer::start(
-        {.loop = loop, .targets = pointers, .hosts = std::move(hosts), .incarnation = incarnationOfThisStart()});
+        {.loop = loop, .targets = pointers, .hosts = std::move(hosts), .incarnation = makeIncarnation()});
     if (!announcer) {
         std::cerr << announcer.error().place << ": " << announcer.error().message << "\n";
         return ExitFailure;
@@ -75,9 +78,9 @@
 
 int main(int argc, char** argv)
 {
-    TCLAP::CmdLine commandLine("saltvane_standin: stand-in targets for trying and measuring saltvane", ' ', "");
-    TCLAP::ValueArg<unsigned> coldAnswers(
-        "", "cold-answers", "So many first answers of each target are slow", false, 0, "count", commandLine);
+    TCLAP::CmdLine commandLine("saltvane_standin: stand-in targets for tests and measurements of saltvane", ' ', "");
+    TCLAP::ValueArg<unsigned> coldResponses(
+        "", "cold-answers", "Number of initial responses of each target that are slow", false, 0, "count", commandLine);
     TCLAP::UnlabeledValueArg<std::string> list("targets", "List of targets", true, "", "TARGETS.yaml", commandLine);
     TCLAP::UnlabeledMultiArg<std::string> hostPaths("hosts", "Settings of the hosts", true, "HOST.yaml", commandLine);
     commandLine.parse(argc, argv);
@@ -96,5 +99,5 @@
             return reportFindings(settings.error());
         hosts.push_back(std::move(settings.value()));
     }
-    return serve(specs.value(), std::move(hosts), coldAnswers.getValue());
+    return serve(specs.value(), std::move(hosts), coldResponses.getValue());
 }
--- a/testing/standin/standintarget.cpp
+++ b/testing/standin/standintarget.cpp
@@ -21,7 +21,8 @@
 constexpr size_t ChunkBytes = 64 * 1024;
 constexpr std::string_view ControlPrefix = "/_standin/";
 constexpr std::string_view BytesPrefix = "/bytes/";
-constexpr double ServiceTimeSpread = 0.2; ///< Times vary by so much, evenly, around the listed one.
+/// Fraction of the listed service time by which times vary, uniformly, either way.
+constexpr double ServiceTimeSpread = 0.2;
 
 std::string headerValue(const std::vector<model::Header>& headers, std::string_view name)
 {
@@ -32,7 +33,7 @@
     return {};
 }
 
-/// The byte at an offset of a generated file; a reader can check any part of it.
+/// Byte at an offset of a generated body. It depends on the offset only, so a reader can check any range.
 char patternByte(uint64_t offset) { return static_cast<char>('a' + offset % 26); }
 
 std::string patternBytes(uint64_t offset, uint64_t length)
@@ -51,11 +52,11 @@
     ev_timer timer {};
     uint64_t bodyLength = 0;
     uint64_t sent = 0;
-    uint64_t progressed = 0;
+    uint64_t acknowledged = 0;
     uint64_t received = 0;
-    bool isGenerated = false;
-    bool isAnswering = false;
-    bool holdsSlot = false;
+    bool hasGeneratedBody = false;
+    bool isResponding = false;
+    bool occupiesSlot = false;
 };
 
 StandInTarget::StandInTarget(Options options)
@@ -108,8 +109,8 @@
         const auto found = exchanges_.find(progress->handle);
         if (found == exchanges_.end())
             return;
-        found->second->progressed += progress->bytes;
-        if (found->second->isGenerated)
+        found->second->acknowledged += progress->bytes;
+        if (found->second->hasGeneratedBody)
             sendMore(*found->second);
         return;
     }
@@ -136,27 +137,27 @@
     auto exchange = std::make_unique<Exchange>();
     exchange->target = this;
     exchange->request = started;
-    exchange->holdsSlot = true;
+    exchange->occupiesSlot = true;
     ++inFlight_;
     ++counts_.runs;
-    counts_.largestInFlight = std::max(counts_.largestInFlight, inFlight_);
+    counts_.maxInFlight = std::max(counts_.maxInFlight, inFlight_);
     const std::string key = headerValue(started.headers, "Idempotency-Key");
-    if (!key.empty() && started.method != "GET" && !options_.ledger->note(key))
+    if (!key.empty() && started.method != "GET" && !options_.executedKeys->insert(key))
         ++counts_.doubleRuns;
-    Exchange& placed = *exchange;
+    Exchange& added = *exchange;
     exchanges_[started.handle] = std::move(exchange);
     const bool hasBody = !started.bodyLength || *started.bodyLength > 0;
     if (!hasBody)
-        serve(placed);
+        serve(added);
 }
 
 double StandInTarget::serviceSeconds()
 {
     boost::random::uniform_real_distribution<double> spread(1 - ServiceTimeSpread, 1 + ServiceTimeSpread);
     const double base = toSeconds(options_.spec.serviceTime) * spread(random_);
-    if (counts_.answered >= options_.coldAnswers)
+    if (counts_.answered >= options_.coldResponses)
         return base;
-    const double warmth = static_cast<double>(counts_.answered) / options_.coldAnswers;
+    const double warmth = static_cast<double>(counts_.answered) / options_.coldResponses;
     return base * (options_.coldFactor - (options_.coldFactor - 1) * warmth);
 }
 
@@ -171,19 +172,19 @@
 void StandInTarget::onTimer(struct ev_loop* /*loop*/, ev_timer* timer, int /*events*/)
 {
     auto* exchange = static_cast<Exchange*>(timer->data);
-    exchange->target->answer(*exchange);
+    exchange->target->respond(*exchange);
 }
 
-void StandInTarget::answer(Exchange& exchange)
+void StandInTarget::respond(Exchange& exchange)
 {
-    exchange.isAnswering = true;
+    exchange.isResponding = true;
     const requests::HttpHandle handle = exchange.request.handle;
     const std::string& path = exchange.request.path;
     requests::HttpRespond response {.handle = handle, .status = StatusOk};
     response.headers = {{"Content-Type", "application/json"}, {"X-Target", options_.spec.target.value()}};
     if (path.starts_with(BytesPrefix)) {
         std::from_chars(path.data() + BytesPrefix.size(), path.data() + path.size(), exchange.bodyLength);
-        exchange.isGenerated = true;
+        exchange.hasGeneratedBody = true;
         response.headers.front().value = "application/octet-stream";
         response.bodyLength = exchange.bodyLength;
         response.isLast = exchange.bodyLength == 0;
@@ -199,7 +200,7 @@
 
 void StandInTarget::sendMore(Exchange& exchange)
 {
-    while (exchange.sent < exchange.bodyLength && exchange.sent - exchange.progressed < requests::InitialBodyWindow) {
+    while (exchange.sent < exchange.bodyLength && exchange.sent - exchange.acknowledged < requests::InitialBodyWindow) {
         const uint64_t length = std::min<uint64_t>(ChunkBytes, exchange.bodyLength - exchange.sent);
         requests::HttpResponseBody body {
             .handle = exchange.request.handle, .bytes = patternBytes(exchange.sent, length)};
@@ -209,15 +210,15 @@
     }
 }
 
-void StandInTarget::finish(requests::HttpHandle handle, bool isAnswered)
+void StandInTarget::finish(requests::HttpHandle handle, bool isSuccessful)
 {
     const auto found = exchanges_.find(handle);
     if (found == exchanges_.end())
         return;
     ev_timer_stop(options_.loop, &found->second->timer);
-    if (found->second->holdsSlot)
+    if (found->second->occupiesSlot)
         --inFlight_;
-    ++(isAnswered ? counts_.answered : counts_.cancelled);
+    ++(isSuccessful ? counts_.answered : counts_.cancelled);
     exchanges_.erase(found);
 }
 
@@ -229,7 +230,7 @@
         {"zone", options_.spec.zone.value()}, {"slots", options_.spec.slots}, {"in_flight", inFlight_},
         {"leaving", isLeaving_}, {"runs", counts_.runs}, {"answered", counts_.answered}, {"shed", counts_.shed},
         {"cancelled", counts_.cancelled}, {"overfills", counts_.overfills}, {"double_runs", counts_.doubleRuns},
-        {"largest_in_flight", counts_.largestInFlight}};
+        {"largest_in_flight", counts_.maxInFlight}};
     requests::HttpRespond response {.handle = started.handle, .status = StatusOk};
     response.headers = {{"Content-Type", "application/json"}};
     response.bytes = body.dump() + "\n";
--- a/testing/standin/standintarget.h
+++ b/testing/standin/standintarget.h
@@ -17,36 +17,36 @@
 
 namespace saltvane::standin {
 
-/// What a stand-in target has seen; the checks of measuring programs read it.
+/// Counters of a stand-in target; measurement programs read and check them.
 struct TargetCounts {
     uint64_t runs = 0;
     uint64_t answered = 0;
     uint64_t shed = 0;
     uint64_t cancelled = 0;
-    uint64_t overfills = 0; ///< Arrivals while all slots were busy.
-    uint64_t doubleRuns = 0; ///< Non-repeatable requests whose key had run before.
-    uint32_t largestInFlight = 0;
+    uint64_t overfills = 0; ///< Requests that arrived while all slots were busy.
+    uint64_t doubleRuns = 0; ///< Requests other than GET whose idempotency key had run before.
+    uint32_t maxInFlight = 0;
 };
 
-/// Keys that ran on any target of the process: one request must run on one target only.
-class RunLedger {
+/// Idempotency keys that any target of the process has run: a request must run on one target only.
+class ExecutedKeys {
 public:
-    /// False when the key ran before.
-    bool note(const std::string& key) { return keys_.insert(key).second; }
+    /// Returns false if the key ran before.
+    bool insert(const std::string& key) { return keys_.insert(key).second; }
 
 private:
     std::set<std::string> keys_;
 };
 
-/// A target by the contract of docs/TARGETS.md: slots, cold start, shedding, leaving.
+/// A target that follows docs/TARGETS.md: slots, cold start, load shedding, leaving.
 class StandInTarget {
 public:
     struct Options {
         struct ev_loop* loop = nullptr;
         TargetSpec spec;
-        RunLedger* ledger = nullptr;
-        uint32_t coldAnswers = 0; ///< The first answers are slower, by a factor that falls to 1.
-        double coldFactor = 8;
+        ExecutedKeys* executedKeys = nullptr;
+        uint32_t coldResponses = 0; ///< Number of initial responses that are slower, by a factor that falls to 1.
+        double coldFactor = 8; ///< Slowdown of the first response.
         uint64_t seed = 1;
     };
     static Result<std::unique_ptr<StandInTarget>, IoError> start(Options options);
@@ -67,9 +67,9 @@
     void handle(const host::Event& event);
     void begin(const requests::HttpRequestStarted& started);
     void serve(Exchange& exchange);
-    void answer(Exchange& exchange);
+    void respond(Exchange& exchange);
     void sendMore(Exchange& exchange);
-    void finish(requests::HttpHandle handle, bool isAnswered);
+    void finish(requests::HttpHandle handle, bool isSuccessful);
     void respondToControl(const requests::HttpRequestStarted& started);
     [[nodiscard]] double serviceSeconds();
     static void onTimer(struct ev_loop* loop, ev_timer* timer, int events);
--- a/testing/standin/targetlist.h
+++ b/testing/standin/targetlist.h
@@ -17,7 +17,7 @@
 
 namespace saltvane::standin {
 
-/// One stand-in target of deployments/<name>/targets.yaml.
+/// A stand-in target as listed in deployments/<name>/targets.yaml.
 struct TargetSpec {
     TargetId target;
     ServiceName service;
