--- a/testing/fleet/endingtargets.cpp
+++ b/testing/fleet/crashingtargets.cpp
@@ -3,7 +3,7 @@
  * saltvane: global traffic steering
  * Copyright (c) 2026 the saltvane authors
  */
-#include "endingtargets.h"
+#include "crashingtargets.h"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
@@ -14,12 +14,12 @@
 namespace {
 
 constexpr std::array<const char*, 3> Zones {"north-a", "south-a", "west-a"};
-constexpr Duration ReportPeriod = 1s;
-/// A caller's try to connect where nothing answers.
-constexpr Duration ConnectLimit = 500ms;
+constexpr Duration ReportInterval = 1s;
+/// Timeout of a connection attempt that gets no reply.
+constexpr Duration ConnectTimeout = 500ms;
 constexpr int StatusOk = 200;
 constexpr int StatusMisdirected = 421;
-constexpr int StatusFull = 503;
+constexpr int StatusUnavailable = 503;
 
 std::string_view headerOf(const requests::TargetStart& start, std::string_view name)
 {
@@ -30,7 +30,7 @@
 
 } // namespace
 
-EndingTargets::EndingTargets(Fleet& fleet, const Options& options, unsigned int seed)
+CrashingTargets::CrashingTargets(Fleet& fleet, const Options& options, unsigned int seed)
     : fleet_(fleet)
     , options_(options)
     , random_(seed)
@@ -44,36 +44,36 @@
     }
 }
 
-void EndingTargets::start(Target& target)
+void CrashingTargets::start(Target& target)
 {
-    target.start = ++starts_;
+    target.incarnation = ++incarnations_;
     const bool isNewId = !options_.keepsId || target.id.empty();
     if (isNewId)
-        target.id = "t-" + std::to_string(target.address.port) + "-" + std::to_string(target.start);
+        target.id = "t-" + std::to_string(target.address.port) + "-" + std::to_string(target.incarnation);
     target.isUp = true;
     target.sequence = 0;
     target.nextReportAt = now();
 }
 
-void EndingTargets::report(Target& target)
+void CrashingTargets::report(Target& target)
 {
-    target.nextReportAt = now() + ReportPeriod;
+    target.nextReportAt = now() + ReportInterval;
     nlohmann::json body {{"service", "quotes"}, {"address", toString(target.address)}, {"zone", target.zone},
         {"version", "v1"}, {"slots", options_.slots}, {"state", "ready"}, {"slow_start_left_ms", 0},
         {"sequence", ++target.sequence}};
     if (options_.keepsId)
-        body["started_ms"] = target.start;
+        body["started_ms"] = target.incarnation;
     const std::optional<size_t> leader = fleet_.registries().leader();
     if (leader)
         fleet_.registries().post(*leader, "/v1/targets/" + target.id + "/heartbeat", body.dump());
 }
 
-void EndingTargets::tell(size_t gateway, requests::TargetEvent event, Duration after)
+void CrashingTargets::sendEvent(size_t gateway, requests::TargetEvent event, Duration delay)
 {
-    late_.push_back({.at = now() + after, .gateway = gateway, .event = std::move(event)});
+    pendingEvents_.push_back({.at = now() + delay, .gateway = gateway, .event = std::move(event)});
 }
 
-bool EndingTargets::take(size_t gateway, const requests::Action& action)
+bool CrashingTargets::handleAction(size_t gateway, const requests::Action& action)
 {
     if (const auto* start = std::get_if<requests::TargetStart>(&action)) {
         accept(gateway, *start);
@@ -83,32 +83,32 @@
     if (cancel == nullptr)
         return false;
     const auto isCancelled
-        = [&](const auto& one) { return one.gateway == gateway && one.dispatch == cancel->dispatch; };
+        = [&](const auto& run) { return run.gateway == gateway && run.dispatch == cancel->dispatch; };
     for (Target& target : targets_)
         std::erase_if(target.runs, isCancelled);
-    std::erase_if(late_, [&](const Late& late) {
-        return late.gateway == gateway
-            && std::visit([&](const auto& event) { return event.dispatch == cancel->dispatch; }, late.event);
+    std::erase_if(pendingEvents_, [&](const PendingEvent& pending) {
+        return pending.gateway == gateway
+            && std::visit([&](const auto& event) { return event.dispatch == cancel->dispatch; }, pending.event);
     });
     return true;
 }
 
-void EndingTargets::forgetGateway(size_t gateway)
+void CrashingTargets::dropGateway(size_t gateway)
 {
     for (Target& target : targets_)
         std::erase_if(target.runs, [&](const Run& run) { return run.gateway == gateway; });
-    std::erase_if(late_, [&](const Late& late) { return late.gateway == gateway; });
+    std::erase_if(pendingEvents_, [&](const PendingEvent& pending) { return pending.gateway == gateway; });
 }
 
-void EndingTargets::accept(size_t gateway, const requests::TargetStart& start)
+void CrashingTargets::accept(size_t gateway, const requests::TargetStart& start)
 {
     const auto found = std::ranges::find(targets_, start.address, &Target::address);
     if (found == targets_.end() || !found->isUp) {
         const requests::TargetFailed refused {.dispatch = start.dispatch,
             .mayHaveReachedTarget = false,
             .message = "no connection",
-            .isRefused = !options_.isSilent};
-        return tell(gateway, refused, options_.isSilent ? ConnectLimit : 10ms);
+            .isRefused = !options_.isUnresponsive};
+        return sendEvent(gateway, refused, options_.isUnresponsive ? ConnectTimeout : 10ms);
     }
     Target& target = *found;
     Run run {.gateway = gateway,
@@ -118,29 +118,29 @@
         .isProbe = start.path == "/health",
         .path = std::string(headerOf(start, "Saltvane-Client-Account")) + start.path};
     for (const auto& observer : onArrival)
-        observer(contactOf(target, run));
+        observer(exchangeOf(target, run));
     if (headerOf(start, "Saltvane-Expect-Target") != target.id)
-        return answer(target, run, StatusMisdirected, false);
-    if (target.needs.rest)
-        return answer(target, run, StatusFull, true);
+        return respond(target, run, StatusMisdirected, false);
+    if (target.signals.backoff)
+        return respond(target, run, StatusUnavailable, true);
     if (run.isProbe)
-        return answer(target, run, StatusOk, false);
+        return respond(target, run, StatusOk, false);
     if (target.runs.size() >= options_.slots + options_.queue)
-        return answer(target, run, StatusFull, true);
+        return respond(target, run, StatusUnavailable, true);
     target.runs.push_back(std::move(run));
 }
 
-void EndingTargets::setNeeds(size_t target, const Needs& needs) { targets_.at(target).needs = needs; }
+void CrashingTargets::setSignals(size_t target, const Signals& signals) { targets_.at(target).signals = signals; }
 
-EndingTargets::Contact EndingTargets::contactOf(const Target& target, const Run& run) const
+CrashingTargets::Exchange CrashingTargets::exchangeOf(const Target& target, const Run& run) const
 {
     return {.target = static_cast<size_t>(&target - targets_.data()),
-        .start = target.id,
+        .incarnation = target.id,
         .gateway = run.gateway,
         .isProbe = run.isProbe};
 }
 
-void EndingTargets::answer(const Target& target, const Run& run, int status, bool isNotRun)
+void CrashingTargets::respond(const Target& target, const Run& run, int status, bool isNotRun)
 {
     requests::TargetResponseHead head {.dispatch = run.dispatch,
         .status = status,
@@ -151,89 +151,90 @@
         .bodyLength = 0};
     if (isNotRun)
         head.headers.push_back({.name = "Saltvane-Not-Run", .value = "1"});
-    if (target.needs.rest && status == StatusFull)
-        head.headers.push_back({.name = "Retry-After", .value = std::to_string(toSeconds(*target.needs.rest))});
-    if (target.needs.isLeaving)
+    if (target.signals.backoff && status == StatusUnavailable)
+        head.headers.push_back({.name = "Retry-After", .value = std::to_string(toSeconds(*target.signals.backoff))});
+    if (target.signals.isLeaving)
         head.headers.push_back({.name = "Saltvane-Leaving", .value = "1"});
-    if (target.needs.limit)
-        head.headers.push_back({.name = "Saltvane-Limit", .value = std::to_string(*target.needs.limit)});
-    tell(run.gateway, std::move(head));
-    late_.back().answer = {contactOf(target, run), target.needs};
-    tell(run.gateway, requests::TargetResponseDone {.dispatch = run.dispatch});
+    if (target.signals.limit)
+        head.headers.push_back({.name = "Saltvane-Limit", .value = std::to_string(*target.signals.limit)});
+    sendEvent(run.gateway, std::move(head));
+    pendingEvents_.back().response = {exchangeOf(target, run), target.signals};
+    sendEvent(run.gateway, requests::TargetResponseDone {.dispatch = run.dispatch});
 }
 
-void EndingTargets::beginRuns(Target& target)
+void CrashingTargets::startRuns(Target& target)
 {
-    std::uniform_int_distribution<int64_t> work(options_.workLeast.count(), options_.workMost.count());
-    const size_t working = std::min<size_t>(target.runs.size(), options_.slots);
-    for (size_t i = 0; i < working; ++i) {
+    std::uniform_int_distribution<int64_t> processingTime(
+        options_.minProcessingTime.count(), options_.maxProcessingTime.count());
+    const size_t running = std::min<size_t>(target.runs.size(), options_.slots);
+    for (size_t i = 0; i < running; ++i) {
         Run& run = target.runs[i];
-        if (std::exchange(run.hasBegun, true))
+        if (std::exchange(run.hasStarted, true))
             continue;
-        run.endsAt = now() + Duration(work(random_));
+        run.completesAt = now() + Duration(processingTime(random_));
         if (run.isFatal)
-            fatalRuns_.push_back({.path = run.path, .beganAt = now(), .gateway = run.gateway});
+            fatalRuns_.push_back({.path = run.path, .startedAt = now(), .gateway = run.gateway});
     }
 }
 
-void EndingTargets::endRuns(Target& target)
+void CrashingTargets::completeRuns(Target& target)
 {
-    const auto isDue = [&](const Run& run) { return run.hasBegun && run.endsAt <= now(); };
-    if (std::ranges::any_of(target.runs, [&](const Run& run) { return isDue(run) && run.isFatal; }))
-        return end(target);
+    const auto isComplete = [&](const Run& run) { return run.hasStarted && run.completesAt <= now(); };
+    if (std::ranges::any_of(target.runs, [&](const Run& run) { return isComplete(run) && run.isFatal; }))
+        return crash(target);
     for (const Run& run : target.runs) {
-        if (isDue(run))
-            answer(target, run, StatusOk, false);
+        if (isComplete(run))
+            respond(target, run, StatusOk, false);
     }
-    std::erase_if(target.runs, isDue);
+    std::erase_if(target.runs, isComplete);
 }
 
-void EndingTargets::end(size_t target)
+void CrashingTargets::crash(size_t target)
 {
     if (targets_.at(target).isUp)
-        end(targets_[target]);
+        crash(targets_[target]);
 }
 
-void EndingTargets::end(Target& target)
+void CrashingTargets::crash(Target& target)
 {
     target.isUp = false;
-    target.upAt = now() + options_.downFor;
-    // Where a connection had carried a request before, a new one is tried at once, and refused.
+    target.restartsAt = now() + options_.restartDelay;
+    // For a request on a reused connection, the gateway connects again at once, and that connection is refused.
     std::bernoulli_distribution wasReused(0.5);
     for (const Run& run : target.runs) {
-        if (!options_.isSilent)
-            tell(run.gateway,
+        if (!options_.isUnresponsive)
+            sendEvent(run.gateway,
                 requests::TargetFailed {
                     .dispatch = run.dispatch, .message = "connection closed", .isRefused = wasReused(random_)});
     }
     target.runs.clear();
 }
 
-void EndingTargets::step()
+void CrashingTargets::step()
 {
     for (Target& target : targets_) {
-        if (!target.isUp && now() >= target.upAt)
+        if (!target.isUp && now() >= target.restartsAt)
             start(target);
         if (!target.isUp)
             continue;
-        endRuns(target);
-        beginRuns(target);
+        completeRuns(target);
+        startRuns(target);
         if (target.isUp && now() >= target.nextReportAt)
             report(target);
     }
-    std::vector<Late> due;
-    std::erase_if(late_, [&](Late& late) {
-        if (late.at > now())
+    std::vector<PendingEvent> dueEvents;
+    std::erase_if(pendingEvents_, [&](PendingEvent& pending) {
+        if (pending.at > now())
             return false;
-        due.push_back(std::move(late));
+        dueEvents.push_back(std::move(pending));
         return true;
     });
-    for (Late& late : due) {
-        if (late.answer) {
-            for (const auto& observer : onAnswered)
-                observer(late.answer->first, late.answer->second);
+    for (PendingEvent& pending : dueEvents) {
+        if (pending.response) {
+            for (const auto& observer : onResponse)
+                observer(pending.response->first, pending.response->second);
         }
-        fleet_.handle(late.gateway, std::move(late.event));
+        fleet_.handle(pending.gateway, std::move(pending.event));
     }
 }
 
--- /dev/null
+++ b/testing/fleet/crashingtargets.h
@@ -0,0 +1,135 @@
+/*
+ * SPDX-License-Identifier: Apache-2.0
+ * saltvane: global traffic steering
+ * Copyright (c) 2026 the saltvane authors
+ */
+#pragma once
+
+#include "fleet.h"
+
+#include <functional>
+#include <map>
+#include <optional>
+#include <random>
+#include <string>
+#include <string_view>
+#include <utility>
+#include <vector>
+
+namespace saltvane::fleet::test {
+
+/// The targets of a fleet. Each runs requests on a few slots. A request whose path contains FatalMark crashes the
+/// target that runs it, with all other requests that run there. A target restarts after some seconds, with a new id.
+class CrashingTargets {
+public:
+    struct Options {
+        size_t count = 18;
+        uint32_t slots = 3;
+        uint32_t queue = 9; ///< Number of requests that may wait for a slot; further ones are shed.
+        Duration restartDelay = 2500ms;
+        Duration minProcessingTime = 40ms;
+        Duration maxProcessingTime = 250ms;
+        /// Connections to a crashed target are neither closed nor refused; they time out.
+        bool isUnresponsive = false;
+        /// Targets retain their id across restarts and report their start time.
+        bool keepsId = false;
+    };
+    CrashingTargets(Fleet& fleet, const Options& options, unsigned int seed);
+
+    /// A request whose path contains this is fatal.
+    static constexpr std::string_view FatalMark = "fatal";
+
+    /// Handles an action of a gateway; returns false if the action does not concern a target.
+    bool handleAction(size_t gateway, const requests::Action& action);
+    void step();
+    /// Drops everything that a stopped gateway had in flight.
+    void dropGateway(size_t gateway);
+
+    [[nodiscard]] size_t size() const { return targets_.size(); }
+    [[nodiscard]] bool isUp(size_t target) const { return targets_.at(target).isUp; }
+    /// Crashes a target for a reason other than a request.
+    void crash(size_t target);
+    /// While set, no request crashes a target.
+    void setHarmless(bool isHarmless) { isHarmless_ = isHarmless; }
+
+    /// What a target announces in its responses about the load that it accepts; stays the same across restarts.
+    struct Signals {
+        std::optional<double> limit; ///< Requests per second of all gateways together.
+        std::optional<Duration> backoff; ///< The target rejects every request and requests this backoff.
+        bool isLeaving = false;
+    };
+    void setSignals(size_t target, const Signals& signals);
+    [[nodiscard]] const Signals& signalsOf(size_t target) const { return targets_.at(target).signals; }
+
+    /// A request that reaches a target, or its response as it reaches the gateway.
+    struct Exchange {
+        size_t target = 0;
+        std::string incarnation; ///< Id of the target's incarnation.
+        size_t gateway = 0;
+        bool isProbe = false;
+    };
+    std::vector<std::function<void(const Exchange&)>> onArrival;
+    /// `needs`: as announced in the response.
+    std::vector<std::function<void(const Exchange&, const Signals& signals)>> onResponse;
+
+    /// An execution of a fatal request.
+    struct FatalRun {
+        std::string path; ///< Prefixed with the client account, if any.
+        Timestamp startedAt;
+        size_t gateway = 0;
+    };
+    [[nodiscard]] const std::vector<FatalRun>& fatalRuns() const { return fatalRuns_; }
+
+private:
+    struct Run {
+        size_t gateway = 0;
+        requests::DispatchId dispatch;
+        std::string id; ///< Request id of the caller's attempt.
+        bool isFatal = false;
+        bool isProbe = false;
+        Timestamp completesAt; ///< Valid once the run has started.
+        bool hasStarted = false;
+        std::string path;
+    };
+    struct Target {
+        model::Address address;
+        std::string zone;
+        std::string id;
+        uint64_t incarnation = 0;
+        uint64_t sequence = 0;
+        Signals signals;
+        bool isUp = false;
+        Timestamp restartsAt; ///< Valid while the target is down.
+        Timestamp nextReportAt;
+        std::vector<Run> runs;
+    };
+    struct PendingEvent {
+        Timestamp at;
+        size_t gateway = 0;
+        requests::TargetEvent event;
+        /// Set for a response head: what the target announces in it.
+        std::optional<std::pair<Exchange, Signals>> response;
+    };
+
+    void accept(size_t gateway, const requests::TargetStart& start);
+    void startRuns(Target& target);
+    void completeRuns(Target& target);
+    void start(Target& target);
+    void crash(Target& target);
+    void report(Target& target);
+    void sendEvent(size_t gateway, requests::TargetEvent event, Duration delay = 10ms);
+    void respond(const Target& target, const Run& run, int status, bool isNotRun);
+    [[nodiscard]] Exchange exchangeOf(const Target& target, const Run& run) const;
+    [[nodiscard]] Timestamp now() const { return fleet_.registries().now(); }
+
+    Fleet& fleet_;
+    Options options_;
+    std::mt19937 random_;
+    std::vector<Target> targets_;
+    std::vector<PendingEvent> pendingEvents_;
+    std::vector<FatalRun> fatalRuns_;
+    uint64_t incarnations_ = 0;
+    bool isHarmless_ = false;
+};
+
+} // namespace saltvane::fleet::test
--- a/testing/fleet/drawnplantests.cpp
+++ b/testing/fleet/drawnplantests.cpp
@@ -13,51 +13,51 @@
 #include <numeric>
 #include <random>
 
-/// Faults drawn by a seed, one after the other, while plans change; every use of a plan is held to the newest one
-/// acknowledged. SALTVANE_SEEDS: how many seeds are played.
+/// Randomized test: a sequence of random faults while plans change; every use of a plan is compared with the newest
+/// plan acknowledged. SALTVANE_SEEDS sets the number of seeds.
 namespace saltvane::fleet::test {
 
 namespace {
 
-constexpr int UsualSeeds = 12;
+constexpr int DefaultSeeds = 12;
 constexpr int FaultsPerSeed = 5;
 
-int seedsToPlay()
+int seedCount()
 {
-    const char* const asked = std::getenv("SALTVANE_SEEDS");
-    return asked == nullptr ? UsualSeeds : std::atoi(asked);
+    const char* const requested = std::getenv("SALTVANE_SEEDS");
+    return requested == nullptr ? DefaultSeeds : std::atoi(requested);
 }
 
-class DrawnFaults {
+class RandomFaults {
 public:
-    explicit DrawnFaults(unsigned int seed)
+    explicit RandomFaults(unsigned int seed)
         : random_(seed)
     {
     }
 
-    void play()
+    void run()
     {
-        constexpr std::array Faults {&DrawnFaults::cutOffSome, &DrawnFaults::cutInHalf, &DrawnFaults::killOne,
-            &DrawnFaults::endAllPower, &DrawnFaults::silenceLinks, &DrawnFaults::restartGateway};
+        constexpr std::array Faults {&RandomFaults::cutOffSome, &RandomFaults::cutOffHalf, &RandomFaults::killOne,
+            &RandomFaults::powerOffAll, &RandomFaults::stallLinks, &RandomFaults::restartGateway};
         for (int fault = 0; fault < FaultsPerSeed; ++fault) {
-            pass(draw(200, 2000));
-            (this->*Faults.at(static_cast<size_t>(draw(0, Faults.size() - 1).count())))();
-            fleet_.noteFault();
+            runWithPlanChanges(randomMilliseconds(200, 2000));
+            (this->*Faults.at(static_cast<size_t>(randomMilliseconds(0, Faults.size() - 1).count())))();
+            fleet_.recordFault();
         }
-        pass(Rejoining);
+        runWithPlanChanges(RejoinTime);
     }
 
     [[nodiscard]] PlanFleet& fleet() { return fleet_; }
 
 private:
-    /// A host that lost its disk is a voter again after it.
-    static constexpr Duration Rejoining = 6s;
+    /// Time after which a host that lost its disk is a voter again.
+    static constexpr Duration RejoinTime = 6s;
 
-    std::chrono::milliseconds draw(int64_t least, int64_t most)
+    std::chrono::milliseconds randomMilliseconds(int64_t min, int64_t max)
     {
-        return std::chrono::milliseconds(std::uniform_int_distribution<int64_t>(least, most)(random_));
+        return std::chrono::milliseconds(std::uniform_int_distribution<int64_t>(min, max)(random_));
     }
-    std::vector<size_t> drawRegistries(size_t count)
+    std::vector<size_t> randomRegistries(size_t count)
     {
         std::vector<size_t> all(Registries);
         std::iota(all.begin(), all.end(), size_t {0});
@@ -66,19 +66,19 @@
         return all;
     }
 
-    /// Time in which the operator changes plans.
-    void pass(Duration duration)
+    /// Runs for `duration` while the operator changes plans.
+    void runWithPlanChanges(Duration duration)
     {
         for (const Timestamp end = fleet_.registries().now() + duration; fleet_.registries().now() < end;) {
             fleet_.putPlan();
-            fleet_.run(draw(200, 1800));
+            fleet_.run(randomMilliseconds(200, 1800));
         }
     }
-    /// The same where no host can be held to what is acknowledged meanwhile.
-    void passInTrouble(Duration duration)
+    /// Runs like that, but exempts all hosts from what is acknowledged meanwhile, as no quorum is left.
+    void runWithoutQuorum(Duration duration)
     {
         for (const Timestamp end = fleet_.registries().now() + duration; fleet_.registries().now() < end;) {
-            fleet_.noteFault();
+            fleet_.recordFault();
             fleet_.putPlan();
             fleet_.run(100ms);
         }
@@ -86,58 +86,58 @@
 
     void cutOff(size_t count)
     {
-        for (const size_t registry : drawRegistries(count))
+        for (const size_t registry : randomRegistries(count))
             fleet_.registries().isolate(registry);
-        fleet_.noteFault();
+        fleet_.recordFault();
     }
     void cutOffSome()
     {
-        cutOff(static_cast<size_t>(draw(1, 2).count()));
-        pass(draw(1000, 8000));
+        cutOff(static_cast<size_t>(randomMilliseconds(1, 2).count()));
+        runWithPlanChanges(randomMilliseconds(1000, 8000));
         fleet_.registries().heal();
     }
-    void cutInHalf()
+    void cutOffHalf()
     {
         cutOff(Registries / 2);
-        passInTrouble(draw(1000, 8000));
+        runWithoutQuorum(randomMilliseconds(1000, 8000));
         fleet_.registries().heal();
     }
     void killOne()
     {
-        const size_t registry = drawRegistries(1).front();
+        const size_t registry = randomRegistries(1).front();
         fleet_.fleet().killRegistry(registry);
-        fleet_.noteFault();
-        pass(draw(200, 5000));
+        fleet_.recordFault();
+        runWithPlanChanges(randomMilliseconds(200, 5000));
         fleet_.fleet().startRegistry(registry);
     }
-    /// Right after a plan was acknowledged every host loses its power, and up to two disks are gone for good.
-    void endAllPower()
+    /// Every host loses power right after a plan was acknowledged, and up to two disks are lost.
+    void powerOffAll()
     {
         fleet_.putPlan();
         for (size_t registry = 0; registry < Registries; ++registry)
             fleet_.fleet().killRegistry(registry);
-        for (const size_t registry : drawRegistries(static_cast<size_t>(draw(0, 2).count())))
+        for (const size_t registry : randomRegistries(static_cast<size_t>(randomMilliseconds(0, 2).count())))
             fleet_.registries().wipeDisk(registry);
-        for (const size_t registry : drawRegistries(Registries)) {
+        for (const size_t registry : randomRegistries(Registries)) {
             fleet_.fleet().startRegistry(registry);
-            fleet_.noteFault();
-            fleet_.run(draw(0, 300));
+            fleet_.recordFault();
+            fleet_.run(randomMilliseconds(0, 300));
         }
         for (size_t gateway = 0; gateway < fleet_.fleet().gateways(); ++gateway)
             fleet_.fleet().restartGateway(gateway);
-        fleet_.noteFault();
-        pass(Rejoining);
+        fleet_.recordFault();
+        runWithPlanChanges(RejoinTime);
     }
-    void silenceLinks()
+    void stallLinks()
     {
-        fleet_.fleet().silenceGateways();
-        fleet_.noteFault();
-        pass(draw(1000, 8000));
+        fleet_.fleet().stallGatewayLinks();
+        fleet_.recordFault();
+        runWithPlanChanges(randomMilliseconds(1000, 8000));
     }
     void restartGateway()
     {
         const auto last = static_cast<int64_t>(fleet_.fleet().gateways() - 1);
-        fleet_.fleet().restartGateway(static_cast<size_t>(draw(0, last).count()));
+        fleet_.fleet().restartGateway(static_cast<size_t>(randomMilliseconds(0, last).count()));
     }
 
     static constexpr size_t Registries = FleetOptions().registries;
@@ -150,16 +150,17 @@
 TEST(DrawnPlanTest, NoUseIsByAPlanThatWasReplaced)
 {
     uint64_t plans = 0;
-    for (int seed = 1; seed <= seedsToPlay(); ++seed) {
-        DrawnFaults drawn(static_cast<unsigned int>(seed));
-        drawn.play();
-        const std::vector<std::string> findings = drawn.fleet().findings();
-        EXPECT_TRUE(findings.empty()) << "seed " << seed << ": " << findings.size() << " of " << drawn.fleet().uses()
-                                      << "; first: " << findings.front();
-        EXPECT_TRUE(drawn.fleet().fleet().isPlanEverywhere(drawn.fleet().version())) << "seed " << seed;
-        plans += drawn.fleet().version();
+    for (int seed = 1; seed <= seedCount(); ++seed) {
+        RandomFaults randomized(static_cast<unsigned int>(seed));
+        randomized.run();
+        const std::vector<std::string> findings = randomized.fleet().findings();
+        EXPECT_TRUE(findings.empty()) << "seed " << seed << ": " << findings.size() << " of "
+                                      << randomized.fleet().uses() << "; first: " << findings.front();
+        EXPECT_TRUE(randomized.fleet().fleet().isPlanInForceEverywhere(randomized.fleet().version()))
+            << "seed " << seed;
+        plans += randomized.fleet().version();
     }
-    EXPECT_GT(plans, static_cast<uint64_t>(10 * seedsToPlay()));
+    EXPECT_GT(plans, static_cast<uint64_t>(10 * seedCount()));
 }
 
 } // namespace saltvane::fleet::test
--- a/testing/fleet/fleet.cpp
+++ b/testing/fleet/fleet.cpp
@@ -15,11 +15,12 @@
 
 namespace {
 
-/// Of RegistryCluster's virtual time.
+/// Step of RegistryCluster's virtual time.
 constexpr Duration Step = 10ms;
 constexpr double PacketBytes = 1448;
-/// Of a new link between the furthest regions: three round trips, what a try waits for, and the time for the old one.
-constexpr Duration Handshake = 600ms;
+/// Time to replace a link between the most distant regions: three round trips, the retry delay, and the time to close
+/// the old link.
+constexpr Duration LinkReplacementTime = 600ms;
 constexpr int StatusOk = 200;
 
 const std::map<ZoneName, RegionName> Zones {{ZoneName("north-a"), RegionName("north")},
@@ -62,16 +63,16 @@
     };
     registries_.toGateway = [this](size_t from, const model::Outgoing& outgoing) {
         Gateway* gateway = find(outgoing.to);
-        if (gateway == nullptr || gateway->silentUntil)
+        if (gateway == nullptr || gateway->cutOffUntil)
             return;
         const double bytes = sizeOf(outgoing.message);
         gateway->bytesSent += static_cast<uint64_t>(bytes);
         Sender& sender = gateway->senders[from];
-        sender.waiting += bytes;
-        sender.frames.push_back({.message = outgoing.message, .unsent = bytes, .undelivered = bytes});
+        sender.backlogBytes += bytes;
+        sender.frames.push_back({.message = outgoing.message, .unsentBytes = bytes, .undeliveredBytes = bytes});
     };
     registries_.onStep = [this] { step(); };
-    registries_.setProcessorShare(options_.registryProcessorShare);
+    registries_.setProcessorShare(options_.registryCpuFraction);
     for (size_t number = 0; number < gateways_.size(); ++number)
         startGateway(number);
 }
@@ -81,9 +82,9 @@
     Gateway& gateway = gateways_.at(number);
     gateway.id = HostId(toString(addressOf(number)));
     ++gateway.incarnation.value;
-    gateway.sleepsUntil.reset();
-    gateway.heldBack.clear();
-    gateway.processor = registry::test::VirtualProcessor(options_.gatewayProcessorShare);
+    gateway.suspendedUntil.reset();
+    gateway.deferredEvents.clear();
+    gateway.processor = registry::test::VirtualProcessor(options_.gatewayCpuFraction);
     gateway.core = gateway::makeGateway({.settings = settingsOf(number), .incarnation = gateway.incarnation});
     for (size_t registry = 0; registry < options_.registries; ++registry)
         connect(gateway, registry);
@@ -99,39 +100,39 @@
             .incarnation = registries_.status(registry).incarnation});
 }
 
-void Fleet::silenceGateways()
+void Fleet::stallGatewayLinks()
 {
     for (size_t gateway = 0; gateway < gateways_.size(); ++gateway)
-        cutOffGateway(gateway, net::Link::SuspectAfter + net::Link::KeepAliveTick + Handshake);
+        cutOffGateway(gateway, net::Link::SuspectAfter + net::Link::KeepAliveTick + LinkReplacementTime);
 }
 
 void Fleet::cutOffGateway(size_t number, Duration duration)
 {
     Gateway& gateway = gateways_.at(number);
-    gateway.silentUntil = registries_.now() + duration;
+    gateway.cutOffUntil = registries_.now() + duration;
     gateway.senders.clear();
-    gateway.network.clear();
+    gateway.packets.clear();
     gateway.outbound.clear();
 }
 
 void Fleet::suspendGateway(size_t number, Duration duration)
 {
-    gateways_.at(number).sleepsUntil = registries_.now() + duration;
+    gateways_.at(number).suspendedUntil = registries_.now() + duration;
 }
 
-/// What waits at its sockets comes before its timers do.
-void Fleet::wake(Gateway& gateway)
+/// Handles what arrived at the sockets of a suspended gateway before its timers run.
+void Fleet::resume(Gateway& gateway)
 {
-    gateway.sleepsUntil.reset();
-    for (host::Event& event : std::exchange(gateway.heldBack, {}))
+    gateway.suspendedUntil.reset();
+    for (host::Event& event : std::exchange(gateway.deferredEvents, {}))
         handle(gateway, std::move(event));
 }
 
 void Fleet::handle(size_t number, host::Event event)
 {
     Gateway& gateway = gateways_.at(number);
-    if (gateway.sleepsUntil || gateway.processor.isBusy(registries_.now())) {
-        gateway.heldBack.push_back(std::move(event));
+    if (gateway.suspendedUntil || gateway.processor.isBusy(registries_.now())) {
+        gateway.deferredEvents.push_back(std::move(event));
         return;
     }
     handle(gateway, std::move(event));
@@ -140,12 +141,12 @@
 void Fleet::handle(Gateway& gateway, host::Event event)
 {
     gateway.processor.work(registries_.now(), [&] { gateway.core->handle(std::move(event), registries_.now()); });
-    gather(gateway);
+    dispatchActions(gateway);
 }
 
 void Fleet::replaceLinks(Gateway& gateway)
 {
-    gateway.silentUntil.reset();
+    gateway.cutOffUntil.reset();
     for (size_t registry = 0; registry < options_.registries; ++registry) {
         if (registries_.isRunning(registry))
             registries_.linkDownTo(registry, gateway.id);
@@ -159,7 +160,7 @@
     registries_.kill(registry);
     for (Gateway& gateway : gateways_) {
         gateway.senders.erase(registry);
-        std::erase_if(gateway.network, [&](const Packet& packet) { return packet.registry == registry; });
+        std::erase_if(gateway.packets, [&](const Packet& packet) { return packet.registry == registry; });
         handle(gateway, host::LinkDown {.host = registry::test::RegistryCluster::idOf(registry)});
     }
 }
@@ -175,12 +176,12 @@
 {
     Gateway& gateway = gateways_.at(number);
     gateway.senders.clear();
-    gateway.network.clear();
+    gateway.packets.clear();
     gateway.outbound.clear();
     startGateway(number);
 }
 
-uint64_t Fleet::planAt(size_t gateway) const
+uint64_t Fleet::planVersionAt(size_t gateway) const
 {
     return gateways_.at(gateway).core->status(registries_.now()).inForceVersion.value;
 }
@@ -193,8 +194,8 @@
 
 void Fleet::step()
 {
-    noteLeader();
-    holdToMemory();
+    updateLeader();
+    enforceMemoryLimit();
     for (Gateway& gateway : gateways_)
         stepGateway(gateway);
     if (onStep)
@@ -204,45 +205,46 @@
 void Fleet::stepGateway(Gateway& gateway)
 {
     const Timestamp now = registries_.now();
-    const bool isAsleep = gateway.sleepsUntil && now < *gateway.sleepsUntil;
-    if (isAsleep || gateway.processor.isBusy(now))
+    const bool isSuspended = gateway.suspendedUntil && now < *gateway.suspendedUntil;
+    if (isSuspended || gateway.processor.isBusy(now))
         return;
-    if (gateway.sleepsUntil || !gateway.heldBack.empty())
-        wake(gateway);
-    if (gateway.silentUntil && now >= *gateway.silentUntil)
+    if (gateway.suspendedUntil || !gateway.deferredEvents.empty())
+        resume(gateway);
+    if (gateway.cutOffUntil && now >= *gateway.cutOffUntil)
         replaceLinks(gateway);
-    carryInbound(gateway);
+    deliverInbound(gateway);
     gateway.processor.work(now, [&] { gateway.core->tick(now); });
-    gather(gateway);
-    carryOutbound(gateway);
+    dispatchActions(gateway);
+    deliverOutbound(gateway);
 }
 
-/// What has reached a gateway's machine and is not read yet waits there, within its window; the rest at the senders.
-void Fleet::holdToMemory()
+/// Kills registry hosts that exceed their memory limit and restarts them later. Bytes in flight within a send window do
+/// not count: they are queued on the gateway's side.
+void Fleet::enforceMemoryLimit()
 {
     constexpr Duration RestartDelay = 1s;
     for (size_t registry = 0; registry < options_.registries; ++registry) {
-        if (const auto due = startsAgainAt_.find(registry); due != startsAgainAt_.end()) {
-            if (registries_.now() < due->second)
+        if (const auto restart = restartsAt_.find(registry); restart != restartsAt_.end()) {
+            if (registries_.now() < restart->second)
                 continue;
-            startsAgainAt_.erase(due);
+            restartsAt_.erase(restart);
             startRegistry(registry);
         }
-        double held = 0;
+        double heldBytes = 0;
         for (const Gateway& gateway : gateways_) {
             if (const auto sender = gateway.senders.find(registry); sender != gateway.senders.end())
-                held += sender->second.waiting - sender->second.inNetwork;
+                heldBytes += sender->second.backlogBytes - sender->second.inFlightBytes;
         }
-        mostHeldByRegistry_ = std::max(mostHeldByRegistry_, static_cast<uint64_t>(held));
-        if (options_.registryMemory == 0 || held <= static_cast<double>(options_.registryMemory))
+        maxRegistryBacklogBytes_ = std::max(maxRegistryBacklogBytes_, static_cast<uint64_t>(heldBytes));
+        if (options_.registryMemoryBytes == 0 || heldBytes <= static_cast<double>(options_.registryMemoryBytes))
             continue;
-        ++registriesEnded_;
+        ++registriesOutOfMemory_;
         killRegistry(registry);
-        startsAgainAt_[registry] = registries_.now() + RestartDelay;
+        restartsAt_[registry] = registries_.now() + RestartDelay;
     }
 }
 
-Duration Fleet::longestBusyGateway() const
+Duration Fleet::longestGatewayBusyTime() const
 {
     Duration longest {};
     for (const Gateway& gateway : gateways_)
@@ -250,58 +252,59 @@
     return longest;
 }
 
-void Fleet::noteLeader()
+void Fleet::updateLeader()
 {
-    const std::optional<size_t> now = registries_.leader();
-    if (leader_ && now != leader_)
+    const std::optional<size_t> leader = registries_.leader();
+    if (leader_ && leader != leader_)
         ++leadersLost_;
-    leader_ = now;
+    leader_ = leader;
 }
 
-void Fleet::fillNetwork(Gateway& gateway)
+void Fleet::fillSendWindows(Gateway& gateway)
 {
     for (bool isBusy = true; isBusy;) {
         isBusy = false;
         for (auto& [registry, sender] : gateway.senders) {
-            const auto next = std::ranges::find_if(sender.frames, [](const Frame& frame) { return frame.unsent > 0; });
-            if (next == sender.frames.end() || sender.inNetwork >= options_.windowBytes)
+            const auto next
+                = std::ranges::find_if(sender.frames, [](const Frame& frame) { return frame.unsentBytes > 0; });
+            if (next == sender.frames.end() || sender.inFlightBytes >= options_.sendWindowBytes)
                 continue;
-            const double bytes = std::min(PacketBytes, next->unsent);
-            next->unsent -= bytes;
-            sender.inNetwork += bytes;
-            gateway.network.push_back({.registry = registry, .bytes = bytes});
+            const double bytes = std::min(PacketBytes, next->unsentBytes);
+            next->unsentBytes -= bytes;
+            sender.inFlightBytes += bytes;
+            gateway.packets.push_back({.registry = registry, .bytes = bytes});
             isBusy = true;
         }
     }
 }
 
-void Fleet::carryInbound(Gateway& gateway)
+void Fleet::deliverInbound(Gateway& gateway)
 {
-    double waiting = 0;
+    double backlogBytes = 0;
     for (const auto& [registry, sender] : gateway.senders)
-        waiting += sender.waiting;
-    gateway.largestBacklog = std::max(gateway.largestBacklog, static_cast<uint64_t>(waiting));
-    fillNetwork(gateway);
-    gateway.linkCredit += options_.gatewayBytesPerSecond * toSeconds(Step);
-    while (!gateway.network.empty() && gateway.network.front().bytes <= gateway.linkCredit
+        backlogBytes += sender.backlogBytes;
+    gateway.maxBacklogBytes = std::max(gateway.maxBacklogBytes, static_cast<uint64_t>(backlogBytes));
+    fillSendWindows(gateway);
+    gateway.linkBudgetBytes += options_.gatewayBytesPerSecond * toSeconds(Step);
+    while (!gateway.packets.empty() && gateway.packets.front().bytes <= gateway.linkBudgetBytes
         && !gateway.processor.isBusy(registries_.now())) {
-        const Packet packet = gateway.network.front();
-        gateway.network.pop_front();
-        gateway.linkCredit -= packet.bytes;
+        const Packet packet = gateway.packets.front();
+        gateway.packets.pop_front();
+        gateway.linkBudgetBytes -= packet.bytes;
         deliver(gateway, packet);
-        fillNetwork(gateway);
+        fillSendWindows(gateway);
     }
-    if (gateway.network.empty())
-        gateway.linkCredit = 0;
+    if (gateway.packets.empty())
+        gateway.linkBudgetBytes = 0;
 }
 
 void Fleet::deliver(Gateway& gateway, const Packet& packet)
 {
     Sender& sender = gateway.senders.at(packet.registry);
-    sender.inNetwork -= packet.bytes;
-    sender.waiting -= packet.bytes;
-    sender.frames.front().undelivered -= packet.bytes;
-    if (sender.frames.front().undelivered > 0)
+    sender.inFlightBytes -= packet.bytes;
+    sender.backlogBytes -= packet.bytes;
+    sender.frames.front().undeliveredBytes -= packet.bytes;
+    if (sender.frames.front().undeliveredBytes > 0)
         return;
     model::Delivery delivery {.from = registry::test::RegistryCluster::idOf(packet.registry),
         .fromIncarnation = registries_.status(packet.registry).incarnation,
@@ -310,16 +313,16 @@
     gateway.processor.work(registries_.now(), [&] { gateway.core->handle(std::move(delivery), registries_.now()); });
 }
 
-void Fleet::carryOutbound(Gateway& gateway)
+void Fleet::deliverOutbound(Gateway& gateway)
 {
     while (!gateway.outbound.empty() && gateway.outbound.front().at <= registries_.now()) {
-        Late late = std::move(gateway.outbound.front());
+        PendingMessage pending = std::move(gateway.outbound.front());
         gateway.outbound.pop_front();
-        registries_.deliverFromGateway(late.registry, gateway.id, gateway.incarnation, std::move(late.message));
+        registries_.deliverFromGateway(pending.registry, gateway.id, gateway.incarnation, std::move(pending.message));
     }
 }
 
-void Fleet::gather(Gateway& gateway)
+void Fleet::dispatchActions(Gateway& gateway)
 {
     for (host::Action& action : gateway.core->takeActions()) {
         auto* const request = std::get_if<requests::Action>(&action);
@@ -334,7 +337,7 @@
         if (const auto* response = std::get_if<requests::HttpRespond>(request))
             gateway.lastStatus = response->status;
         auto* const outgoing = std::get_if<model::Outgoing>(request);
-        if (outgoing == nullptr || gateway.silentUntil)
+        if (outgoing == nullptr || gateway.cutOffUntil)
             continue;
         if (const std::optional<size_t> registry = registries_.numberOf(outgoing->to))
             gateway.outbound.push_back({.at = registries_.now() + options_.gatewayDelay,
@@ -350,8 +353,8 @@
 
 bool Fleet::putPlan(uint64_t base, const std::string& plan)
 {
-    constexpr int MostTries = 5;
-    for (int i = 0; i < MostTries; ++i) {
+    constexpr int MaxAttempts = 5;
+    for (int i = 0; i < MaxAttempts; ++i) {
         const auto answer = registries_.order("PUT", "/v1/plan", plan, std::to_string(base));
         if (answer && answer->status == StatusOk)
             return true;
@@ -359,14 +362,14 @@
     return false;
 }
 
-bool Fleet::isPlanEverywhere(uint64_t version) const
+bool Fleet::isPlanInForceEverywhere(uint64_t version) const
 {
     return std::ranges::all_of(gateways_, [&](const Gateway& gateway) {
         return gateway.core->status(registries_.now()).inForceVersion.value >= version;
     });
 }
 
-Fleet::Outcome Fleet::ask(size_t number, const std::string& path, const std::string& object)
+Fleet::Outcome Fleet::sendRequest(size_t number, const std::string& path, const std::string& object)
 {
     Gateway& gateway = gateways_.at(number);
     if (gateway.processor.isBusy(registries_.now()))
@@ -382,9 +385,9 @@
                                  {.name = "Saltvane-Object", .value = object}},
                              .bodyLength = 0}),
         registries_.now());
-    gather(gateway);
+    dispatchActions(gateway);
     gateway.core->handle(requests::HttpEvent(requests::HttpRequestAborted {.handle = handle}), registries_.now());
-    gather(gateway);
+    dispatchActions(gateway);
     Outcome outcome {.status = gateway.lastStatus};
     if (gateway.lastStart)
         outcome.target = gateway.lastStart->target;
@@ -393,14 +396,14 @@
 
 std::optional<TargetId> Fleet::targetFor(size_t gateway, const std::string& object)
 {
-    return ask(gateway, "/read/1", object).target;
+    return sendRequest(gateway, "/read/1", object).target;
 }
 
-uint64_t Fleet::largestBacklog() const
+uint64_t Fleet::maxBacklogBytes() const
 {
     uint64_t largest = 0;
     for (const Gateway& gateway : gateways_)
-        largest = std::max(largest, gateway.largestBacklog);
+        largest = std::max(largest, gateway.maxBacklogBytes);
     return largest;
 }
 
--- a/testing/fleet/fleet.h
+++ b/testing/fleet/fleet.h
@@ -22,27 +22,29 @@
 struct FleetOptions {
     size_t registries = 6;
     size_t gateways = 6;
-    double gatewayBytesPerSecond = 500'000; ///< Of a gateway's network link, inbound: 4 Mbit/s.
-    double registryBytesPerSecond = 8'000'000; ///< Of a link between two registry hosts.
-    /// What one sender may have on its way to a gateway before it waits for the gateway to take it.
-    double windowBytes = 208 * 1024;
-    Duration registryDelay = 35ms; ///< One way.
-    Duration gatewayDelay = 5ms; ///< The same between a registry host and a gateway.
-    double registryProcessorShare = 0; ///< Of a core; 0: work takes no time.
-    double gatewayProcessorShare = 0;
-    /// Bytes that may wait at one registry host for gateways to take them; more end it, and it starts again. 0: any.
-    uint64_t registryMemory = 0;
+    double gatewayBytesPerSecond = 500'000; ///< Inbound rate of a gateway's network link (4 Mbit/s).
+    double registryBytesPerSecond = 8'000'000; ///< Rate of a link between two registry hosts.
+    /// Bytes that one sender may have in flight to a gateway (its send window).
+    double sendWindowBytes = 208 * 1024;
+    Duration registryDelay = 35ms; ///< One-way delay between registry hosts.
+    Duration gatewayDelay = 5ms; ///< One-way delay between a registry host and a gateway.
+    double registryCpuFraction = 0; ///< Fraction of a core per registry host; 0: processing takes no time.
+    double gatewayCpuFraction = 0; ///< Fraction of a core per gateway; 0: processing takes no time.
+    /// Bytes that may be queued at one registry host for gateways; a host that exceeds them is killed and restarted.
+    /// 0: no limit.
+    uint64_t registryMemoryBytes = 0;
 };
 
-/// Registry hosts and gateways as they run, over a network in virtual time. What all registry hosts send to one gateway
-/// waits in one queue before that gateway's network link, each sender's window of it; the rest waits at the senders.
+/// Registry hosts and gateways that run the production code over a simulated network in virtual time. All registry
+/// hosts share one queue before a gateway's network link, each with at most its send window; further bytes wait at the
+/// sender.
 class Fleet {
 public:
     explicit Fleet(const FleetOptions& options = {});
 
-    /// Takes what a gateway does to callers and targets, in place of `ask`. Empty: nobody looks.
+    /// Handles the actions of gateways towards callers and targets. While set, sendRequest() sees none of them.
     std::function<void(size_t gateway, requests::Action& action)> onAction;
-    std::function<void()> onStep; ///< After each step of virtual time.
+    std::function<void()> onStep; ///< Called after each step of virtual time.
 
     [[nodiscard]] registry::test::RegistryCluster& registries() { return registries_; }
     [[nodiscard]] size_t gateways() const { return gateways_.size(); }
@@ -51,62 +53,64 @@
 
     void killRegistry(size_t registry);
     void startRegistry(size_t registry);
-    /// Its process ends, and another one begins with nothing.
+    /// Kills the process of a gateway and starts a new one without any state.
     void restartGateway(size_t gateway);
-    /// Its machine sleeps for so long: it does nothing, and what is sent to it waits.
+    /// Suspends the machine of a gateway: it does nothing, and what is sent to it waits.
     void suspendGateway(size_t gateway, Duration duration);
-    /// Of a caller or a target.
+    /// Delivers an event of a caller or a target.
     void handle(size_t gateway, host::Event event);
-    [[nodiscard]] uint64_t planAt(size_t gateway) const;
+    /// Version of the plan in force at a gateway.
+    [[nodiscard]] uint64_t planVersionAt(size_t gateway) const;
 
-    /// All links between gateways and registry hosts pass nothing any more, while new ones would work. They are
-    /// replaced after as long as the product takes.
-    void silenceGateways();
-    /// The same of one gateway, for so long.
+    /// All links between gateways and registry hosts stop passing data, while new ones would work. They are replaced
+    /// after the time that the production code takes.
+    void stallGatewayLinks();
+    /// Stops all links of one gateway for `duration`.
     void cutOffGateway(size_t gateway, Duration duration);
 
-    /// Puts a plan by way of the leader, again until it is acknowledged. False: not within 10 s.
+    /// Puts a plan through the leader and repeats that until it is acknowledged; false if that takes more than 10 s.
     [[nodiscard]] bool putPlan(uint64_t base, const std::string& plan);
-    [[nodiscard]] bool isPlanEverywhere(uint64_t version) const;
+    [[nodiscard]] bool isPlanInForceEverywhere(uint64_t version) const;
 
-    /// What a gateway does with a request at once: sends it to a target, or answers with a status. Neither: it is busy.
+    /// What a gateway does with a request immediately: send it to a target or respond with a status; neither if it is
+    /// busy.
     struct Outcome {
         std::optional<TargetId> target;
         int status = 0;
     };
-    [[nodiscard]] Outcome ask(size_t gateway, const std::string& path, const std::string& object);
-    /// Target that the gateway sends a request about `object` to; none where it refuses.
+    [[nodiscard]] Outcome sendRequest(size_t gateway, const std::string& path, const std::string& object);
+    /// Target to which the gateway sends a request for `object`; none if it refuses the request.
     [[nodiscard]] std::optional<TargetId> targetFor(size_t gateway, const std::string& object);
 
-    /// Bytes that registry hosts sent to this gateway so far.
+    /// Bytes that all registry hosts have sent to this gateway so far.
     [[nodiscard]] uint64_t bytesSentTo(size_t gateway) const { return gateways_.at(gateway).bytesSent; }
-    /// The most bytes that ever waited for one gateway's link.
-    [[nodiscard]] uint64_t largestBacklog() const;
-    /// The most bytes that ever waited at one registry host, for all gateways together.
-    [[nodiscard]] uint64_t mostHeldByRegistry() const { return mostHeldByRegistry_; }
-    /// Registry hosts that ended since they held too much.
-    [[nodiscard]] uint64_t registriesEnded() const { return registriesEnded_; }
-    /// Since the start, over all registry hosts: times that a host found itself without a leader.
+    /// Maximum number of bytes that were ever queued for one gateway.
+    [[nodiscard]] uint64_t maxBacklogBytes() const;
+    /// Maximum number of bytes that were ever queued at one registry host, for all gateways together.
+    [[nodiscard]] uint64_t maxRegistryBacklogBytes() const { return maxRegistryBacklogBytes_; }
+    /// Number of times that a registry host was killed for exceeding its memory limit.
+    [[nodiscard]] uint64_t registriesOutOfMemory() const { return registriesOutOfMemory_; }
+    /// Number of times that the leader was lost since the start.
     [[nodiscard]] uint64_t leadersLost() const { return leadersLost_; }
-    /// The longest time that any gateway was busy without a pause.
-    [[nodiscard]] Duration longestBusyGateway() const;
+    /// The longest time that any gateway was busy without interruption.
+    [[nodiscard]] Duration longestGatewayBusyTime() const;
 
 private:
     struct Frame {
         model::Message message;
-        double unsent = 0; ///< Bytes.
-        double undelivered = 0;
+        double unsentBytes = 0; ///< Bytes still at the sender.
+        double undeliveredBytes = 0; ///< Bytes that the gateway has not received.
     };
     struct Sender {
-        std::deque<Frame> frames; ///< In order; the first ones are partly in the network.
-        double inNetwork = 0;
-        double waiting = 0; ///< Bytes not yet delivered.
+        std::deque<Frame> frames; ///< In order of sending; the first ones are partly in flight.
+        double inFlightBytes = 0;
+        double backlogBytes = 0; ///< Bytes not yet delivered, in flight or not.
     };
     struct Packet {
         size_t registry = 0;
         double bytes = 0;
     };
-    struct Late {
+    struct PendingMessage {
         Timestamp at;
         size_t registry = 0;
         model::Message message;
@@ -115,34 +119,35 @@
         HostId id;
         Incarnation incarnation;
         std::unique_ptr<host::IHostCore> core;
-        std::map<size_t, Sender> senders; ///< By registry host.
-        std::deque<Packet> network; ///< Before its link.
-        double linkCredit = 0; ///< Bytes that its link may carry now.
-        std::deque<Late> outbound;
+        std::map<size_t, Sender> senders; ///< By index of the registry host.
+        std::deque<Packet> packets; ///< Packets in flight, queued before the gateway's link.
+        double linkBudgetBytes = 0; ///< Bytes that the link may carry in this step.
+        std::deque<PendingMessage> outbound;
         uint64_t bytesSent = 0;
-        uint64_t largestBacklog = 0;
+        uint64_t maxBacklogBytes = 0;
         std::optional<requests::TargetStart> lastStart;
         int lastStatus = 0;
-        std::optional<Timestamp> silentUntil; ///< Its links are replaced then.
-        std::optional<Timestamp> sleepsUntil;
-        std::vector<host::Event> heldBack; ///< What callers and targets sent it while it slept or was busy.
+        std::optional<Timestamp> cutOffUntil; ///< Links pass nothing until then and are replaced at that time.
+        std::optional<Timestamp> suspendedUntil;
+        /// Events of callers and targets that arrived while it was suspended or busy.
+        std::vector<host::Event> deferredEvents;
         registry::test::VirtualProcessor processor;
     };
 
     void step();
     void stepGateway(Gateway& gateway);
-    void noteLeader();
-    void holdToMemory();
+    void updateLeader();
+    void enforceMemoryLimit();
     void handle(Gateway& gateway, host::Event event);
     void startGateway(size_t number);
     void connect(Gateway& gateway, size_t registry);
     void replaceLinks(Gateway& gateway);
-    void wake(Gateway& gateway);
-    void fillNetwork(Gateway& gateway);
-    void carryInbound(Gateway& gateway);
+    void resume(Gateway& gateway);
+    void fillSendWindows(Gateway& gateway);
+    void deliverInbound(Gateway& gateway);
     void deliver(Gateway& gateway, const Packet& packet);
-    void carryOutbound(Gateway& gateway);
-    void gather(Gateway& gateway);
+    void deliverOutbound(Gateway& gateway);
+    void dispatchActions(Gateway& gateway);
     [[nodiscard]] size_t numberOf(const Gateway& gateway) const
     {
         return static_cast<size_t>(&gateway - gateways_.data());
@@ -154,19 +159,19 @@
     std::vector<Gateway> gateways_;
     std::optional<size_t> leader_;
     uint64_t leadersLost_ = 0;
-    uint64_t mostHeldByRegistry_ = 0;
-    uint64_t registriesEnded_ = 0;
-    std::map<size_t, Timestamp> startsAgainAt_; ///< Registry hosts that ended.
+    uint64_t maxRegistryBacklogBytes_ = 0;
+    uint64_t registriesOutOfMemory_ = 0;
+    std::map<size_t, Timestamp> restartsAt_; ///< Restart times of killed registry hosts.
     uint64_t lastHandle_ = 0;
 };
 
 inline constexpr std::array<const char*, 4> FleetServices {"quotes", "files", "orders", "reports"};
 
-/// A plan with these routes, by path prefix, at host prices.example.
-[[nodiscard]] std::string planOf(uint64_t version, const std::map<std::string, std::string>& routes);
+/// A plan with these routes (path prefix to service) at host prices.example.
+[[nodiscard]] std::string makePlan(uint64_t version, const std::map<std::string, std::string>& routes);
 
-/// A plan of so many routes, which differ from each other in every name; a longer plan has the routes of a shorter one.
-/// `weight`: of the second service on the last route.
-[[nodiscard]] std::string largePlan(uint64_t version, size_t routes, uint32_t weight = 10);
+/// A plan with the given number of routes, each with names of its own. A longer plan contains the routes of a shorter
+/// one. `weight` is the weight of the second service of the last route.
+[[nodiscard]] std::string makeLargePlan(uint64_t version, size_t routes, uint32_t weight = 10);
 
 } // namespace saltvane::fleet::test
--- a/testing/fleet/fleetplans.cpp
+++ b/testing/fleet/fleetplans.cpp
@@ -9,7 +9,7 @@
 #include <random>
 #include <span>
 
-/// Plans of a fleet.
+/// Route plans for the tests of the fleet.
 namespace saltvane::fleet::test {
 
 namespace {
@@ -23,7 +23,7 @@
     return name;
 }
 
-nlohmann::json routeOf(std::mt19937& random)
+nlohmann::json randomRoute(std::mt19937& random)
 {
     constexpr size_t NameLength = 7;
     return {{"name", "r-" + randomName(random, NameLength)}, {"host", randomName(random, NameLength) + ".example"},
@@ -47,13 +47,13 @@
 
 } // namespace
 
-std::string largePlan(uint64_t version, size_t routes, uint32_t weight)
+std::string makeLargePlan(uint64_t version, size_t routes, uint32_t weight)
 {
     std::mt19937 random(1); // NOLINT(cert-msc32-c,cert-msc51-cpp): the same routes each time.
     nlohmann::json plan = planWith(version, std::array {"quotes", "files"});
     plan["routes"].push_back(routeJson("/read/", "quotes"));
     while (plan["routes"].size() + 1 < routes)
-        plan["routes"].push_back(routeOf(random));
+        plan["routes"].push_back(randomRoute(random));
     nlohmann::json split = routeJson("/split/", {});
     split.erase("service");
     split["split"]
@@ -62,7 +62,7 @@
     return plan.dump();
 }
 
-std::string planOf(uint64_t version, const std::map<std::string, std::string>& routes)
+std::string makePlan(uint64_t version, const std::map<std::string, std::string>& routes)
 {
     nlohmann::json plan = planWith(version, FleetServices);
     for (const auto& [path, service] : routes)
--- a/testing/fleet/limitledger.cpp
+++ b/testing/fleet/limitledger.cpp
@@ -11,81 +11,85 @@
 
 namespace {
 
-constexpr Duration ToldFor = 500ms;
-constexpr double Factor = 1.5;
-constexpr double Slack = 5;
+/// Time that a gateway has to apply a limit once it was informed.
+constexpr Duration AdoptionDelay = 500ms;
+constexpr double ToleranceFactor = 1.5;
+constexpr double ToleranceRequests = 5;
 
 } // namespace
 
-LimitLedger::LimitLedger(Fleet& fleet, EndingTargets& targets)
+LimitLedger::LimitLedger(Fleet& fleet, CrashingTargets& targets)
     : fleet_(fleet)
 {
-    targets.onArrival.emplace_back([this](const EndingTargets::Contact& contact) { noteArrival(contact); });
-    targets.onAnswered.emplace_back([this](const EndingTargets::Contact& contact, const EndingTargets::Needs& needs) {
-        noteAnswered(contact, needs);
-    });
+    targets.onArrival.emplace_back([this](const CrashingTargets::Exchange& exchange) { recordArrival(exchange); });
+    targets.onResponse.emplace_back(
+        [this](const CrashingTargets::Exchange& exchange, const CrashingTargets::Signals& signals) {
+            recordResponse(exchange, signals);
+        });
 }
 
-void LimitLedger::excuse(size_t gateway, Duration duration)
+void LimitLedger::exempt(size_t gateway, Duration duration)
 {
-    excusedUntil_[gateway] = now() + duration + ContactTime;
-    std::erase_if(toldAt_, [&](const auto& told) { return told.first.second == gateway; });
+    exemptUntil_[gateway] = now() + duration + ConvergenceTime;
+    std::erase_if(informedAt_, [&](const auto& informed) { return informed.first.second == gateway; });
 }
 
-void LimitLedger::noteAnswered(const EndingTargets::Contact& contact, const EndingTargets::Needs& needs)
+void LimitLedger::recordResponse(const CrashingTargets::Exchange& exchange, const CrashingTargets::Signals& signals)
 {
-    if (!needs.limit) {
-        starts_.erase(contact.start);
-        std::erase_if(toldAt_, [&](const auto& told) { return told.first.first == contact.start; });
+    if (!signals.limit) {
+        incarnations_.erase(exchange.incarnation);
+        std::erase_if(informedAt_, [&](const auto& informed) { return informed.first.first == exchange.incarnation; });
         return;
     }
-    const auto [found, isNew] = starts_.try_emplace(contact.start, Start {.firstNamedAt = now()});
-    Start& start = found->second;
-    if (isNew || start.limit != *needs.limit)
-        start.limits.emplace_back(now(), *needs.limit);
-    start.limit = *needs.limit;
-    toldAt_.try_emplace({contact.start, contact.gateway}, now());
+    const auto [found, isNew]
+        = incarnations_.try_emplace(exchange.incarnation, IncarnationLimits {.firstAnnouncedAt = now()});
+    IncarnationLimits& incarnation = found->second;
+    if (isNew || incarnation.limit != *signals.limit)
+        incarnation.limits.emplace_back(now(), *signals.limit);
+    incarnation.limit = *signals.limit;
+    informedAt_.try_emplace({exchange.incarnation, exchange.gateway}, now());
 }
 
-double LimitLedger::allowedIn(const Start& start, Timestamp from, Timestamp until)
+double LimitLedger::allowedIn(const IncarnationLimits& incarnation, Timestamp from, Timestamp until)
 {
     double allowed = 0;
-    for (size_t i = 0; i < start.limits.size(); ++i) {
-        const Timestamp end = i + 1 < start.limits.size() ? start.limits[i + 1].first : until;
-        const Timestamp begin = std::max(start.limits[i].first, from);
+    for (size_t i = 0; i < incarnation.limits.size(); ++i) {
+        const Timestamp end = i + 1 < incarnation.limits.size() ? incarnation.limits[i + 1].first : until;
+        const Timestamp begin = std::max(incarnation.limits[i].first, from);
         if (end > begin)
-            allowed += toSeconds(end - begin) * start.limits[i].second;
+            allowed += toSeconds(end - begin) * incarnation.limits[i].second;
     }
     return allowed;
 }
 
-void LimitLedger::noteArrival(const EndingTargets::Contact& contact)
+void LimitLedger::recordArrival(const CrashingTargets::Exchange& exchange)
 {
-    ++arrivals_[contact.target];
-    const auto found = starts_.find(contact.start);
-    if (found == starts_.end() || now() < found->second.firstNamedAt + ContactTime)
+    ++arrivals_[exchange.target];
+    const auto found = incarnations_.find(exchange.incarnation);
+    if (found == incarnations_.end() || now() < found->second.firstAnnouncedAt + ConvergenceTime)
         return;
-    Start& start = found->second;
-    const Timestamp countedFrom = start.firstNamedAt + ContactTime;
+    IncarnationLimits& incarnation = found->second;
+    const Timestamp countedFrom = incarnation.firstAnnouncedAt + ConvergenceTime;
     ++arrived_;
-    const Timestamp since = std::max(start.limitSince, countedFrom);
-    allowed_ += allowedIn(start, since, now());
-    start.limitSince = now();
-    const auto told = toldAt_.find({contact.start, contact.gateway});
-    const bool isTold = told != toldAt_.end() && now() >= told->second + ToldFor;
-    const auto excused = excusedUntil_.find(contact.gateway);
-    if (!isTold || (excused != excusedUntil_.end() && now() < excused->second))
+    const Timestamp since = std::max(incarnation.limitSince, countedFrom);
+    allowed_ += allowedIn(incarnation, since, now());
+    incarnation.limitSince = now();
+    const auto informed = informedAt_.find({exchange.incarnation, exchange.gateway});
+    const bool isInformed = informed != informedAt_.end() && now() >= informed->second + AdoptionDelay;
+    const auto exemption = exemptUntil_.find(exchange.gateway);
+    if (!isInformed || (exemption != exemptUntil_.end() && now() < exemption->second))
         return;
-    start.counted.push_back(now());
-    while (start.counted.front() <= now() - Window)
-        start.counted.pop_front();
-    const double most = allowedIn(start, now() - Window, now()) * Factor + Slack;
-    const double part = static_cast<double>(start.counted.size()) / most;
-    if (part <= mostOfBound_)
+    incarnation.counted.push_back(now());
+    while (incarnation.counted.front() <= now() - Window)
+        incarnation.counted.pop_front();
+    const double maxAllowed = allowedIn(incarnation, now() - Window, now()) * ToleranceFactor + ToleranceRequests;
+    const double fraction = static_cast<double>(incarnation.counted.size()) / maxAllowed;
+    if (fraction <= maxBoundFraction_)
         return;
-    mostOfBound_ = part;
-    worst_ = contact.start + " with a limit of " + std::to_string(start.limit) + " a second got "
-        + std::to_string(start.counted.size()) + " requests in four seconds; allowed " + std::to_string(most);
+    maxBoundFraction_ = fraction;
+    worstWindow_ = exchange.incarnation + " with a limit of " + std::to_string(incarnation.limit)
+        + " requests per second got " + std::to_string(incarnation.counted.size())
+        + " requests in four seconds; allowed " + std::to_string(maxAllowed);
 }
 
 } // namespace saltvane::fleet::test
--- a/testing/fleet/limitledger.h
+++ b/testing/fleet/limitledger.h
@@ -5,7 +5,7 @@
  */
 #pragma once
 
-#include "endingtargets.h"
+#include "crashingtargets.h"
 
 #include <deque>
 #include <map>
@@ -15,23 +15,24 @@
 
 namespace saltvane::fleet::test {
 
-/// Holds what reaches targets to the limits that their answers name: in no four seconds, from the contact time after a
-/// start of a target first named one, more than one and a half times what it allows and five requests, of all gateways
-/// that had its word for half a second.
+/// Checks that targets get no more requests than the limits in their responses allow. Counting starts ConvergenceTime
+/// after an incarnation of a target first announced a limit. In any window of four seconds, all gateways together may
+/// send one and a half times what the limit allows, plus five requests. Requests of a gateway count from half a second
+/// after it was informed of the limit.
 class LimitLedger {
 public:
-    LimitLedger(Fleet& fleet, EndingTargets& targets);
+    LimitLedger(Fleet& fleet, CrashingTargets& targets);
 
-    /// A restart, stall or cut of the gateway excuses it, until the contact time after the end of that.
-    void excuse(size_t gateway, Duration duration = {});
+    /// Exempts a gateway that restarts, stalls or is cut off for `duration`, until ConvergenceTime after its end.
+    void exempt(size_t gateway, Duration duration = {});
 
-    /// The most that any four seconds had of what they may have; over 1 breaks the limit.
-    [[nodiscard]] double mostOfBound() const { return mostOfBound_; }
-    /// Where that was.
-    [[nodiscard]] const std::string& worst() const { return worst_; }
-    /// Requests that reached targets with a limit from the contact time on, of what their limits allowed.
-    [[nodiscard]] double usedShare() const { return allowed_ == 0 ? 0 : arrived_ / allowed_; }
-    /// Requests that reached this target.
+    /// The highest ratio of requests to allowed requests in any window of four seconds; above 1 breaks the limit.
+    [[nodiscard]] double maxBoundFraction() const { return maxBoundFraction_; }
+    /// Describes the window with that ratio.
+    [[nodiscard]] const std::string& worstWindow() const { return worstWindow_; }
+    /// Requests that reached targets with a limit, as a fraction of what their limits allowed.
+    [[nodiscard]] double usedFraction() const { return allowed_ == 0 ? 0 : arrived_ / allowed_; }
+    /// Number of requests that reached this target.
     [[nodiscard]] size_t arrivalsAt(size_t target) const
     {
         const auto found = arrivals_.find(target);
@@ -39,30 +40,30 @@
     }
     void clearArrivals() { arrivals_.clear(); }
 
-    static constexpr Duration ContactTime = 3s;
+    static constexpr Duration ConvergenceTime = 3s;
     static constexpr Duration Window = 4s;
 
 private:
-    struct Start {
-        Timestamp firstNamedAt;
+    struct IncarnationLimits {
+        Timestamp firstAnnouncedAt;
         double limit = 0;
-        Timestamp limitSince; ///< Accounted for in `allowances` up to here.
-        std::deque<std::pair<Timestamp, double>> limits; ///< From when on each was in force.
-        std::deque<Timestamp> counted; ///< Arrivals that the limit binds.
+        Timestamp limitSince; ///< What the limits allowed is added to `allowed_` up to this time.
+        std::deque<std::pair<Timestamp, double>> limits; ///< By the time from which each was in force.
+        std::deque<Timestamp> counted; ///< Arrivals that count against the limit, within the current window.
     };
 
-    void noteArrival(const EndingTargets::Contact& contact);
-    void noteAnswered(const EndingTargets::Contact& contact, const EndingTargets::Needs& needs);
-    /// Requests that the limits of the window up to now allow; none: there was none for a part of it.
-    [[nodiscard]] static double allowedIn(const Start& start, Timestamp from, Timestamp until);
+    void recordArrival(const CrashingTargets::Exchange& exchange);
+    void recordResponse(const CrashingTargets::Exchange& exchange, const CrashingTargets::Signals& signals);
+    /// Number of requests that the limits in force between the two times allow.
+    [[nodiscard]] static double allowedIn(const IncarnationLimits& incarnation, Timestamp from, Timestamp until);
     [[nodiscard]] Timestamp now() const { return fleet_.registries().now(); }
 
     Fleet& fleet_;
-    std::map<std::string, Start> starts_; ///< Those that name a limit now.
-    std::map<std::pair<std::string, size_t>, Timestamp> toldAt_; ///< By start and gateway.
-    std::map<size_t, Timestamp> excusedUntil_;
-    double mostOfBound_ = 0;
-    std::string worst_;
+    std::map<std::string, IncarnationLimits> incarnations_; ///< Incarnations that announce a limit now.
+    std::map<std::pair<std::string, size_t>, Timestamp> informedAt_; ///< By incarnation and gateway.
+    std::map<size_t, Timestamp> exemptUntil_;
+    double maxBoundFraction_ = 0;
+    std::string worstWindow_;
     double arrived_ = 0;
     double allowed_ = 0;
     std::map<size_t, size_t> arrivals_; ///< By target.
--- a/testing/fleet/oldplantests.cpp
+++ b/testing/fleet/oldplantests.cpp
@@ -9,10 +9,11 @@
 
 #include <array>
 
-/// Seen: requests ran by a plan that was acknowledged as replaced more than two seconds before, at gateways free of
-/// faults. How it came about: all links of a gateway fell silent while new ones would have worked, and were let go of
-/// six seconds later. Cause and proof: LinkHubTest.ALinkThatFellSilentIsReplacedWhereANewOneWorks. Here every use of a
-/// plan is held to the newest one acknowledged, with links that take as long to be replaced as those of the product.
+/// Guards against gateways without faults that route by a plan whose replacement was acknowledged more than two seconds
+/// before. This happened when all links of a gateway stopped passing data while new ones would have worked: the gateway
+/// closed them six seconds later only. LinkHubTest.ALinkThatFellSilentIsReplacedWhereANewOneWorks covers the cause.
+/// Here every use of a plan is compared with the newest plan acknowledged; links take as long to be replaced as in
+/// production.
 namespace saltvane::fleet::test {
 
 namespace {
@@ -40,10 +41,10 @@
     EXPECT_GT(fleet_.uses(), 1000U);
 }
 
-TEST_F(OldPlanTest, AGatewayWhoseLinksFellSilentHasTheNewestPlanInTime)
+TEST_F(OldPlanTest, AGatewayWhoseLinksStalledHasTheNewestPlanInTime)
 {
-    fleet_.fleet().silenceGateways();
-    fleet_.noteFault();
+    fleet_.fleet().stallGatewayLinks();
+    fleet_.recordFault();
     for (int change = 0; change < 5; ++change) {
         fleet_.putPlan();
         fleet_.run(2500ms);
@@ -51,15 +52,15 @@
     expectNoOldPlan();
 }
 
-/// The ledger is able to fail, and fails for nothing else.
+/// Checks that PlanLedger reports outdated plans and nothing else.
 class PlanLedgerTest : public testing::Test {
 protected:
     PlanLedgerTest()
     {
-        ledger_.noteSent(1, at(0s), {{"/read/", "quotes"}, {"/gone/", "quotes"}});
-        ledger_.noteAcknowledged(1, at(0s));
-        ledger_.noteSent(2, at(9s), {{"/read/", "files"}, {"/new/", "files"}});
-        ledger_.noteAcknowledged(2, at(10s));
+        ledger_.recordSent(1, at(0s), {{"/read/", "quotes"}, {"/gone/", "quotes"}});
+        ledger_.recordAcknowledged(1, at(0s));
+        ledger_.recordSent(2, at(9s), {{"/read/", "files"}, {"/new/", "files"}});
+        ledger_.recordAcknowledged(2, at(10s));
     }
     static Timestamp at(Duration time) { return Timestamp(100s + time); }
     [[nodiscard]] size_t findings(Duration sentAt, const std::string& route, const std::string& service) const
@@ -73,14 +74,14 @@
 
 } // namespace
 
-TEST_F(PlanLedgerTest, AnOlderServiceIsFoundOnceTheNewerPlanIsDue)
+TEST_F(PlanLedgerTest, AnOlderServiceIsReportedOnceTheNewerPlanIsRequired)
 {
     EXPECT_EQ(findings(11900ms, "/read/", "quotes"), 0U);
     EXPECT_EQ(findings(12100ms, "/read/", "quotes"), 1U);
     EXPECT_EQ(findings(12100ms, "/read/", "files"), 0U);
 }
 
-TEST_F(PlanLedgerTest, ARouteThatWasDroppedAndOneThatWasAddedAreFound)
+TEST_F(PlanLedgerTest, ARemovedRouteAndAnAddedOneAreReported)
 {
     EXPECT_EQ(findings(12100ms, "/gone/", "quotes"), 1U);
     EXPECT_EQ(findings(12100ms, "/gone/", ""), 0U);
@@ -94,9 +95,9 @@
     EXPECT_EQ(findings(9s, "/read/", "others"), 1U);
 }
 
-TEST_F(PlanLedgerTest, AfterAFaultHostsHaveTimeToFindEachOther)
+TEST_F(PlanLedgerTest, HostsHaveTimeToReconnectAfterAFault)
 {
-    ledger_.noteFault(at(11s));
+    ledger_.recordFault(at(11s));
     EXPECT_EQ(findings(13900ms, "/read/", "quotes"), 0U);
     EXPECT_EQ(findings(14100ms, "/read/", "quotes"), 1U);
 }
--- a/testing/fleet/plandistributiontests.cpp
+++ b/testing/fleet/plandistributiontests.cpp
@@ -7,52 +7,50 @@
 
 #include <gtest/gtest.h>
 
-/// Seen: after a plan had grown to some thousand routes, routes of it were refused as unknown seconds after it was
-/// acknowledged, targets that had said they leave got requests 2.5 to 3 s later, and registry hosts ran out of memory.
-/// How it came about: gateways on links of 4 Mbit/s pulled the plan each 0.5 s while the first copy was still on its
-/// way, and got the whole plan again each time, from one registry host after the other. The copies filled the links for
-/// half a minute; word of targets, and callers' requests, waited behind them.
-/// Cause: nothing limited what was under way to one host; whole plans were sent where little had changed; and what is
-/// urgent shared one queue with what is large.
-/// Proof: the bytes sent were three to eight times one copy a gateway and plan; the links stayed full long after the
-/// last change; the same targets leaving on idle links were obeyed in time, here and in the deployment.
+/// Guards against large plans that congest the links of gateways. With plans of some thousand routes, routes were
+/// refused as unknown seconds after the plan was acknowledged, leaving targets got requests 2.5 to 3 s later, and
+/// registry hosts ran out of memory. Gateways on links of 4 Mbit/s pulled the plan each 0.5 s while the first copy was
+/// still in flight, and got the complete plan again each time, from one registry host after the other. The copies,
+/// three to eight for each gateway and plan, filled the links for half a minute, and updates of targets and callers'
+/// requests waited behind them. Three causes: the bytes in flight to a host were unlimited, complete plans were sent
+/// where little had changed, and urgent messages shared a queue with large ones.
 namespace saltvane::fleet::test {
 
 namespace {
 
-/// The users' bounds, from an order's acknowledgement.
+/// The users' bounds, counted from the acknowledgement of an order.
 constexpr Duration InForceLimit = 2500ms;
 constexpr Duration DrainLimit = 2500ms;
 constexpr size_t FewRoutes = 22;
 constexpr size_t MoreRoutes = 1422;
 constexpr size_t ManyRoutes = 2823;
-constexpr size_t MostRoutes = 4223;
+constexpr size_t MaxRoutes = 4223;
 
 class PlanDistributionTest : public testing::Test {
 protected:
     explicit PlanDistributionTest(const FleetOptions& options = {})
         : fleet_(options)
     {
-        EXPECT_TRUE(fleet_.putPlan(0, largePlan(1, FewRoutes)));
-        EXPECT_TRUE(fleet_.runUntil([this] { return fleet_.isPlanEverywhere(1); }, InForceLimit));
+        EXPECT_TRUE(fleet_.putPlan(0, makeLargePlan(1, FewRoutes)));
+        EXPECT_TRUE(fleet_.runUntil([this] { return fleet_.isPlanInForceEverywhere(1); }, InForceLimit));
         fleet_.run(1s);
     }
 
-    /// Puts the next plan; how long it takes, from its acknowledgement, to be in force at all gateways.
-    Duration putAndSpread(size_t routes, uint32_t weight = 10)
+    /// Puts the next plan; returns the time from its acknowledgement until it is in force at all gateways.
+    Duration putAndAwaitPlan(size_t routes, uint32_t weight = 10)
     {
         const uint64_t base = version_++;
-        const bool isTaken = fleet_.putPlan(base, largePlan(version_, routes, weight));
-        EXPECT_TRUE(isTaken) << "version " << version_;
-        if (!isTaken)
+        const bool isAccepted = fleet_.putPlan(base, makeLargePlan(version_, routes, weight));
+        EXPECT_TRUE(isAccepted) << "version " << version_;
+        if (!isAccepted)
             return Duration::max();
         const Timestamp acknowledged = fleet_.registries().now();
-        constexpr Duration GiveUp = 60s;
-        const bool isThere = fleet_.runUntil([this] { return fleet_.isPlanEverywhere(version_); }, GiveUp);
-        return isThere ? fleet_.registries().now() - acknowledged : Duration::max();
+        constexpr Duration Timeout = 60s;
+        const bool isInForce = fleet_.runUntil([this] { return fleet_.isPlanInForceEverywhere(version_); }, Timeout);
+        return isInForce ? fleet_.registries().now() - acknowledged : Duration::max();
     }
 
-    /// To this registry host, else to the leader.
+    /// Sends a heartbeat to the given registry host, by default to the leader.
     void heartbeat(const std::string& target, uint16_t port, const std::string& state,
         std::optional<size_t> registry = std::nullopt)
     {
@@ -88,8 +86,8 @@
         ASSERT_TRUE(isUsed(TargetId(nameOf(0))));
     }
 
-    /// Targets leave one after the other; none is used once its limit is over.
-    void expectObeyed()
+    /// Targets leave one after the other; none is used once its DrainLimit is over.
+    void expectLeavesObeyed()
     {
         constexpr Duration Pause = 500ms;
         constexpr auto PausesToLimit = static_cast<size_t>(DrainLimit / Pause);
@@ -113,10 +111,10 @@
     uint64_t sequence_ = 0;
 };
 
-/// Nothing but the few messages of a deployment at rest is under way.
-class QuietLinksTest : public PlanDistributionTest { };
+/// Links carry only the few messages of an idle deployment.
+class IdleLinksTest : public PlanDistributionTest { };
 
-/// Registry hosts whose links carry a window of 64 KiB in each round trip of 70 ms.
+/// Links between registry hosts carry a window of 64 KiB in each round trip of 70 ms.
 class NarrowRegistryLinksTest : public PlanDistributionTest {
 protected:
     NarrowRegistryLinksTest()
@@ -130,46 +128,46 @@
 
 TEST_F(PlanDistributionTest, PlansThatGrowAreInForceInTime)
 {
-    for (const size_t routes : {MoreRoutes, ManyRoutes, MostRoutes}) {
-        EXPECT_LE(putAndSpread(routes), InForceLimit) << routes;
-        EXPECT_LE(putAndSpread(routes, 20), InForceLimit) << routes << " and another weight";
+    for (const size_t routes : {MoreRoutes, ManyRoutes, MaxRoutes}) {
+        EXPECT_LE(putAndAwaitPlan(routes), InForceLimit) << routes;
+        EXPECT_LE(putAndAwaitPlan(routes, 20), InForceLimit) << routes << " and another weight";
     }
 }
 
 TEST_F(PlanDistributionTest, AChangeRightAfterAnotherIsInForceInTime)
 {
-    ASSERT_TRUE(fleet_.putPlan(1, largePlan(2, MostRoutes)));
+    ASSERT_TRUE(fleet_.putPlan(1, makeLargePlan(2, MaxRoutes)));
     version_ = 2;
-    EXPECT_LE(putAndSpread(MostRoutes, 20), InForceLimit);
+    EXPECT_LE(putAndAwaitPlan(MaxRoutes, 20), InForceLimit);
 }
 
 TEST_F(PlanDistributionTest, NoGatewayIsSentAPlanTwice)
 {
     const uint64_t before = fleet_.bytesSentTo(0);
-    putAndSpread(MostRoutes);
+    putAndAwaitPlan(MaxRoutes);
     fleet_.run(10s);
-    constexpr uint64_t OtherWord = 50'000; // Lists of hosts, loads and answers to pulls in these seconds.
-    // Compressed it is less than a tenth.
-    EXPECT_LE(fleet_.bytesSentTo(0) - before, largePlan(2, MostRoutes).size() / 10 + OtherWord);
+    constexpr uint64_t OtherTrafficBytes = 50'000; // Lists of hosts, loads and answers to pulls in these 10 s.
+    // A compressed plan is less than a tenth of its size.
+    EXPECT_LE(fleet_.bytesSentTo(0) - before, makeLargePlan(2, MaxRoutes).size() / 10 + OtherTrafficBytes);
 }
 
-TEST_F(QuietLinksTest, TargetsThatLeaveGetNoWorkAfterTheLimit)
+TEST_F(IdleLinksTest, TargetsThatLeaveGetNoWorkAfterTheLimit)
 {
     startTargets();
-    expectObeyed();
+    expectLeavesObeyed();
 }
 
 TEST_F(PlanDistributionTest, TargetsThatLeaveWhileAPlanSpreadsGetNoWorkAfterTheLimit)
 {
     startTargets();
-    ASSERT_TRUE(fleet_.putPlan(1, largePlan(2, MostRoutes)));
-    ASSERT_TRUE(fleet_.putPlan(2, largePlan(3, MostRoutes, 20)));
-    expectObeyed();
+    ASSERT_TRUE(fleet_.putPlan(1, makeLargePlan(2, MaxRoutes)));
+    ASSERT_TRUE(fleet_.putPlan(2, makeLargePlan(3, MaxRoutes, 20)));
+    expectLeavesObeyed();
 }
 
-/// A registry host that comes back knows the plan and the targets of when it ended. A gateway that starts at the same
-/// moment believes nothing older than what was acknowledged meanwhile.
-TEST_F(PlanDistributionTest, ARegistryHostThatWasDownTellsAGatewayThatStartsNothingOld)
+/// A restarted registry host knows the plan and the targets as of its end. A gateway that starts at the same moment
+/// must use nothing older than what was acknowledged meanwhile.
+TEST_F(PlanDistributionTest, ARestartedRegistryHostSendsNoStaleStateToAStartingGateway)
 {
     startTargets();
     for (size_t registry = 0; registry < FleetOptions().registries; ++registry) {
@@ -178,39 +176,40 @@
         const std::string left = nameOf(registry);
         heartbeat("stays", FirstPort, "ready");
         heartbeat(left, portOf(registry), "ready", registry);
-        fleet_.run(1500ms); // It writes down which targets reported to it.
+        fleet_.run(1500ms); // The host stores which targets reported to it.
         ASSERT_TRUE(isUsed(TargetId(left)));
         fleet_.killRegistry(registry);
-        putAndSpread(MoreRoutes + registry);
+        putAndAwaitPlan(MoreRoutes + registry);
         heartbeat(left, portOf(registry), "leaving");
         fleet_.run(DrainLimit);
         fleet_.startRegistry(registry);
         for (size_t gateway = 0; gateway < fleet_.gateways(); ++gateway)
             fleet_.restartGateway(gateway);
-        constexpr int Looks = 30;
-        for (int look = 0; look < Looks; ++look) {
+        constexpr int Checks = 30;
+        for (int check = 0; check < Checks; ++check) {
             fleet_.run(100ms);
-            EXPECT_FALSE(isUsed(TargetId(left))) << registry << " at look " << look;
+            EXPECT_FALSE(isUsed(TargetId(left))) << registry << " at look " << check;
             for (size_t gateway = 0; gateway < fleet_.gateways(); ++gateway)
-                EXPECT_TRUE(fleet_.planAt(gateway) == 0 || fleet_.planAt(gateway) == version_) << registry;
+                EXPECT_TRUE(fleet_.planVersionAt(gateway) == 0 || fleet_.planVersionAt(gateway) == version_)
+                    << registry;
         }
-        EXPECT_TRUE(fleet_.isPlanEverywhere(version_));
+        EXPECT_TRUE(fleet_.isPlanInForceEverywhere(version_));
     }
 }
 
-TEST_F(PlanDistributionTest, LittleWaitsForAGatewaysLink)
+TEST_F(PlanDistributionTest, BacklogOfAGatewayLinkStaysSmall)
 {
-    putAndSpread(MostRoutes);
-    putAndSpread(MostRoutes, 20);
-    constexpr uint64_t LargestBacklog = 100'000; // A part of 32 KiB from each of three registry hosts.
-    EXPECT_LE(fleet_.largestBacklog(), LargestBacklog);
+    putAndAwaitPlan(MaxRoutes);
+    putAndAwaitPlan(MaxRoutes, 20);
+    constexpr uint64_t MaxBacklogBytes = 100'000; // A chunk of 32 KiB from each of three registry hosts.
+    EXPECT_LE(fleet_.maxBacklogBytes(), MaxBacklogBytes);
 }
 
-TEST_F(NarrowRegistryLinksTest, ALeaderStandsWhileAPlanGrows)
+TEST_F(NarrowRegistryLinksTest, NoLeaderIsLostWhileAPlanGrows)
 {
     const uint64_t before = fleet_.leadersLost();
-    for (const size_t routes : {MoreRoutes, ManyRoutes, MostRoutes})
-        putAndSpread(routes);
+    for (const size_t routes : {MoreRoutes, ManyRoutes, MaxRoutes})
+        putAndAwaitPlan(routes);
     EXPECT_EQ(fleet_.leadersLost(), before);
 }
 
@@ -220,14 +219,14 @@
     fleet_.killRegistry(follower);
     constexpr uint32_t Plans = 40;
     for (uint32_t plan = 1; plan <= Plans; ++plan)
-        putAndSpread(MoreRoutes, plan);
+        putAndAwaitPlan(MoreRoutes, plan);
     const Duration before = fleet_.registries().sendingTimeTo(follower);
     fleet_.startRegistry(follower);
     const auto hasCaughtUp = [&] { return fleet_.registries().status(follower).inForceVersion.value >= version_; };
     constexpr Duration CatchUpLimit = 6s;
     EXPECT_TRUE(fleet_.runUntil(hasCaughtUp, CatchUpLimit));
     fleet_.run(5s);
-    // Compressed, the plans are 23 kB each; the rest is heartbeats and lists of hosts.
+    // A compressed plan has 23 kB; the remaining bytes are heartbeats and lists of hosts.
     const double sent = toSeconds(fleet_.registries().sendingTimeTo(follower) - before) * NarrowBytesPerSecond;
     EXPECT_LE(sent, 1.3 * Plans * 23'000 + 400'000);
 }
--- a/testing/fleet/planfleet.cpp
+++ b/testing/fleet/planfleet.cpp
@@ -13,12 +13,12 @@
 
 constexpr int StatusOk = 200;
 constexpr int StatusUnknown = 404;
-constexpr Duration UsePeriod = 100ms;
-constexpr Duration ReportPeriod = 3s;
-constexpr Duration OrderLimit = 400ms;
+constexpr Duration RequestInterval = 100ms;
+constexpr Duration ReportInterval = 3s;
+constexpr Duration CallTimeout = 400ms;
 constexpr std::array<const char*, 3> Zones {"north-a", "south-a", "west-a"};
 
-/// Plans near each other differ in every route.
+/// Successive plans differ in every route.
 RouteServices routesOf(uint64_t version)
 {
     const size_t count = FleetServices.size();
@@ -34,11 +34,11 @@
 PlanFleet::PlanFleet(const FleetOptions& options)
     : fleet_(options)
 {
-    constexpr Duration StartLimit = 10s;
-    (void)fleet_.runUntil([this] { return registries().leader().has_value(); }, StartLimit);
+    constexpr Duration StartTimeout = 10s;
+    (void)fleet_.runUntil([this] { return registries().leader().has_value(); }, StartTimeout);
     putPlan();
-    (void)fleet_.runUntil([this] { return fleet_.isPlanEverywhere(1); }, StartLimit);
-    run(ReportPeriod);
+    (void)fleet_.runUntil([this] { return fleet_.isPlanInForceEverywhere(1); }, StartTimeout);
+    run(ReportInterval);
 }
 
 void PlanFleet::putPlan()
@@ -47,13 +47,13 @@
     if (!leader)
         return;
     const uint64_t version = version_ + 1;
-    ledger_.noteSent(version, registries().now(), routesOf(version));
+    ledger_.recordSent(version, registries().now(), routesOf(version));
     const auto answer = registries().call(
-        *leader, "PUT", "/v1/plan", planOf(version, routesOf(version)), std::to_string(version_), OrderLimit);
+        *leader, "PUT", "/v1/plan", makePlan(version, routesOf(version)), std::to_string(version_), CallTimeout);
     if (!answer || answer->status != StatusOk)
         return;
     version_ = version;
-    ledger_.noteAcknowledged(version, registries().now());
+    ledger_.recordAcknowledged(version, registries().now());
 }
 
 void PlanFleet::reportTargets()
@@ -61,7 +61,7 @@
     const std::optional<size_t> leader = registries().leader();
     if (registries().now() < nextReportAt_ || !leader)
         return;
-    nextReportAt_ = registries().now() + ReportPeriod;
+    nextReportAt_ = registries().now() + ReportInterval;
     ++sequence_;
     uint16_t port = 9000;
     for (const char* zone : Zones) {
@@ -71,7 +71,7 @@
                 + R"(","version":"v1","slots":9,"state":"ready","slow_start_left_ms":0,"sequence":)"
                 + std::to_string(sequence_) + "}";
             const std::string path = "/v1/targets/" + std::string(service) + "-" + zone + "/heartbeat";
-            (void)registries().call(*leader, "POST", path, body, {}, OrderLimit);
+            (void)registries().call(*leader, "POST", path, body, {}, CallTimeout);
         }
     }
 }
@@ -80,9 +80,9 @@
 {
     for (size_t gateway = 0; gateway < fleet_.gateways(); ++gateway) {
         for (const char* route : {"/read/", "/write/", "/seldom/"}) {
-            const Fleet::Outcome outcome = fleet_.ask(gateway, route + std::string("1"), "object");
+            const Fleet::Outcome outcome = fleet_.sendRequest(gateway, route + std::string("1"), "object");
             if (!outcome.target && outcome.status != StatusUnknown)
-                continue; // Refused for the moment: no plan was used.
+                continue; // Refused temporarily: the response shows nothing about the plan in use.
             const std::string target = outcome.target ? outcome.target->value() : "";
             uses_.push_back({.sentAt = registries().now(),
                 .gateway = "gateway " + std::to_string(gateway),
@@ -96,7 +96,7 @@
 {
     for (const Timestamp end = registries().now() + duration; registries().now() < end;) {
         reportTargets();
-        fleet_.run(UsePeriod);
+        fleet_.run(RequestInterval);
         useAllRoutes();
     }
 }
--- a/testing/fleet/planfleet.h
+++ b/testing/fleet/planfleet.h
@@ -14,11 +14,11 @@
 
 namespace saltvane::fleet::test {
 
-/// A fleet whose plans move, drop and add routes; each gateway gets a request on every route each 100 ms, and what it
-/// does with it is held to the newest plan acknowledged.
+/// A fleet whose plans move, remove and add routes. Each gateway gets a request on every route each 100 ms, and
+/// PlanLedger compares what it does with the newest plan acknowledged.
 class PlanFleet {
 public:
-    /// With its first plan in force and targets of each service in every zone.
+    /// Returns once the first plan is in force and targets of each service are known in every zone.
     explicit PlanFleet(const FleetOptions& options = {});
 
     [[nodiscard]] Fleet& fleet() { return fleet_; }
@@ -26,12 +26,12 @@
     [[nodiscard]] uint64_t version() const { return version_; }
     [[nodiscard]] size_t uses() const { return uses_.size(); }
 
-    /// Sends the next plan to a leader, if there is one, and waits for its answer. One without an answer is sent again
-    /// by the next call.
+    /// Sends the next plan to the leader, if there is one, and waits for the response. A plan without a response is
+    /// sent again by the next call.
     void putPlan();
     void run(Duration duration);
-    /// Hosts have time from now on to find each other again.
-    void noteFault() { ledger_.noteFault(registries().now()); }
+    /// Gives hosts time to reconnect, from now on.
+    void recordFault() { ledger_.recordFault(registries().now()); }
     [[nodiscard]] std::vector<std::string> findings() const { return ledger_.findings(uses_); }
 
 private:
--- a/testing/fleet/planledger.cpp
+++ b/testing/fleet/planledger.cpp
@@ -19,17 +19,17 @@
 
 } // namespace
 
-uint64_t PlanLedger::due(Timestamp at) const
+uint64_t PlanLedger::requiredVersion(Timestamp at) const
 {
-    // Nothing newer than what was due when the last fault struck, while hosts find each other again.
-    Timestamp heldAt = at;
+    // While hosts reconnect after a fault, only the version that was required when the fault began is required.
+    Timestamp effectiveAt = at;
     for (auto fault = faults_.rbegin(); fault != faults_.rend(); ++fault) {
-        if (*fault <= heldAt && heldAt < *fault + InTouchAfter)
-            heldAt = *fault;
+        if (*fault <= effectiveAt && effectiveAt < *fault + ReconnectTimeout)
+            effectiveAt = *fault;
     }
     uint64_t newest = 0;
     for (const auto& [acknowledgedAt, version] : acknowledged_) {
-        if (acknowledgedAt + InForceAfter < heldAt)
+        if (acknowledgedAt + InForceTimeout < effectiveAt)
             newest = std::max(newest, version);
     }
     return newest;
@@ -39,14 +39,14 @@
 {
     std::vector<std::string> findings;
     for (const PlanUse& use : uses) {
-        const uint64_t due = this->due(use.sentAt);
-        const bool isAllowed = due == 0 || std::any_of(plans_.lower_bound(due), plans_.end(), [&](const auto& plan) {
-            return plan.second.sentAt <= use.sentAt && allows(plan.second.routes, use);
-        });
+        const uint64_t requiredVersion = this->requiredVersion(use.sentAt);
+        const bool isAllowed = requiredVersion == 0
+            || std::any_of(plans_.lower_bound(requiredVersion), plans_.end(),
+                [&](const auto& plan) { return plan.second.sentAt <= use.sentAt && allows(plan.second.routes, use); });
         if (!isAllowed)
             findings.push_back(use.gateway + " used " + (use.service.empty() ? "no service" : use.service) + " for "
                 + use.route + " at " + std::to_string(toSeconds(use.sentAt.time_since_epoch()))
-                + " s, which only a plan before " + std::to_string(due) + " allows");
+                + " s, which only a plan before " + std::to_string(requiredVersion) + " allows");
     }
     return findings;
 }
--- a/testing/fleet/planledger.h
+++ b/testing/fleet/planledger.h
@@ -15,39 +15,40 @@
 
 namespace saltvane::fleet::test {
 
-/// The service of each route of a plan; a route that the plan doesn't have is missing.
+/// The service of each route of a plan; routes that the plan does not have are absent.
 using RouteServices = std::map<std::string, std::string>;
 
-/// What a gateway did with a request.
+/// What a gateway did with a request, and thus which plan it may have used.
 struct PlanUse {
     Timestamp sentAt;
     std::string gateway;
     std::string route;
-    std::string service; ///< Where it sent the request; empty: it said that there is no such route.
+    std::string service; ///< Service that got the request; empty if the gateway responded that there is no such route.
 };
 
-/// Holds every use of a plan to the newest one that was acknowledged.
+/// Checks that gateways use no plan that was replaced longer ago than the users' bounds allow.
 class PlanLedger {
 public:
-    /// For the first time: from then on it may be in force.
-    void noteSent(uint64_t version, Timestamp at, RouteServices routes)
+    /// Records when a plan was first sent; it may be in force from then on.
+    void recordSent(uint64_t version, Timestamp at, RouteServices routes)
     {
         plans_.try_emplace(version, Plan {.sentAt = at, .routes = std::move(routes)});
     }
-    void noteAcknowledged(uint64_t version, Timestamp at) { acknowledged_[at] = version; }
-    /// Something ended between hosts that are all still there, or came back: they have InTouchAfter to find each other.
-    void noteFault(Timestamp at) { faults_.push_back(at); }
+    void recordAcknowledged(uint64_t version, Timestamp at) { acknowledged_[at] = version; }
+    /// Records a fault of hosts or links, or its end: hosts have ReconnectTimeout to reconnect.
+    void recordFault(Timestamp at) { faults_.push_back(at); }
 
-    /// One for each use that no plan allows that is as new as it has to be. A newer plan that was sent by then,
-    /// acknowledged or not, may be in force already.
+    /// Returns a finding for each use that no sufficiently new plan explains. A newer plan that was sent by then may be
+    /// in force already, whether it was acknowledged or not.
     [[nodiscard]] std::vector<std::string> findings(std::span<const PlanUse> uses) const;
 
 private:
-    [[nodiscard]] uint64_t due(Timestamp at) const;
+    /// The oldest version that may still be in use.
+    [[nodiscard]] uint64_t requiredVersion(Timestamp at) const;
 
-    /// The users' bounds: of the three deployments the shortest ones.
-    static constexpr Duration InForceAfter = 2s;
-    static constexpr Duration InTouchAfter = 3s;
+    /// The users' bounds; the shortest ones of the three deployments.
+    static constexpr Duration InForceTimeout = 2s;
+    static constexpr Duration ReconnectTimeout = 3s;
 
     struct Plan {
         Timestamp sentAt;
--- a/testing/fleet/restledger.cpp
+++ b/testing/fleet/restledger.cpp
@@ -11,34 +11,36 @@
 
 namespace {
 
-constexpr Duration ToldFor = 500ms;
+/// Time that a gateway has to apply a backoff once it was informed.
+constexpr Duration AdoptionDelay = 500ms;
 
 } // namespace
 
-RestLedger::RestLedger(Fleet& fleet, EndingTargets& targets)
+RestLedger::RestLedger(Fleet& fleet, CrashingTargets& targets)
     : fleet_(fleet)
 {
-    targets.onArrival.emplace_back([this](const EndingTargets::Contact& contact) {
-        const auto found = current_.find({contact.start, contact.gateway});
+    targets.onArrival.emplace_back([this](const CrashingTargets::Exchange& exchange) {
+        const auto found = current_.find({exchange.incarnation, exchange.gateway});
         if (found == current_.end() || now() < found->second.from || now() >= found->second.until)
             return;
-        most_ = std::max(most_, ++found->second.requests);
-    });
-    targets.onAnswered.emplace_back([this](const EndingTargets::Contact& contact, const EndingTargets::Needs& needs) {
-        if (!needs.rest)
-            return;
-        ++turnedAway_;
-        const auto [rest, isNew] = current_.try_emplace({contact.start, contact.gateway});
-        if (!isNew && now() < rest->second.until)
-            return;
-        ++rests_;
-        rest->second = {.from = now() + ToldFor, .until = now() + *needs.rest};
+        maxRequests_ = std::max(maxRequests_, ++found->second.requests);
     });
+    targets.onResponse.emplace_back(
+        [this](const CrashingTargets::Exchange& exchange, const CrashingTargets::Signals& signals) {
+            if (!signals.backoff)
+                return;
+            ++rejected_;
+            const auto [backoff, isNew] = current_.try_emplace({exchange.incarnation, exchange.gateway});
+            if (!isNew && now() < backoff->second.until)
+                return;
+            ++backoffs_;
+            backoff->second = {.from = now() + AdoptionDelay, .until = now() + *signals.backoff};
+        });
 }
 
-void RestLedger::excuse(size_t gateway)
+void RestLedger::exempt(size_t gateway)
 {
-    std::erase_if(current_, [&](const auto& rest) { return rest.first.second == gateway; });
+    std::erase_if(current_, [&](const auto& backoff) { return backoff.first.second == gateway; });
 }
 
 } // namespace saltvane::fleet::test
--- a/testing/fleet/restledger.h
+++ b/testing/fleet/restledger.h
@@ -5,7 +5,7 @@
  */
 #pragma once
 
-#include "endingtargets.h"
+#include "crashingtargets.h"
 
 #include <map>
 #include <string>
@@ -13,26 +13,26 @@
 
 namespace saltvane::fleet::test {
 
-/// Holds what reaches targets to the rest that they ask for: from half a second after a gateway was turned away until
-/// the end of the time that it was told, two requests of it at the most.
+/// Checks that gateways respect the backoff that targets request: from half a second after a target rejected a request
+/// of a gateway until the end of the requested time, that gateway may send it at most two requests.
 class RestLedger {
 public:
-    RestLedger(Fleet& fleet, EndingTargets& targets);
+    RestLedger(Fleet& fleet, CrashingTargets& targets);
 
-    /// A restart, stall or cut of the gateway excuses it from what it was told before.
-    void excuse(size_t gateway);
+    /// Exempts a gateway that restarted, stalled or was cut off from the backoffs requested before.
+    void exempt(size_t gateway);
 
-    /// Requests beyond two in the rest that had most of them.
-    [[nodiscard]] size_t mostBeyond() const { return most_ > Allowed ? most_ - Allowed : 0; }
-    /// Rests that gateways were told of.
-    [[nodiscard]] size_t rests() const { return rests_; }
-    /// Requests that were turned away.
-    [[nodiscard]] size_t turnedAway() const { return turnedAway_; }
+    /// Requests beyond the two allowed, in the backoff with the most requests.
+    [[nodiscard]] size_t maxExcess() const { return maxRequests_ > Allowed ? maxRequests_ - Allowed : 0; }
+    /// Number of backoffs that were requested of gateways.
+    [[nodiscard]] size_t backoffs() const { return backoffs_; }
+    /// Number of requests that targets rejected.
+    [[nodiscard]] size_t rejected() const { return rejected_; }
 
 private:
     static constexpr size_t Allowed = 2;
 
-    struct Rest {
+    struct Backoff {
         Timestamp from;
         Timestamp until;
         size_t requests = 0;
@@ -40,10 +40,10 @@
     [[nodiscard]] Timestamp now() const { return fleet_.registries().now(); }
 
     Fleet& fleet_;
-    std::map<std::pair<std::string, size_t>, Rest> current_; ///< By start of the target and gateway.
-    size_t most_ = 0;
-    size_t rests_ = 0;
-    size_t turnedAway_ = 0;
+    std::map<std::pair<std::string, size_t>, Backoff> current_; ///< By incarnation of the target and gateway.
+    size_t maxRequests_ = 0;
+    size_t backoffs_ = 0;
+    size_t rejected_ = 0;
 };
 
 } // namespace saltvane::fleet::test
--- a/testing/fleet/suspendedhosttests.cpp
+++ b/testing/fleet/suspendedhosttests.cpp
@@ -3,84 +3,85 @@
  * saltvane: global traffic steering
  * Copyright (c) 2026 the saltvane authors
  */
-#include "fatalfleet.h"
 #include "planfleet.h"
+#include "trafficfleet.h"
 
 #include <gtest/gtest.h>
 
 #include <nlohmann/json.hpp>
 #include <random>
 
-/// Hosts whose machine was suspended for some seconds: the steady clock stands still meanwhile. Found by reading, and
-/// shown here: a leader that slept while others took its place woke with its lease as it had fallen asleep, and told
-/// the plan of then as the newest. The clock that all decisions go by counts sleeps (MonotonicClockTest); here hosts
-/// sleep in virtual time, with such a clock and with one that stands still.
+/// Guards against stale state on hosts whose machine was suspended for some seconds. The steady clock stops while a
+/// machine is suspended: a leader that was replaced meanwhile resumed with its old lease still valid and served its old
+/// plan as the newest. All decisions therefore use a clock that counts suspended time (MonotonicClockTest). Here hosts
+/// are suspended in virtual time, with such a clock and with one that stops.
 namespace saltvane::fleet::test {
 
 namespace {
 
-/// The version that a leader tells which slept while a newer plan was acknowledged, right as it wakes; 0: none.
-uint64_t versionToldByASleeper(bool doClocksStandStill)
+/// Plan version that a leader serves right after it resumes, when a newer plan was acknowledged while it was suspended;
+/// 0 if it serves none.
+uint64_t versionServedAfterResume(bool doClocksStandStill)
 {
     PlanFleet fleet;
     registry::test::RegistryCluster& registries = fleet.registries();
     registries.doClocksStandStill = doClocksStandStill;
-    const size_t sleeper = *registries.leader();
-    registries.suspend(sleeper);
+    const size_t suspended = *registries.leader();
+    registries.suspend(suspended);
     (void)registries.runUntil([&] { return registries.leader().has_value(); }, 5s);
     fleet.putPlan();
     EXPECT_EQ(fleet.version(), 2U);
     fleet.run(500ms);
-    registries.wake(sleeper);
-    const auto told = registries.call(sleeper, "GET", "/v1/plan", {}, {}, 10ms);
-    if (!told || told->status != 200)
+    registries.wake(suspended);
+    const auto response = registries.call(suspended, "GET", "/v1/plan", {}, {}, 10ms);
+    if (!response || response->status != 200)
         return 0;
-    return nlohmann::json::parse(told->body).value("version", uint64_t {0});
+    return nlohmann::json::parse(response->body).value("version", uint64_t {0});
 }
 
 } // namespace
 
-TEST(SuspendedHostTest, ALeaderThatSleptTellsNoReplacedPlan)
+TEST(SuspendedHostTest, AResumedLeaderServesNoReplacedPlan)
 {
-    const uint64_t told = versionToldByASleeper(false);
-    EXPECT_TRUE(told == 0 || told == 2) << told;
+    const uint64_t version = versionServedAfterResume(false);
+    EXPECT_TRUE(version == 0 || version == 2) << version;
 }
 
-/// The check is able to fail.
-TEST(SuspendedHostTest, WithAClockThatStandsStillItWould) { EXPECT_EQ(versionToldByASleeper(true), 1U); }
+/// Shows that the test above can fail.
+TEST(SuspendedHostTest, WithAClockThatStopsItWould) { EXPECT_EQ(versionServedAfterResume(true), 1U); }
 
-TEST(SuspendedHostTest, GatewaysThatSleptUseNoReplacedPlanOnceTheyAreInTouch)
+TEST(SuspendedHostTest, ResumedGatewaysUseNoReplacedPlanOnceReconnected)
 {
     PlanFleet fleet;
     for (size_t round = 0; round < 4; ++round) {
         fleet.fleet().suspendGateway(round, 3s);
-        fleet.noteFault();
+        fleet.recordFault();
         fleet.putPlan();
         fleet.run(3s);
-        fleet.noteFault();
+        fleet.recordFault();
         fleet.putPlan();
         fleet.run(4s);
     }
     EXPECT_TRUE(fleet.findings().empty()) << fleet.findings().front();
 }
 
-/// Registry hosts and gateways that sleep, drawn by a seed, while plans change and a request ends targets.
+/// Registry hosts and gateways are suspended at random while plans change.
 TEST(SuspendedHostTest, DrawnSleepsBreakNothing)
 {
     for (unsigned int seed = 1; seed <= 8; ++seed) {
         std::mt19937 random(seed);
         const auto draw = [&](size_t below) { return random() % below; };
         PlanFleet fleet;
-        for (int sleep = 0; sleep < 5; ++sleep) {
+        for (int round = 0; round < 5; ++round) {
             const size_t registry = draw(6);
-            const std::chrono::milliseconds slept(500 + draw(4000));
+            const std::chrono::milliseconds duration(500 + draw(4000));
             fleet.registries().suspend(registry);
-            fleet.fleet().suspendGateway(draw(6), slept);
-            fleet.noteFault();
-            fleet.run(slept);
+            fleet.fleet().suspendGateway(draw(6), duration);
+            fleet.recordFault();
+            fleet.run(duration);
             fleet.putPlan();
             fleet.registries().wake(registry);
-            fleet.noteFault();
+            fleet.recordFault();
             fleet.run(5s);
             fleet.putPlan();
             fleet.run(3s);
@@ -90,9 +91,9 @@
     }
 }
 
-TEST(SuspendedHostTest, AFatalRequestIsNotSentOnByHostsThatSlept)
+TEST(SuspendedHostTest, AFatalRequestIsNotSentOnByResumedHosts)
 {
-    FatalFleet fleet(31);
+    TrafficFleet fleet(31);
     fleet.addFatalCaller("/read/fatal");
     fleet.fleet().suspendGateway(0, 4s);
     fleet.fleet().registries().suspend(1);
--- a/testing/fleet/targetleavetests.cpp
+++ b/testing/fleet/targetleavetests.cpp
@@ -3,7 +3,7 @@
  * saltvane: global traffic steering
  * Copyright (c) 2026 the saltvane authors
  */
-#include "fatalfleet.h"
+#include "trafficfleet.h"
 
 #include <gtest/gtest.h>
 #include <map>
@@ -14,76 +14,78 @@
 
 constexpr size_t Targets = 24;
 constexpr size_t Leaving = 4;
-/// From a target's word until it gets nothing more.
+/// Time from a target's announcement of its leave until it gets no more requests.
 constexpr Duration LeaveLimit = 2500ms;
 
-/// When a target that leaves by its own word alone was heard, by whom, and what reached it later.
+/// Records which gateways were informed, and when, of targets that announce their leave in responses only, and counts
+/// the requests that reach such a target later than LeaveLimit.
 class LeaveLedger {
 public:
-    LeaveLedger(Fleet& fleet, EndingTargets& targets)
+    LeaveLedger(Fleet& fleet, CrashingTargets& targets)
     {
-        targets.onAnswered.emplace_back(
-            [this, &fleet](const EndingTargets::Contact& contact, const EndingTargets::Needs& needs) {
-                if (!needs.isLeaving)
+        targets.onResponse.emplace_back(
+            [this, &fleet](const CrashingTargets::Exchange& exchange, const CrashingTargets::Signals& signals) {
+                if (!signals.isLeaving)
                     return;
-                toldAt_.try_emplace({contact.target, contact.gateway}, fleet.registries().now());
-                firstToldAt_.try_emplace(contact.target, fleet.registries().now());
+                informedAt_.try_emplace({exchange.target, exchange.gateway}, fleet.registries().now());
+                firstInformedAt_.try_emplace(exchange.target, fleet.registries().now());
             });
-        targets.onArrival.emplace_back([this, &fleet](const EndingTargets::Contact& contact) {
-            const auto told = toldAt_.find({contact.target, contact.gateway});
-            if (told != toldAt_.end() && fleet.registries().now() > told->second + LeaveLimit)
-                ++late_;
-            const auto first = firstToldAt_.find(contact.target);
-            if (first != firstToldAt_.end() && fleet.registries().now() > first->second + LeaveLimit)
-                ++lateOfAny_;
+        targets.onArrival.emplace_back([this, &fleet](const CrashingTargets::Exchange& exchange) {
+            const auto informed = informedAt_.find({exchange.target, exchange.gateway});
+            if (informed != informedAt_.end() && fleet.registries().now() > informed->second + LeaveLimit)
+                ++lateRequests_;
+            const auto first = firstInformedAt_.find(exchange.target);
+            if (first != firstInformedAt_.end() && fleet.registries().now() > first->second + LeaveLimit)
+                ++lateRequestsOfAnyGateway_;
         });
     }
-    void forget() { toldAt_.clear(); }
-    [[nodiscard]] size_t late() const { return late_; }
-    /// Also of gateways that had not heard it from the target itself.
-    [[nodiscard]] size_t lateOfAny() const { return lateOfAny_; }
-    [[nodiscard]] size_t heard() const { return firstToldAt_.size(); }
+    void clear() { informedAt_.clear(); }
+    [[nodiscard]] size_t lateRequests() const { return lateRequests_; }
+    /// Includes requests of gateways that got no such response from the target themselves.
+    [[nodiscard]] size_t lateRequestsOfAnyGateway() const { return lateRequestsOfAnyGateway_; }
+    [[nodiscard]] size_t announcedLeaves() const { return firstInformedAt_.size(); }
 
 private:
-    std::map<std::pair<size_t, size_t>, Timestamp> toldAt_; ///< By target and gateway.
-    std::map<size_t, Timestamp> firstToldAt_;
-    size_t late_ = 0;
-    size_t lateOfAny_ = 0;
+    std::map<std::pair<size_t, size_t>, Timestamp> informedAt_; ///< By target and gateway.
+    std::map<size_t, Timestamp> firstInformedAt_;
+    size_t lateRequests_ = 0;
+    size_t lateRequestsOfAnyGateway_ = 0;
 };
 
 } // namespace
 
-// Guards against targets that say in their answers that they leave being sent new work, at any gateway, whatever their
+// Guards against gateways that send new requests to a target that announces its leave in its responses, whatever its
 // reports say.
-TEST(TargetLeaveTest, ATargetThatSaysThatItLeavesGetsNoNewWorkFromAnyGateway)
+TEST(TargetLeaveTest, ATargetThatAnnouncesItsLeaveGetsNoNewWorkFromAnyGateway)
 {
     for (const size_t gateways : {size_t {9}, size_t {89}}) {
-        FatalFleet fleet(5, {.count = Targets}, {.gateways = gateways}, {.perSecond = 144, .haveObjects = true});
+        TrafficFleet fleet(
+            5, {.count = Targets}, {.gateways = gateways}, {.requestsPerSecond = 144, .haveObjects = true});
         LeaveLedger ledger(fleet.fleet(), fleet.targets());
         fleet.run(4s);
         for (size_t target = 0; target < Leaving; ++target)
-            fleet.targets().setNeeds(target, {.isLeaving = true});
+            fleet.targets().setSignals(target, {.isLeaving = true});
         fleet.run(12s);
-        EXPECT_EQ(ledger.heard(), Leaving) << gateways << " gateways";
-        EXPECT_EQ(ledger.late(), 0U) << gateways << " gateways";
-        EXPECT_EQ(ledger.lateOfAny(), 0U) << gateways << " gateways";
+        EXPECT_EQ(ledger.announcedLeaves(), Leaving) << gateways << " gateways";
+        EXPECT_EQ(ledger.lateRequests(), 0U) << gateways << " gateways";
+        EXPECT_EQ(ledger.lateRequestsOfAnyGateway(), 0U) << gateways << " gateways";
     }
 }
 
-// Guards against a gateway that is cut off from the registry going on to use a target that told it that it leaves.
+// Guards against a gateway that is cut off from the registry and goes on using a target that announced its leave to it.
 TEST(TargetLeaveTest, ItHoldsAtAGatewayThatIsCutOff)
 {
-    FatalFleet fleet(6, {.count = Targets}, {.gateways = 3}, {.perSecond = 144, .haveObjects = true});
+    TrafficFleet fleet(6, {.count = Targets}, {.gateways = 3}, {.requestsPerSecond = 144, .haveObjects = true});
     LeaveLedger ledger(fleet.fleet(), fleet.targets());
     fleet.run(4s);
     for (size_t gateway = 0; gateway < 3; ++gateway)
         fleet.fleet().cutOffGateway(gateway, 20s);
     fleet.run(1s);
     for (size_t target = 0; target < Leaving; ++target)
-        fleet.targets().setNeeds(target, {.isLeaving = true});
+        fleet.targets().setSignals(target, {.isLeaving = true});
     fleet.run(12s);
-    EXPECT_EQ(ledger.heard(), Leaving);
-    EXPECT_EQ(ledger.late(), 0U);
+    EXPECT_EQ(ledger.announcedLeaves(), Leaving);
+    EXPECT_EQ(ledger.lateRequests(), 0U);
 }
 
 } // namespace saltvane::fleet::test
