--- a/src/control/ibundleholder.h
+++ b/src/control/ibundleholder.h
@@ -40,7 +40,7 @@
     /// A new link to this source is established; pulls sent over an earlier link will not be answered.
     virtual void noteLinkUp(const HostId& source, Timestamp now) = 0;
     virtual void tick(Timestamp now) = 0;
-    [[nodiscard]] virtual std::vector<model::Outgoing> takeOutgoing() = 0;
+    [[nodiscard]] virtual std::vector<model::OutgoingMessage> takeOutgoing() = 0;
 
     struct InForce {
         LogPosition position;
--- a/src/control/icontrolreplica.h
+++ b/src/control/icontrolreplica.h
@@ -35,7 +35,7 @@
     [[nodiscard]] virtual SubmissionId submit(Command command, Timestamp now) = 0;
     [[nodiscard]] virtual std::vector<SubmissionAnswer> takeAnswers() = 0;
 
-    [[nodiscard]] virtual std::vector<model::Outgoing> takeOutgoing() = 0;
+    [[nodiscard]] virtual std::vector<model::OutgoingMessage> takeOutgoing() = 0;
     [[nodiscard]] virtual std::vector<StorageWrite> takeWrites() = 0;
 
     [[nodiscard]] virtual bool isLeader() const = 0;
--- a/src/control/internal/bundleholder.cpp
+++ b/src/control/internal/bundleholder.cpp
@@ -301,7 +301,7 @@
     return sources_[nextSource_++ % sources_.size()];
 }
 
-std::vector<model::Outgoing> BundleHolder::takeOutgoing() { return std::exchange(outgoing_, {}); }
+std::vector<model::OutgoingMessage> BundleHolder::takeOutgoing() { return std::exchange(outgoing_, {}); }
 
 std::optional<IBundleHolder::InForce> BundleHolder::takeInstalled()
 {
--- a/src/control/internal/bundleholder.h
+++ b/src/control/internal/bundleholder.h
@@ -26,7 +26,7 @@
     void setPeers(std::span<const HostId> sources, std::span<const HostId> receivers, Timestamp now) override;
     void noteLinkUp(const HostId& source, Timestamp now) override;
     void tick(Timestamp now) override;
-    [[nodiscard]] std::vector<model::Outgoing> takeOutgoing() override;
+    [[nodiscard]] std::vector<model::OutgoingMessage> takeOutgoing() override;
     [[nodiscard]] std::optional<InForce> takeInstalled() override;
     [[nodiscard]] bool isReady() const override { return isReady_; }
     [[nodiscard]] Duration age(Timestamp now) const override;
@@ -87,7 +87,7 @@
     uint64_t partPull_ = 0; ///< Number of the pull that requested it.
     Timestamp partTimeoutAt_ {};
     bool needsFullState_ = false; ///< The latest transfer could not be decompressed with the state in force.
-    std::vector<model::Outgoing> outgoing_;
+    std::vector<model::OutgoingMessage> outgoing_;
 };
 
 } // namespace saltvane::control
--- a/src/control/internal/controlreplica.cpp
+++ b/src/control/internal/controlreplica.cpp
@@ -113,7 +113,7 @@
 
 std::vector<SubmissionAnswer> ControlReplica::takeAnswers() { return operatorRequests_.takeAnswers(); }
 
-std::vector<model::Outgoing> ControlReplica::takeOutgoing() { return consensus_.takeOutgoing(); }
+std::vector<model::OutgoingMessage> ControlReplica::takeOutgoing() { return consensus_.takeOutgoing(); }
 
 std::vector<StorageWrite> ControlReplica::takeWrites() { return consensus_.takeWrites(); }
 
--- a/src/control/internal/controlreplica.h
+++ b/src/control/internal/controlreplica.h
@@ -30,7 +30,7 @@
 
     [[nodiscard]] SubmissionId submit(Command command, Timestamp now) override;
     [[nodiscard]] std::vector<SubmissionAnswer> takeAnswers() override;
-    [[nodiscard]] std::vector<model::Outgoing> takeOutgoing() override;
+    [[nodiscard]] std::vector<model::OutgoingMessage> takeOutgoing() override;
     [[nodiscard]] std::vector<StorageWrite> takeWrites() override;
 
     [[nodiscard]] bool isLeader() const override;
--- a/src/control/internal/replicacontext.h
+++ b/src/control/internal/replicacontext.h
@@ -63,12 +63,12 @@
     std::shared_ptr<const Snapshot> snapshot;
     FollowerProof proof;
     Timestamp now {};
-    std::vector<model::Outgoing> outgoing;
+    std::vector<model::OutgoingMessage> outgoing;
 
 private:
     struct DelayedMessage {
         uint64_t sequence = 0;
-        model::Outgoing outgoing;
+        model::OutgoingMessage outgoing;
     };
     std::vector<DelayedMessage> delayed_;
 };
--- a/src/control/tests/bundleholdertests.cpp
+++ b/src/control/tests/bundleholdertests.cpp
@@ -76,7 +76,7 @@
                 holder(Control).setControlView(std::nullopt, now_);
             for (auto& [host, item] : holders_) {
                 item->tick(now_);
-                for (model::Outgoing& outgoing : item->takeOutgoing())
+                for (model::OutgoingMessage& outgoing : item->takeOutgoing())
                     post(host, std::move(outgoing));
                 if (const auto installed = item->takeInstalled()) {
                     EXPECT_GT(installed->position, installed_[host]);
@@ -87,7 +87,7 @@
         }
     }
 
-    void post(const HostId& from, model::Outgoing outgoing)
+    void post(const HostId& from, model::OutgoingMessage outgoing)
     {
         const bool isPush = std::holds_alternative<model::BundlePush>(outgoing.message)
             && std::get<model::BundlePush>(outgoing.message).pull == 0;
@@ -124,7 +124,7 @@
 
     struct Flight {
         HostId from;
-        model::Outgoing outgoing;
+        model::OutgoingMessage outgoing;
     };
     Timestamp now_ {10s};
     std::map<HostId, std::unique_ptr<IBundleHolder>> holders_;
@@ -238,7 +238,7 @@
 TEST_F(BundleHolders, StartingSourceAnswersPullsWithoutAStateOrProof)
 {
     holder(Relay).handle({.from = First, .fromIncarnation = {}, .message = model::BundlePull {.pull = 7}}, now_);
-    const std::vector<model::Outgoing> sent = holder(Relay).takeOutgoing();
+    const std::vector<model::OutgoingMessage> sent = holder(Relay).takeOutgoing();
     ASSERT_EQ(sent.size(), 1U);
     const auto* answer = std::get_if<model::BundleCurrent>(&sent.front().message);
     ASSERT_NE(answer, nullptr);
--- a/src/control/tests/claimtests.cpp
+++ b/src/control/tests/claimtests.cpp
@@ -82,7 +82,7 @@
     EXPECT_TRUE(cluster_.runUntil([&] { return !leader.toHosts.empty(); }, 5s));
     cluster_.claim(number, claimOf("entry1", 2, "other"));
     ASSERT_EQ(leader.toHosts.size(), 2U);
-    for (const model::Outgoing& outgoing : leader.toHosts)
+    for (const model::OutgoingMessage& outgoing : leader.toHosts)
         EXPECT_EQ(std::get<model::ClaimReply>(outgoing.message).result, model::ClaimResult::NoQuorum);
 }
 
--- a/src/control/tests/fakecluster.cpp
+++ b/src/control/tests/fakecluster.cpp
@@ -129,7 +129,7 @@
     FakeHost& host = *hosts_[number];
     for (StorageWrite& write : host.replica->takeWrites())
         startWrite(number, std::move(write));
-    for (model::Outgoing& outgoing : host.replica->takeOutgoing())
+    for (model::OutgoingMessage& outgoing : host.replica->takeOutgoing())
         post(number, std::move(outgoing));
     for (SubmissionAnswer& answer : host.replica->takeAnswers())
         host.answers.emplace(answer.submission, std::move(answer.result));
@@ -155,7 +155,7 @@
          }});
 }
 
-void FakeCluster::post(size_t from, model::Outgoing outgoing)
+void FakeCluster::post(size_t from, model::OutgoingMessage outgoing)
 {
     FakeHost& sender = *hosts_[from];
     const auto receiver = std::ranges::find(hosts_, outgoing.to, [](const auto& host) { return host->id; });
--- a/src/control/tests/fakecluster.h
+++ b/src/control/tests/fakecluster.h
@@ -43,7 +43,7 @@
     model::Counters counters;
     std::optional<StorageWrite> writing; ///< Write in progress.
     std::map<SubmissionId, Result<BundleRecord, ControlError>> answers;
-    std::vector<model::Outgoing> toHosts; ///< Messages to hosts outside of the cluster: replies to claims.
+    std::vector<model::OutgoingMessage> toHosts; ///< Messages to hosts outside of the cluster: replies to claims.
 };
 
 /// Control replicas with a simulated network and disks in virtual time. Deterministic for a given seed.
@@ -94,7 +94,7 @@
     void tick(size_t number);
     void pump(size_t number);
     void startWrite(size_t number, StorageWrite write);
-    void post(size_t from, model::Outgoing outgoing);
+    void post(size_t from, model::OutgoingMessage outgoing);
     [[nodiscard]] Duration delay();
     bool step(Timestamp end);
 
--- a/src/control/tests/pullingholdertests.cpp
+++ b/src/control/tests/pullingholdertests.cpp
@@ -32,7 +32,7 @@
         std::vector<HostId> pulledFrom;
         for (const Timestamp end = now_ + duration; now_ < end; now_ += Step) {
             holder_->tick(now_);
-            for (const model::Outgoing& outgoing : holder_->takeOutgoing()) {
+            for (const model::OutgoingMessage& outgoing : holder_->takeOutgoing()) {
                 if (const auto* pull = std::get_if<model::BundlePull>(&outgoing.message)) {
                     pulledFrom.push_back(outgoing.to);
                     lastPull_ = pull->pull;
--- a/src/gateway/internal/gatewaycore.cpp
+++ b/src/gateway/internal/gatewaycore.cpp
@@ -66,7 +66,7 @@
           .counters = counters_,
           .probePathOf = [this](const ServiceName& service) { return probePathOf(service); }})
     , backpressure_(settings_.headers, targets_)
-    , link_(settings_.linkMegabits)
+    , link_(settings_.linkMegabitsPerSecond)
     , runner_({.headers = settings_.headers,
           .digestKey = deriveDigestKey(settings_.linkKey),
           .targets = targets_,
@@ -229,9 +229,9 @@
     // If all registry hosts lost their power and their disks, they learn again from the gateways which requests to
     // refuse.
     if (model::SuspectReport report {.requests = quarantine_.blamedRequests(now)}; !report.requests.empty())
-        actions_.emplace_back(requests::Action(model::Outgoing {.to = up.host, .message = std::move(report)}));
+        actions_.emplace_back(requests::Action(model::OutgoingMessage {.to = up.host, .message = std::move(report)}));
     if (model::BackpressureReport report = backpressure_.knownLimits(now); !report.notices.empty())
-        actions_.emplace_back(requests::Action(model::Outgoing {.to = up.host, .message = std::move(report)}));
+        actions_.emplace_back(requests::Action(model::OutgoingMessage {.to = up.host, .message = std::move(report)}));
 }
 
 void GatewayCore::accept(const host::LinkDown& down, Timestamp now)
@@ -283,7 +283,7 @@
     if (isTimeForOtherRegions)
         nextOtherRegionLoadsAt_ = now + OtherRegionLoadInterval;
     for (const HostId& host : isTimeForOtherRegions ? roster_->controlHosts() : roster_->nearControlHosts())
-        actions_.emplace_back(requests::Action(model::Outgoing {.to = host, .message = loads}));
+        actions_.emplace_back(requests::Action(model::OutgoingMessage {.to = host, .message = loads}));
 }
 
 void GatewayCore::sendSuspects(Timestamp now)
@@ -292,7 +292,7 @@
     if (report.requests.empty())
         return;
     for (const HostId& host : roster_->controlHosts())
-        actions_.emplace_back(requests::Action(model::Outgoing {.to = host, .message = report}));
+        actions_.emplace_back(requests::Action(model::OutgoingMessage {.to = host, .message = report}));
 }
 
 void GatewayCore::sendBackpressure(Timestamp now)
@@ -308,7 +308,7 @@
 void GatewayCore::sendToRegionRegistries(const model::Message& message)
 {
     for (const HostId& host : roster_->nearControlHosts())
-        actions_.emplace_back(requests::Action(model::Outgoing {.to = host, .message = message}));
+        actions_.emplace_back(requests::Action(model::OutgoingMessage {.to = host, .message = message}));
 }
 
 std::string GatewayCore::probePathOf(const ServiceName& service) const
@@ -341,11 +341,11 @@
     for (requests::Action& action : runner_.takeActions())
         actions_.emplace_back(std::move(action));
     sendBackpressure(now); // Before credits of these limits are requested.
-    for (model::Outgoing& outgoing : credits_.takeOutgoing())
+    for (model::OutgoingMessage& outgoing : credits_.takeOutgoing())
         actions_.emplace_back(requests::Action(std::move(outgoing)));
-    for (model::Outgoing& outgoing : roster_->takeOutgoing())
+    for (model::OutgoingMessage& outgoing : roster_->takeOutgoing())
         actions_.emplace_back(requests::Action(std::move(outgoing)));
-    for (model::Outgoing& outgoing : replica_->takeOutgoing())
+    for (model::OutgoingMessage& outgoing : replica_->takeOutgoing())
         actions_.emplace_back(requests::Action(std::move(outgoing)));
     for (requests::Action& action : quarantine_.takeActions())
         actions_.emplace_back(std::move(action));
--- a/src/gateway/internal/limitcredits.cpp
+++ b/src/gateway/internal/limitcredits.cpp
@@ -176,9 +176,9 @@
     expire(now);
 }
 
-std::vector<model::Outgoing> LimitCredits::takeOutgoing()
+std::vector<model::OutgoingMessage> LimitCredits::takeOutgoing()
 {
-    std::vector<model::Outgoing> outgoing;
+    std::vector<model::OutgoingMessage> outgoing;
     for (auto& [host, request] : outgoing_)
         outgoing.push_back({.to = host, .message = std::move(request)});
     outgoing_.clear();
--- a/src/gateway/internal/targetset.cpp
+++ b/src/gateway/internal/targetset.cpp
@@ -190,7 +190,7 @@
     target.slowUntil = target.lastReportAt + record.slowStartLeft;
     target.listedHook.unlink();
     byLastListed_.push_back(target);
-    target.isUnresponsive = record.age >= model::TargetSilenceLimit;
+    target.isUnresponsive = record.age >= model::TargetHeartbeatTimeout;
     target.unresponsiveHook.unlink();
     if (target.isUnresponsive)
         unresponsive_.push_back(target);
--- a/src/gateway/tests/backofftests.cpp
+++ b/src/gateway/tests/backofftests.cpp
@@ -128,7 +128,7 @@
     serve({{"Saltvane-Leaving", "1"}});
     for (int report = 0; report < 3; ++report) {
         record.sequence += 2;
-        record.age = report == 1 ? model::TargetSilenceLimit : 0s; // It is removed, and reported again.
+        record.age = report == 1 ? model::TargetHeartbeatTimeout : 0s; // It is removed, and reported again.
         reportTargets({record});
         advance(100ms);
         request({});
--- a/src/gateway/tests/backpressuretests.cpp
+++ b/src/gateway/tests/backpressuretests.cpp
@@ -128,7 +128,7 @@
     reportTargets({record});
     // The registry has received no reports of the target for a long time, so the gateway removes it, and then receives
     // reports again.
-    record.age = model::TargetSilenceLimit;
+    record.age = model::TargetHeartbeatTimeout;
     ++record.sequence;
     reportTargets({record});
     advance(100ms);
--- a/src/gateway/tests/gatewayfixture.cpp
+++ b/src/gateway/tests/gatewayfixture.cpp
@@ -65,7 +65,7 @@
         auto* const request = std::get_if<requests::Action>(&action);
         if (request == nullptr)
             continue;
-        const auto* const outgoing = std::get_if<model::Outgoing>(request);
+        const auto* const outgoing = std::get_if<model::OutgoingMessage>(request);
         const auto* const pull = outgoing == nullptr ? nullptr : std::get_if<model::BundlePull>(&outgoing->message);
         if (pull != nullptr)
             pullToAnswer_ = std::exchange(lastPull_, pull->pull);
--- a/src/gateway/tests/incarnationtests.cpp
+++ b/src/gateway/tests/incarnationtests.cpp
@@ -53,7 +53,7 @@
     reportTargets({now});
     reportTargets({before});
     model::TargetRecord unresponsive = before;
-    unresponsive.age = model::TargetSilenceLimit;
+    unresponsive.age = model::TargetHeartbeatTimeout;
     reportTargets({unresponsive});
     report({.orders = {.term = {1}, .index = {5}}, .retired = {{.target = TargetId("t-1"), .incarnation = {1000}}}});
     request({});
--- a/src/gateway/tests/targettests.cpp
+++ b/src/gateway/tests/targettests.cpp
@@ -233,11 +233,11 @@
     reportTargets({record});
     model::TargetRecord older = record;
     older.sequence = 3;
-    older.age = model::TargetSilenceLimit;
+    older.age = model::TargetHeartbeatTimeout;
     reportTargets({older}); // From a registry host to which the target no longer reports.
     request({});
     EXPECT_EQ(takeStarts().size(), 1U);
-    record.age = model::TargetSilenceLimit;
+    record.age = model::TargetHeartbeatTimeout;
     reportTargets({record});
     request({});
     EXPECT_TRUE(takeStarts().empty());
--- a/src/host/internal/hostcore.cpp
+++ b/src/host/internal/hostcore.cpp
@@ -219,7 +219,7 @@
     if (!modules_.entry)
         return;
     for (requests::Action& action : modules_.entry->takeActions()) {
-        if (const auto* outgoing = std::get_if<model::Outgoing>(&action)) {
+        if (const auto* outgoing = std::get_if<model::OutgoingMessage>(&action)) {
             if (const auto* end = std::get_if<model::ForwardEnd>(&outgoing->message))
                 issuerForwards_.remove(outgoing->to, end->correlation);
         }
--- a/src/host/internal/outbox.cpp
+++ b/src/host/internal/outbox.cpp
@@ -19,7 +19,7 @@
 
 void Outbox::add(requests::Action action)
 {
-    if (auto* outgoing = std::get_if<model::Outgoing>(&action)) {
+    if (auto* outgoing = std::get_if<model::OutgoingMessage>(&action)) {
         send(std::move(*outgoing));
         return;
     }
@@ -32,7 +32,7 @@
         add(std::move(action));
 }
 
-void Outbox::send(model::Outgoing outgoing)
+void Outbox::send(model::OutgoingMessage outgoing)
 {
     if (outgoing.to == self_) {
         ownDeliveries_.push_back({self_, incarnation_, std::move(outgoing.message)});
@@ -41,9 +41,9 @@
     actions_.emplace_back(requests::Action(std::move(outgoing)));
 }
 
-void Outbox::send(std::vector<model::Outgoing> outgoing)
+void Outbox::send(std::vector<model::OutgoingMessage> outgoing)
 {
-    for (model::Outgoing& message : outgoing)
+    for (model::OutgoingMessage& message : outgoing)
         send(std::move(message));
 }
 
--- a/src/host/internal/outbox.h
+++ b/src/host/internal/outbox.h
@@ -23,8 +23,8 @@
     void add(Action action);
     void add(requests::Action action);
     void add(std::vector<requests::Action> actions);
-    void send(model::Outgoing outgoing);
-    void send(std::vector<model::Outgoing> outgoing);
+    void send(model::OutgoingMessage outgoing);
+    void send(std::vector<model::OutgoingMessage> outgoing);
     void log(LogSeverity severity, std::string text);
 
     [[nodiscard]] std::vector<Action> takeActions();
--- a/src/host/tests/bundletests.cpp
+++ b/src/host/tests/bundletests.cpp
@@ -47,7 +47,7 @@
     ServingDeployment serving({.requestsPerSecond = 50});
     FakeDeployment& deployment = serving.deployment;
     uint64_t pushes = 0;
-    deployment.network().setDrop([&](const HostId&, const model::Outgoing& outgoing) {
+    deployment.network().setDrop([&](const HostId&, const model::OutgoingMessage& outgoing) {
         return std::holds_alternative<model::BundlePush>(outgoing.message) && ++pushes % 3 != 0;
     });
     ASSERT_TRUE(deployment.putInForce(nextBundle(deployment, 2), {2}));
--- a/src/host/tests/fakes/fakehost.cpp
+++ b/src/host/tests/fakes/fakehost.cpp
@@ -140,7 +140,7 @@
                       TargetStart> || std::is_same_v<Type, requests::TargetRequestBody> || std::is_same_v<Type, requests::TargetResponseWindow> || std::is_same_v<Type, requests::TargetCancel>;
         if constexpr (IsTargets)
             environment_.toTarget(settings_.host, incarnation_, requests::Action(std::move(typed)));
-        else if constexpr (std::is_same_v<Type, model::Outgoing>)
+        else if constexpr (std::is_same_v<Type, model::OutgoingMessage>)
             environment_.network->send(settings_.host, std::move(typed));
         else if constexpr (std::is_same_v<Type, requests::AccessRecord>)
             environment_.onAccess(settings_.host, typed);
--- a/src/host/tests/fakes/fakenetwork.cpp
+++ b/src/host/tests/fakes/fakenetwork.cpp
@@ -47,7 +47,7 @@
     connectAllWanted();
 }
 
-void FakeNetwork::send(const HostId& from, model::Outgoing outgoing)
+void FakeNetwork::send(const HostId& from, model::OutgoingMessage outgoing)
 {
     const Pair pair = pairOf(from, outgoing.to);
     const auto link = links_.find(pair);
--- a/src/host/tests/fakes/fakenetwork.h
+++ b/src/host/tests/fakes/fakenetwork.h
@@ -41,7 +41,7 @@
     /// The process is down. Peers notice at once or, if its machine is down too, after the link timeout.
     void onHostDown(const HostId& host, bool isMachineDown = false);
     void setWantedLinks(const HostId& host, const LinksWanted& wanted);
-    void send(const HostId& from, model::Outgoing outgoing);
+    void send(const HostId& from, model::OutgoingMessage outgoing);
 
     /// Cuts the links between hosts for which `cut` is true; an empty function heals all links.
     void setCut(Cut cut);
@@ -49,7 +49,10 @@
     /// Sets the fraction of messages that need a retransmission.
     void setLoss(double share) { loss_ = share; }
     /// Drops the messages for which this is true, as if the link had failed and recovered at once.
-    void setDrop(std::function<bool(const HostId& from, const model::Outgoing&)> drop) { drop_ = std::move(drop); }
+    void setDrop(std::function<bool(const HostId& from, const model::OutgoingMessage&)> drop)
+    {
+        drop_ = std::move(drop);
+    }
     [[nodiscard]] uint64_t messagesSent() const { return messagesSent_; }
 
 private:
@@ -89,7 +92,7 @@
     std::map<Pair, Link> links_;
     Cut cut_;
     double loss_ = 0;
-    std::function<bool(const HostId&, const model::Outgoing&)> drop_;
+    std::function<bool(const HostId&, const model::OutgoingMessage&)> drop_;
     uint64_t messagesSent_ = 0;
     boost::random::mt19937_64 random_;
 };
--- a/src/membership/icredits.h
+++ b/src/membership/icredits.h
@@ -27,7 +27,7 @@
     /// The host was lost. Its windows stay reserved until they expire, because it may still send requests.
     virtual void noteHostLost(const HostId& host, Timestamp now) = 0;
     virtual void tick(Timestamp now) = 0;
-    [[nodiscard]] virtual std::vector<model::Outgoing> takeOutgoing() = 0;
+    [[nodiscard]] virtual std::vector<model::OutgoingMessage> takeOutgoing() = 0;
     [[nodiscard]] virtual uint32_t outstanding(const ServiceName& service, Timestamp now) const = 0;
 };
 
@@ -55,7 +55,7 @@
     /// Records that a request found no credit in the zone; requests more.
     virtual void noteWanted(const ServiceName& service, const ZoneName& zone, Timestamp now) = 0;
     virtual void tick(Timestamp now) = 0;
-    [[nodiscard]] virtual std::vector<model::Outgoing> takeOutgoing() = 0;
+    [[nodiscard]] virtual std::vector<model::OutgoingMessage> takeOutgoing() = 0;
 };
 
 struct CreditOptions {
--- a/src/membership/ihostroster.h
+++ b/src/membership/ihostroster.h
@@ -32,7 +32,7 @@
     /// A change is reported to all known control hosts at once.
     virtual void setState(model::HostState state) = 0;
     virtual void tick(Timestamp now) = 0;
-    [[nodiscard]] virtual std::vector<model::Outgoing> takeOutgoing() = 0;
+    [[nodiscard]] virtual std::vector<model::OutgoingMessage> takeOutgoing() = 0;
 
     /// Control hosts to keep links to, including the seeds; sorted.
     [[nodiscard]] virtual std::vector<HostId> controlHosts() const = 0;
--- a/src/membership/ihosttable.h
+++ b/src/membership/ihosttable.h
@@ -32,7 +32,7 @@
     virtual void noteLinkDown(const HostId& host, Timestamp now) = 0;
     virtual void tick(Timestamp now) = 0;
     /// Returns the heartbeats and reports to send since the last call.
-    [[nodiscard]] virtual std::vector<model::Outgoing> takeOutgoing() = 0;
+    [[nodiscard]] virtual std::vector<model::OutgoingMessage> takeOutgoing() = 0;
 
     [[nodiscard]] virtual const HostView* find(const HostId& host) const = 0;
     /// All known hosts except this one, by id; dead ones are removed after a timeout.
--- a/src/membership/internal/creditissuer.h
+++ b/src/membership/internal/creditissuer.h
@@ -21,7 +21,7 @@
     void handle(const HostId& from, const model::CreditRequest& request, Timestamp now) override;
     void noteHostLost(const HostId& host, Timestamp now) override;
     void tick(Timestamp now) override;
-    [[nodiscard]] std::vector<model::Outgoing> takeOutgoing() override;
+    [[nodiscard]] std::vector<model::OutgoingMessage> takeOutgoing() override;
     [[nodiscard]] uint32_t outstanding(const ServiceName& service, Timestamp now) const override;
 
 private:
@@ -53,7 +53,7 @@
 
     CreditOptions options_;
     std::map<ServiceName, Service> services_;
-    std::vector<model::Outgoing> outgoing_;
+    std::vector<model::OutgoingMessage> outgoing_;
 };
 
 } // namespace saltvane::membership
--- a/src/membership/internal/creditstore.cpp
+++ b/src/membership/internal/creditstore.cpp
@@ -198,7 +198,7 @@
     }
 }
 
-std::vector<model::Outgoing> CreditStore::takeOutgoing() { return std::exchange(outgoing_, {}); }
+std::vector<model::OutgoingMessage> CreditStore::takeOutgoing() { return std::exchange(outgoing_, {}); }
 
 void CreditStore::count(model::Counter counter) const
 {
--- a/src/membership/internal/creditstore.h
+++ b/src/membership/internal/creditstore.h
@@ -27,7 +27,7 @@
     void giveBack(const HostId& owner, const ServiceName& service, Timestamp now) override;
     void noteWanted(const ServiceName& service, const ZoneName& zone, Timestamp now) override;
     void tick(Timestamp now) override;
-    [[nodiscard]] std::vector<model::Outgoing> takeOutgoing() override;
+    [[nodiscard]] std::vector<model::OutgoingMessage> takeOutgoing() override;
 
 private:
     struct Key {
@@ -70,7 +70,7 @@
     CreditOptions options_;
     OwnerAccounts accounts_;
     uint64_t tieBreaker_ = 0; ///< Distributes ties among the owners.
-    std::vector<model::Outgoing> outgoing_;
+    std::vector<model::OutgoingMessage> outgoing_;
 };
 
 } // namespace saltvane::membership
--- a/src/membership/internal/hostroster.cpp
+++ b/src/membership/internal/hostroster.cpp
@@ -115,7 +115,7 @@
     sendReports(isToAllRegions, now);
 }
 
-std::vector<model::Outgoing> HostRoster::takeOutgoing() { return std::exchange(outgoing_, {}); }
+std::vector<model::OutgoingMessage> HostRoster::takeOutgoing() { return std::exchange(outgoing_, {}); }
 
 std::vector<HostId> HostRoster::controlHosts() const
 {
--- a/src/membership/internal/hostroster.h
+++ b/src/membership/internal/hostroster.h
@@ -21,7 +21,7 @@
     void setSeeds(std::vector<HostId> seeds) override { options_.seeds = std::move(seeds); }
     void setState(model::HostState state) override;
     void tick(Timestamp now) override;
-    [[nodiscard]] std::vector<model::Outgoing> takeOutgoing() override;
+    [[nodiscard]] std::vector<model::OutgoingMessage> takeOutgoing() override;
     [[nodiscard]] std::vector<HostId> controlHosts() const override;
     [[nodiscard]] std::vector<HostId> nearControlHosts() const override;
     [[nodiscard]] std::vector<const RosterEntry*> heardWithin(Duration age, Timestamp now) const override;
@@ -38,7 +38,7 @@
 
     HostRosterOptions options_;
     std::map<HostId, RosterEntry> entries_;
-    std::vector<model::Outgoing> outgoing_;
+    std::vector<model::OutgoingMessage> outgoing_;
     Timestamp nextHeartbeatAt_ {};
     Timestamp nextOtherRegionHeartbeatAt_ {};
     Timestamp nextReportAt_ {};
--- a/src/membership/internal/hosttable.cpp
+++ b/src/membership/internal/hosttable.cpp
@@ -191,7 +191,7 @@
     std::erase_if(reporters_, [&](const auto& item) { return !entries_.contains(item.second); });
 }
 
-std::vector<model::Outgoing> HostTable::takeOutgoing() { return std::exchange(outgoing_, {}); }
+std::vector<model::OutgoingMessage> HostTable::takeOutgoing() { return std::exchange(outgoing_, {}); }
 
 const HostView* HostTable::find(const HostId& host) const
 {
--- a/src/membership/internal/hosttable.h
+++ b/src/membership/internal/hosttable.h
@@ -23,7 +23,7 @@
     void noteLinkUp(const HostId& host, Timestamp now) override;
     void noteLinkDown(const HostId& host, Timestamp now) override;
     void tick(Timestamp now) override;
-    [[nodiscard]] std::vector<model::Outgoing> takeOutgoing() override;
+    [[nodiscard]] std::vector<model::OutgoingMessage> takeOutgoing() override;
 
     [[nodiscard]] const HostView* find(const HostId& host) const override;
     [[nodiscard]] std::vector<const HostView*> hosts() const override;
@@ -74,7 +74,7 @@
     Timestamp nextHeartbeatAt_ {};
     Timestamp nextReportAt_ {};
     Timestamp nextDiscoveryAt_ {};
-    std::vector<model::Outgoing> outgoing_;
+    std::vector<model::OutgoingMessage> outgoing_;
 };
 
 } // namespace saltvane::membership
--- a/src/membership/internal/targetdirectory.h
+++ b/src/membership/internal/targetdirectory.h
@@ -25,7 +25,7 @@
     [[nodiscard]] bool hasHandedAllOver() const override;
     void tick(Timestamp now) override;
     [[nodiscard]] std::vector<TargetChange> takeChanges() override;
-    [[nodiscard]] std::vector<model::Outgoing> takeOutgoing() override;
+    [[nodiscard]] std::vector<model::OutgoingMessage> takeOutgoing() override;
     [[nodiscard]] std::vector<TargetId> ownedTargets() const override;
 
 private:
@@ -64,7 +64,7 @@
     bool isLeaving_ = false;
     Timestamp nextBalanceAt_ {};
     std::vector<TargetChange> changes_;
-    std::vector<model::Outgoing> outgoing_;
+    std::vector<model::OutgoingMessage> outgoing_;
 };
 
 } // namespace saltvane::membership
--- a/src/membership/internal/targethandovers.cpp
+++ b/src/membership/internal/targethandovers.cpp
@@ -201,7 +201,7 @@
         reportOwned(entry);
 }
 
-std::vector<model::Outgoing> TargetDirectory::takeOutgoing()
+std::vector<model::OutgoingMessage> TargetDirectory::takeOutgoing()
 {
     for (auto& [target, entry] : entries_)
         sendPending(entry);
--- a/src/membership/itargetdirectory.h
+++ b/src/membership/itargetdirectory.h
@@ -34,7 +34,7 @@
     /// Expires leases; after a process stall it must run before the next dispatch.
     virtual void tick(Timestamp now) = 0;
     [[nodiscard]] virtual std::vector<TargetChange> takeChanges() = 0;
-    [[nodiscard]] virtual std::vector<model::Outgoing> takeOutgoing() = 0;
+    [[nodiscard]] virtual std::vector<model::OutgoingMessage> takeOutgoing() = 0;
     [[nodiscard]] virtual std::vector<TargetId> ownedTargets() const = 0;
 };
 
--- a/src/membership/tests/hostrostertests.cpp
+++ b/src/membership/tests/hostrostertests.cpp
@@ -28,9 +28,10 @@
     return {.from = record.host, .fromIncarnation = record.incarnation, .message = model::Heartbeat {.record = record}};
 }
 
-bool hasMessageTo(const std::vector<model::Outgoing>& outgoing, const std::string& host)
+bool hasMessageTo(const std::vector<model::OutgoingMessage>& outgoing, const std::string& host)
 {
-    return std::ranges::any_of(outgoing, [&](const model::Outgoing& message) { return message.to == HostId(host); });
+    return std::ranges::any_of(
+        outgoing, [&](const model::OutgoingMessage& message) { return message.to == HostId(host); });
 }
 
 } // namespace
@@ -113,7 +114,7 @@
     roster->tick(now);
     (void)roster->takeOutgoing();
     roster->setState(model::HostState::Leaving);
-    const std::vector<model::Outgoing> outgoing = roster->takeOutgoing();
+    const std::vector<model::OutgoingMessage> outgoing = roster->takeOutgoing();
     ASSERT_EQ(outgoing.size(), 1U);
     EXPECT_EQ(std::get<model::Heartbeat>(outgoing[0].message).record.state, model::HostState::Leaving);
 }
@@ -127,25 +128,25 @@
     return record;
 }
 
-size_t messagesTo(const std::vector<model::Outgoing>& outgoing, const std::string& host)
+size_t messagesTo(const std::vector<model::OutgoingMessage>& outgoing, const std::string& host)
 {
-    return static_cast<size_t>(
-        std::ranges::count_if(outgoing, [&](const model::Outgoing& message) { return message.to == HostId(host); }));
+    return static_cast<size_t>(std::ranges::count_if(
+        outgoing, [&](const model::OutgoingMessage& message) { return message.to == HostId(host); }));
 }
 
 /// Returns the messages that the roster sends in `duration`. Ticks every 20 ms; sends the heartbeats of `received`
 /// every 200 ms.
-std::vector<model::Outgoing> runFor(
+std::vector<model::OutgoingMessage> runFor(
     IHostRoster& roster, Duration duration, const std::vector<model::HostRecord>& received, Timestamp& now)
 {
-    std::vector<model::Outgoing> all;
+    std::vector<model::OutgoingMessage> all;
     for (int step = 0; step * 20ms < duration; ++step, now += 20ms) {
         for (const model::HostRecord& record : received) {
             if (step % 10 == 0)
                 roster.handle(heartbeat(record), now);
         }
         roster.tick(now);
-        for (model::Outgoing& outgoing : roster.takeOutgoing())
+        for (model::OutgoingMessage& outgoing : roster.takeOutgoing())
             all.push_back(std::move(outgoing));
     }
     return all;
@@ -158,7 +159,7 @@
     const auto roster = makeHostRoster({.self = recordIn("g", false, "r"), .seeds = {}});
     Timestamp now(10s);
     const std::vector received {recordIn("local", true, "r"), recordIn("remote", true, "s")};
-    const std::vector<model::Outgoing> sent = runFor(*roster, 12s, received, now);
+    const std::vector<model::OutgoingMessage> sent = runFor(*roster, 12s, received, now);
     EXPECT_GE(messagesTo(sent, "local"), 38U);
     EXPECT_GE(messagesTo(sent, "remote"), 9U);
     EXPECT_LE(messagesTo(sent, "remote"), 11U);
@@ -170,7 +171,7 @@
 {
     const auto roster = makeHostRoster({.self = recordIn("g", false, "r"), .seeds = {}});
     Timestamp now(10s);
-    const std::vector<model::Outgoing> sent = runFor(*roster, 12s, {recordIn("remote", true, "s")}, now);
+    const std::vector<model::OutgoingMessage> sent = runFor(*roster, 12s, {recordIn("remote", true, "s")}, now);
     EXPECT_GE(messagesTo(sent, "remote"), 38U);
 }
 
@@ -179,7 +180,7 @@
     const auto roster = makeHostRoster({.self = recordIn("c", true, "r"), .seeds = {}});
     Timestamp now(10s);
     const std::vector received {recordIn("g-local", false, "r"), recordIn("g-remote", false, "s")};
-    const std::vector<model::Outgoing> sent = runFor(*roster, 20s, received, now);
+    const std::vector<model::OutgoingMessage> sent = runFor(*roster, 20s, received, now);
     EXPECT_GE(messagesTo(sent, "g-local"), 18U);
     EXPECT_LE(messagesTo(sent, "g-remote"), 5U);
     const std::vector withNewControlHost {received[0], received[1], recordIn("c2", true, "s")};
--- a/src/membership/tests/hosttabletests.cpp
+++ b/src/membership/tests/hosttabletests.cpp
@@ -27,7 +27,7 @@
     struct InFlight {
         Timestamp at {};
         HostId from;
-        model::Outgoing outgoing;
+        model::OutgoingMessage outgoing;
     };
 
     void add(const std::string& host, const std::string& zone, const std::string& region, uint64_t incarnation = 1)
@@ -91,7 +91,7 @@
             if (!member.isRunning)
                 continue;
             member.table->tick(now_);
-            for (model::Outgoing& outgoing : member.table->takeOutgoing()) {
+            for (model::OutgoingMessage& outgoing : member.table->takeOutgoing()) {
                 ++sent_;
                 if (member.links.contains(outgoing.to) && !isCut(id, outgoing.to))
                     inFlight_.push_back({now_ + delay_, id, std::move(outgoing)});
--- a/src/membership/tests/membershipfakes.h
+++ b/src/membership/tests/membershipfakes.h
@@ -45,7 +45,7 @@
     bool handle(const HostId&, const model::ZoneReport&, Timestamp) override { return false; }
     void noteLinkDown(const HostId&, Timestamp) override { }
     void tick(Timestamp) override { }
-    std::vector<model::Outgoing> takeOutgoing() override { return {}; }
+    std::vector<model::OutgoingMessage> takeOutgoing() override { return {}; }
     const HostView* find(const HostId& host) const override
     {
         const auto found = views_.find(host);
--- a/src/membership/tests/ownershipfuzztests.cpp
+++ b/src/membership/tests/ownershipfuzztests.cpp
@@ -209,13 +209,13 @@
         }
         for (const auto& [target, use] : host.pool)
             host.directory->noteUse(target, use.inFlight, 0);
-        for (const model::Outgoing& outgoing : host.directory->takeOutgoing())
+        for (const model::OutgoingMessage& outgoing : host.directory->takeOutgoing())
             sendLink(host, outgoing);
         if (host.directory->hasHandedAllOver() && host.stopAt == Timestamp {})
             host.stopAt = now_ + 100ms;
     }
 
-    void sendLink(Host& from, const model::Outgoing& outgoing)
+    void sendLink(Host& from, const model::OutgoingMessage& outgoing)
     {
         const auto to
             = std::ranges::find_if(hosts_, [&](const Host& host) { return host.identity.host == outgoing.to; });
--- a/src/membership/tests/targetdirectorytests.cpp
+++ b/src/membership/tests/targetdirectorytests.cpp
@@ -32,8 +32,8 @@
     /// Delivers the pending messages of `from` to `to`; returns their number.
     static size_t deliver(ITargetDirectory& from, const HostIdentity& sender, ITargetDirectory& to, Timestamp now)
     {
-        const std::vector<model::Outgoing> messages = from.takeOutgoing();
-        for (const model::Outgoing& outgoing : messages) {
+        const std::vector<model::OutgoingMessage> messages = from.takeOutgoing();
+        for (const model::OutgoingMessage& outgoing : messages) {
             if (const auto* handover = std::get_if<model::OwnershipHandover>(&outgoing.message))
                 to.handle(sender.host, *handover, now);
             else if (const auto* progress = std::get_if<model::HandoverProgress>(&outgoing.message))
@@ -299,7 +299,7 @@
     makeOwner(*a);
     hosts_.set(zoneHost, 0);
     (void)target_.announceTo(*a, Start + 500ms);
-    const std::vector<model::Outgoing> outgoing = a->takeOutgoing();
+    const std::vector<model::OutgoingMessage> outgoing = a->takeOutgoing();
     ASSERT_EQ(outgoing.size(), 1u);
     EXPECT_EQ(outgoing.front().to, zoneHost.host);
 }
--- a/src/model/latency.h
+++ b/src/model/latency.h
@@ -14,18 +14,19 @@
 namespace saltvane::model {
 
 /// Upper bounds of the latency histogram buckets, in seconds. One more bucket counts all larger values.
-inline constexpr std::array<double, 13> LatencyBounds {0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.4, 0.6, 1, 2, 4, 8};
+inline constexpr std::array<double, 13> LatencyBucketBoundsSeconds {
+    0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.4, 0.6, 1, 2, 4, 8};
 
 /// A latency histogram, exported by the metrics endpoint.
 struct LatencyHistogram {
-    std::array<uint64_t, LatencyBounds.size() + 1> counts {};
+    std::array<uint64_t, LatencyBucketBoundsSeconds.size() + 1> counts {};
     double sumSeconds = 0;
 
     void add(Duration duration)
     {
         const double seconds = toSeconds(duration);
         size_t bucket = 0;
-        while (bucket < LatencyBounds.size() && seconds > LatencyBounds.at(bucket))
+        while (bucket < LatencyBucketBoundsSeconds.size() && seconds > LatencyBucketBoundsSeconds.at(bucket))
             ++bucket;
         ++counts.at(bucket);
         sumSeconds += seconds;
--- a/src/model/message.h
+++ b/src/model/message.h
@@ -31,7 +31,7 @@
 };
 
 /// A message to send to one host. It is dropped silently if no link to that host is up.
-struct Outgoing {
+struct OutgoingMessage {
     HostId to;
     Message message;
 };
--- a/src/model/targetmessages.h
+++ b/src/model/targetmessages.h
@@ -17,7 +17,7 @@
 
 /// A target whose last heartbeat is this old is no longer used. Heartbeats are sent every 1 to 2 s and may arrive a few
 /// seconds late.
-constexpr Duration TargetSilenceLimit = 12s;
+constexpr Duration TargetHeartbeatTimeout = 12s;
 
 /// One start of a target. A target may restart under the same id; its later incarnation always replaces the earlier
 /// one, in whatever order reports of them arrive (docs/design/0012-target-incarnations.md).
@@ -38,7 +38,7 @@
     bool isLeaving = false;
     Duration slowStartLeft {}; ///< Remaining slow start at the time of the report.
     uint64_t sequence = 0; ///< Of the target's reports; a higher sequence replaces a lower one.
-    Duration age {}; ///< Time since the report arrived. TargetSilenceLimit or more: the target is unresponsive.
+    Duration age {}; ///< Time since the report arrived. TargetHeartbeatTimeout or more: the target is unresponsive.
     HostId slowStartHost; ///< The only gateway that may use the target during its slow start; empty: unknown.
     /// Restored from disk after a restart of the control host: true until the target reports again or becomes
     /// unresponsive. A report of another target at the same address always takes precedence.
--- a/src/net/inetadapters.h
+++ b/src/net/inetadapters.h
@@ -87,7 +87,7 @@
 public:
     virtual ~ILinkHub() = default;
     virtual void carryOut(const host::LinksWanted& action) = 0;
-    virtual void send(const model::Outgoing& outgoing) = 0;
+    virtual void send(const model::OutgoingMessage& outgoing) = 0;
     [[nodiscard]] virtual LinkBacklog backlog() const = 0;
     /// The address that the hub listens on; its port differs from the options' if that is 0.
     [[nodiscard]] virtual model::Address boundAddress() const = 0;
--- a/src/net/internal/linkhub.cpp
+++ b/src/net/internal/linkhub.cpp
@@ -269,7 +269,7 @@
     }
 }
 
-void LinkHub::send(const model::Outgoing& outgoing)
+void LinkHub::send(const model::OutgoingMessage& outgoing)
 {
     const auto found = peers_.find(outgoing.to);
     if (found == peers_.end() || found->second.current == nullptr)
--- a/src/net/internal/linkhub.h
+++ b/src/net/internal/linkhub.h
@@ -36,7 +36,7 @@
     [[nodiscard]] Result<Done, IoError> start();
 
     void carryOut(const host::LinksWanted& action) override;
-    void send(const model::Outgoing& outgoing) override;
+    void send(const model::OutgoingMessage& outgoing) override;
     [[nodiscard]] LinkBacklog backlog() const override;
     [[nodiscard]] model::Address boundAddress() const override { return boundAddress_; }
 
--- a/src/net/internal/recordseal.cpp
+++ b/src/net/internal/recordseal.cpp
@@ -18,7 +18,7 @@
 static_assert(LinkKeyBytes == crypto_stream_chacha20_KEYBYTES);
 
 constexpr size_t MaxFrameHeaderBytes = 64; ///< Upper bound on a frame's bytes beside its envelope.
-constexpr size_t MaxRecordBytes = wire::LargestFrame + MaxFrameHeaderBytes;
+constexpr size_t MaxRecordBytes = wire::MaxFrameBytes + MaxFrameHeaderBytes;
 
 } // namespace
 
--- a/src/net/tests/linkprotocoltests.cpp
+++ b/src/net/tests/linkprotocoltests.cpp
@@ -70,7 +70,7 @@
         std::string changed = second;
         changed[second.size() / 2] ^= 1;
         const std::vector<std::string> sequences {
-            first + changed, first + first, second + first, first + encodeLinkInteger(wire::LargestFrame * 2, 4)};
+            first + changed, first + first, second + first, first + encodeLinkInteger(wire::MaxFrameBytes * 2, 4)};
         const size_t before = a.claims().size();
         peer.socket.send(sequences[static_cast<size_t>(fault)]);
         ASSERT_TRUE(runner.runUntil([&] { return peer.socket.isPeerDisconnected(); }));
--- a/src/registry/internal/calls.cpp
+++ b/src/registry/internal/calls.cpp
@@ -88,7 +88,7 @@
 
 BundleVersion statedVersion(std::string_view plan)
 {
-    const Json json = Json::parse(settings::withoutLists(plan), nullptr, false);
+    const Json json = Json::parse(settings::planWithoutLists(plan), nullptr, false);
     if (!json.is_object() || !json.contains("version") || !json["version"].is_number_unsigned())
         return {};
     return {json["version"].get<uint64_t>()};
@@ -97,7 +97,7 @@
 std::set<ServiceName> statedServices(std::string_view plan)
 {
     std::set<ServiceName> services;
-    const Json json = Json::parse(settings::withoutLists(plan), nullptr, false);
+    const Json json = Json::parse(settings::planWithoutLists(plan), nullptr, false);
     if (!json.is_object() || !json.contains("services"))
         return services;
     for (const Json& service : json["services"]) {
--- a/src/registry/internal/creditpool.cpp
+++ b/src/registry/internal/creditpool.cpp
@@ -314,9 +314,9 @@
         limitStates_.erase(id);
 }
 
-std::vector<model::Outgoing> CreditPool::takeOutgoing()
+std::vector<model::OutgoingMessage> CreditPool::takeOutgoing()
 {
-    std::vector<model::Outgoing> outgoing;
+    std::vector<model::OutgoingMessage> outgoing;
     for (auto& [host, request] : requests_)
         outgoing.push_back({.to = host, .message = std::move(request)});
     for (auto& [host, reply] : replies_)
--- a/src/registry/internal/planqueue.cpp
+++ b/src/registry/internal/planqueue.cpp
@@ -32,8 +32,8 @@
     if (entries_.empty())
         return std::nullopt;
     if (!std::exchange(isFirstBeingPrepared_, true))
-        reader_.prepare(entries_.front().order.content);
-    if (!reader_.prepareSome(ItemsPerTick))
+        reader_.startReadAhead(entries_.front().order.content);
+    if (!reader_.readAhead(ItemsPerTick))
         return std::nullopt;
     return popUnprepared();
 }
--- a/src/registry/internal/registrycore.cpp
+++ b/src/registry/internal/registrycore.cpp
@@ -287,9 +287,9 @@
     actions_.emplace_back(host::LogLine {.severity = severity, .module = "registry", .text = std::move(text)});
 }
 
-void RegistryCore::send(std::vector<model::Outgoing> outgoing)
+void RegistryCore::send(std::vector<model::OutgoingMessage> outgoing)
 {
-    for (model::Outgoing& message : outgoing)
+    for (model::OutgoingMessage& message : outgoing)
         actions_.emplace_back(requests::Action(std::move(message)));
 }
 
--- a/src/registry/internal/registrycore.h
+++ b/src/registry/internal/registrycore.h
@@ -131,7 +131,7 @@
     void updateLinks();
     void logLeaderChange(Timestamp now);
     void log(host::LogSeverity severity, std::string text);
-    void send(std::vector<model::Outgoing> outgoing);
+    void send(std::vector<model::OutgoingMessage> outgoing);
 
     settings::RoutedHostSettings settings_;
     HostId self_;
--- a/src/registry/internal/softstate.cpp
+++ b/src/registry/internal/softstate.cpp
@@ -12,7 +12,7 @@
 /// hosts and gateways restart, gateways would learn of the targets that much later than of the plan, and refuse
 /// requests that could be served. Recalled targets are only hints: requests to a target carry its id, so that another
 /// process at its address doesn't run them; recalled targets are sent only once the log is proven current; and they
-/// expire unless the target reports within model::TargetSilenceLimit. docs/design/0011-common-restart.md
+/// expire unless the target reports within model::TargetHeartbeatTimeout. docs/design/0011-common-restart.md
 namespace saltvane::registry {
 
 namespace {
--- a/src/registry/internal/targetbook.cpp
+++ b/src/registry/internal/targetbook.cpp
@@ -284,7 +284,7 @@
 
 bool TargetBook::isUnresponsive(const Entry& entry, Timestamp now)
 {
-    return now - entry.receivedAt >= model::TargetSilenceLimit;
+    return now - entry.receivedAt >= model::TargetHeartbeatTimeout;
 }
 
 std::vector<model::TargetRecord> TargetBook::all(std::span<const HostLocation> gateways, Timestamp now) const
--- a/src/registry/tests/incarnationtests.cpp
+++ b/src/registry/tests/incarnationtests.cpp
@@ -200,7 +200,7 @@
     ASSERT_EQ(table.all({}, now).size(), 1U);
     EXPECT_EQ(table.all({}, now).front().target, TargetId("later"));
     // Once the later one is unresponsive, its address is free.
-    now += model::TargetSilenceLimit;
+    now += model::TargetHeartbeatTimeout;
     (void)table.takeNews({}, now);
     EXPECT_TRUE(table.note(recordOf("earlier", 1000, 71, 9000), now));
 }
@@ -214,7 +214,7 @@
     EXPECT_TRUE(table.note(recordOf("t-1", 2000, 9, 9000), now));
     now += 1s;
     EXPECT_FALSE(table.note(recordOf("t-1", 1000, 1, 9000), now));
-    now += model::TargetSilenceLimit;
+    now += model::TargetHeartbeatTimeout;
     (void)table.takeNews({}, now);
     EXPECT_TRUE(table.note(recordOf("t-1", 1000, 9, 9000), now));
 }
--- a/src/registry/tests/membershiptests.cpp
+++ b/src/registry/tests/membershiptests.cpp
@@ -228,7 +228,7 @@
     }
     const std::vector<model::TargetRecord> records = drainRecords(cluster_, Gateway);
     ASSERT_EQ(records.size(), 1U);
-    EXPECT_GE(records[0].age, model::TargetSilenceLimit);
+    EXPECT_GE(records[0].age, model::TargetHeartbeatTimeout);
     report("t-1", 2);
     EXPECT_EQ(drainRecords(cluster_, Gateway).size(), 1U); // It is reported again.
 }
@@ -327,7 +327,7 @@
     }
     const std::vector<model::TargetRecord> last = drainRecords(cluster_, Gateway);
     ASSERT_EQ(last.size(), 1U);
-    EXPECT_GE(last[0].age, model::TargetSilenceLimit);
+    EXPECT_GE(last[0].age, model::TargetHeartbeatTimeout);
 }
 
 TEST_F(TargetUpdateTest, DelayedHeartbeatDoesNotRestoreADisplacedTarget)
--- a/src/registry/tests/registrycluster.cpp
+++ b/src/registry/tests/registrycluster.cpp
@@ -215,7 +215,7 @@
     return control::StorageDone {.sequence = write.sequence};
 }
 
-void RegistryCluster::sendMessage(size_t from, const model::Outgoing& outgoing)
+void RegistryCluster::sendMessage(size_t from, const model::OutgoingMessage& outgoing)
 {
     const std::optional<size_t> to = numberOf(outgoing.to);
     if (!to) {
@@ -254,7 +254,7 @@
                 for (const auto& peer : links->peers)
                     host.wantedLinks.insert(peer.host);
             } else if (auto* request = std::get_if<requests::Action>(&action)) {
-                if (const auto* outgoing = std::get_if<model::Outgoing>(request))
+                if (const auto* outgoing = std::get_if<model::OutgoingMessage>(request))
                     sendMessage(number, *outgoing);
                 else if (auto* response = std::get_if<requests::HttpRespond>(request))
                     responses_.insert_or_assign(response->handle, std::move(*response));
--- a/src/registry/tests/registrycluster.h
+++ b/src/registry/tests/registrycluster.h
@@ -30,7 +30,7 @@
     /// The time that a link between two hosts is busy with a message; later messages queue behind it. Empty: zero.
     std::function<Duration(const model::Message&)> sendingTime;
     /// Handles what host `from` sends to a gateway. Empty: messages are stored for drainSentTo().
-    std::function<void(size_t from, const model::Outgoing&)> toGateway;
+    std::function<void(size_t from, const model::OutgoingMessage&)> toGateway;
     std::function<void()> onStep; ///< After each step of virtual time.
 
     /// Gives each host this fraction of a core from now on: messages to a busy host wait. 0: work takes no time.
@@ -131,7 +131,7 @@
     void processActions(size_t number);
     /// Returns the resulting event.
     [[nodiscard]] static host::Event write(Host& host, const control::StorageWrite& write);
-    void sendMessage(size_t from, const model::Outgoing& outgoing);
+    void sendMessage(size_t from, const model::OutgoingMessage& outgoing);
     void deliver();
     void connect();
 
--- a/src/registry/tests/targetbooktests.cpp
+++ b/src/registry/tests/targetbooktests.cpp
@@ -61,7 +61,7 @@
     leaving.isLeaving = true;
     EXPECT_TRUE(changes([&] { (void)table_.note(leaving, now_); }));
     EXPECT_TRUE(changes([this] { table_.remove({.target = TargetId("t-1")}); }));
-    now_ += model::TargetSilenceLimit;
+    now_ += model::TargetHeartbeatTimeout;
     EXPECT_TRUE(changes([this] { (void)table_.takeNews({}, now_); })) << "a target that became unresponsive";
 }
 
--- a/src/requests/exchangetypes.h
+++ b/src/requests/exchangetypes.h
@@ -180,6 +180,6 @@
 };
 
 using Action = std::variant<HttpRespond, HttpResponseBody, HttpAbort, HttpRequestWindow, TargetStart, TargetRequestBody,
-    TargetResponseWindow, TargetCancel, model::Outgoing, AccessRecord>;
+    TargetResponseWindow, TargetCancel, model::OutgoingMessage, AccessRecord>;
 
 } // namespace saltvane::requests
--- a/src/requests/internal/entrycontext.h
+++ b/src/requests/internal/entrycontext.h
@@ -44,7 +44,7 @@
 
     template <typename Sent> void send(const HostId& to, Sent message)
     {
-        actions.emplace_back(model::Outgoing {.to = to, .message = std::move(message)});
+        actions.emplace_back(model::OutgoingMessage {.to = to, .message = std::move(message)});
     }
 };
 
--- a/src/requests/internal/ownerdispatcher.cpp
+++ b/src/requests/internal/ownerdispatcher.cpp
@@ -289,7 +289,7 @@
 
 void OwnerDispatcher::send(const OwnerExchange& exchange, model::Message message)
 {
-    emit(model::Outgoing {.to = exchange.key.host, .message = std::move(message)});
+    emit(model::OutgoingMessage {.to = exchange.key.host, .message = std::move(message)});
 }
 
 void OwnerDispatcher::tick(Timestamp now)
--- a/src/requests/tests/entryfixture.cpp
+++ b/src/requests/tests/entryfixture.cpp
@@ -120,7 +120,7 @@
             aborted_.push_back(abort->handle);
         } else if (auto* window = std::get_if<HttpRequestWindow>(&action)) {
             windows_.push_back(*window);
-        } else if (auto* outgoing = std::get_if<model::Outgoing>(&action)) {
+        } else if (auto* outgoing = std::get_if<model::OutgoingMessage>(&action)) {
             outgoing_.push_back(std::move(*outgoing));
         } else if (auto* record = std::get_if<AccessRecord>(&action)) {
             records_.push_back(*record);
--- a/src/requests/tests/entryfixture.h
+++ b/src/requests/tests/entryfixture.h
@@ -72,7 +72,7 @@
     template <typename Sent> std::vector<Sent> sent() const
     {
         std::vector<Sent> found;
-        for (const model::Outgoing& outgoing : outgoing_) {
+        for (const model::OutgoingMessage& outgoing : outgoing_) {
             if (const auto* message = std::get_if<Sent>(&outgoing.message))
                 found.push_back(*message);
         }
@@ -94,7 +94,7 @@
     std::vector<HttpHandle> aborted_;
     std::vector<HttpHandle> finished_;
     std::vector<HttpRequestWindow> windows_;
-    std::vector<model::Outgoing> outgoing_;
+    std::vector<model::OutgoingMessage> outgoing_;
     std::vector<AccessRecord> records_;
 };
 
--- a/src/requests/tests/entrystresstests.cpp
+++ b/src/requests/tests/entrystresstests.cpp
@@ -330,7 +330,7 @@
         checker_.recordBrokenResponse(nameOf(action.handle));
         std::erase(openCalls_, nameOf(action.handle));
     }
-    void handleAction(model::Outgoing& action)
+    void handleAction(model::OutgoingMessage& action)
     {
         const HostId to = action.to;
         if (const auto* forward = std::get_if<model::ForwardRequest>(&action.message))
--- a/src/requests/tests/fakecreditstore.h
+++ b/src/requests/tests/fakecreditstore.h
@@ -52,7 +52,7 @@
     }
     void noteWanted(const ServiceName&, const ZoneName&, Timestamp) override { ++requested; }
     void tick(Timestamp) override { }
-    [[nodiscard]] std::vector<model::Outgoing> takeOutgoing() override { return {}; }
+    [[nodiscard]] std::vector<model::OutgoingMessage> takeOutgoing() override { return {}; }
 
     [[nodiscard]] int taken() const
     {
--- a/src/requests/tests/ownerchecker.cpp
+++ b/src/requests/tests/ownerchecker.cpp
@@ -151,7 +151,7 @@
     return found == exchanges_.end() ? nullptr : &found->second;
 }
 
-void OwnerChecker::onAction(const model::Outgoing& outgoing)
+void OwnerChecker::onAction(const model::OutgoingMessage& outgoing)
 {
     std::visit(
         [&](const auto& message) {
--- a/src/requests/tests/ownerchecker.h
+++ b/src/requests/tests/ownerchecker.h
@@ -81,7 +81,7 @@
     void onAction(const TargetResponseWindow& window);
     void onAction(const TargetCancel& cancel);
     void onAction(const AccessRecord& /*record*/) { ++records_; }
-    void onAction(const model::Outgoing& outgoing);
+    void onAction(const model::OutgoingMessage& outgoing);
     template <typename Other> void onAction(const Other& /*action*/) { report("action of the entry side"); }
 
     void onMessage(Exchange& exchange, const model::ForwardResponseHead& head);
--- a/src/requests/tests/ownerfixture.h
+++ b/src/requests/tests/ownerfixture.h
@@ -83,7 +83,7 @@
     template <typename Kind> std::vector<Kind> sent() const
     {
         std::vector<Kind> found;
-        for (const model::Outgoing& outgoing : actions<model::Outgoing>()) {
+        for (const model::OutgoingMessage& outgoing : actions<model::OutgoingMessage>()) {
             if (const auto* kind = std::get_if<Kind>(&outgoing.message))
                 found.push_back(*kind);
         }
--- a/src/requests/tests/ownerstresstests.cpp
+++ b/src/requests/tests/ownerstresstests.cpp
@@ -52,7 +52,7 @@
     }
     static Action endMessage(Outcome outcome)
     {
-        return model::Outgoing {
+        return model::OutgoingMessage {
             .to = HostId("entry"), .message = model::ForwardEnd {.correlation = {1}, .outcome = outcome}};
     }
     bool hasFinding(std::string_view text) const
@@ -104,9 +104,10 @@
 
 TEST_F(OwnerCheckerTest, FindsMixedResponses)
 {
-    checker_.check({model::Outgoing {.to = HostId("entry"), .message = model::ForwardResponseHead {.correlation = {1}}},
-        model::Outgoing {
-            .to = HostId("entry"), .message = model::ForwardBody {.correlation = {1}, .bytes = bodyBytes(2, 0, 3)}}});
+    checker_.check(
+        {model::OutgoingMessage {.to = HostId("entry"), .message = model::ForwardResponseHead {.correlation = {1}}},
+            model::OutgoingMessage {.to = HostId("entry"),
+                .message = model::ForwardBody {.correlation = {1}, .bytes = bodyBytes(2, 0, 3)}}});
     EXPECT_TRUE(hasFinding("wrong bytes"));
 }
 
--- a/src/saltvaned/internal/daemon.cpp
+++ b/src/saltvaned/internal/daemon.cpp
@@ -218,7 +218,7 @@
         void operator()(requests::TargetRequestBody& item) { daemon.targetClient_->carryOut(std::move(item)); }
         void operator()(requests::TargetResponseWindow& item) { daemon.targetClient_->carryOut(item); }
         void operator()(requests::TargetCancel& item) { daemon.targetClient_->carryOut(item); }
-        void operator()(model::Outgoing& item) { daemon.linkHub_->send(item); }
+        void operator()(model::OutgoingMessage& item) { daemon.linkHub_->send(item); }
         void operator()(requests::AccessRecord& item) { logAccess(item); }
     };
     std::visit(Visitor {*this}, action);
--- a/src/saltvaned/internal/daemonadapters.cpp
+++ b/src/saltvaned/internal/daemonadapters.cpp
@@ -116,7 +116,7 @@
         .memoryBytes = settings.limits.memoryBytes});
     if (!linked)
         return linked;
-    const int bufferBytes = socketBufferBytes(settings.linkMegabits);
+    const int bufferBytes = socketBufferBytes(settings.linkMegabitsPerSecond);
     if (auto opened = openTargetClient(GatewayConnectTimeout, bufferBytes); settings.isGateway && !opened)
         return opened;
     // In the order of gateway::Listener and registry::Listener.
--- a/src/saltvaned/internal/metricstext.cpp
+++ b/src/saltvaned/internal/metricstext.cpp
@@ -108,8 +108,9 @@
         uint64_t count = 0;
         for (size_t i = 0; i < latency.histogram.counts.size(); ++i) {
             count += latency.histogram.counts.at(i);
-            const bool isLast = i == model::LatencyBounds.size();
-            const double bound = isLast ? std::numeric_limits<double>::infinity() : model::LatencyBounds.at(i);
+            const bool isLast = i == model::LatencyBucketBoundsSeconds.size();
+            const double bound
+                = isLast ? std::numeric_limits<double>::infinity() : model::LatencyBucketBoundsSeconds.at(i);
             metric.histogram.bucket.push_back({count, bound});
         }
         metric.histogram.sample_count = count;
--- a/src/settings/internal/plantext.cpp
+++ b/src/settings/internal/plantext.cpp
@@ -175,7 +175,7 @@
 
 std::optional<PlanText> splitPlanText(std::string_view text) { return PlanSplitter(text).split(); }
 
-std::string withoutLists(std::string_view plan)
+std::string planWithoutLists(std::string_view plan)
 {
     std::optional<PlanText> split = splitPlanText(plan);
     return split ? std::move(split->remainder) : std::string(plan);
--- a/src/settings/internal/routedhostparser.cpp
+++ b/src/settings/internal/routedhostparser.cpp
@@ -147,7 +147,7 @@
     {
         settings_.retries.ratio = root_.decimal("retry_ratio", settings_.retries.ratio);
         settings_.retries.slack = root_.decimal("retry_slack", settings_.retries.slack);
-        settings_.linkMegabits = root_.decimal("link_mbps", settings_.linkMegabits);
+        settings_.linkMegabitsPerSecond = root_.decimal("link_mbps", settings_.linkMegabitsPerSecond);
         settings_.shiftCap = root_.decimal("shift_cap", settings_.shiftCap);
         settings_.lookUpTtl = root_.duration("look_up_ttl_s", 1s, settings_.lookUpTtl, TtlRange);
         settings_.leaveLimit = root_.duration("leave_limit_s", 1s, settings_.leaveLimit, PropagationLimitRange);
--- a/src/settings/internal/routeplanreader.cpp
+++ b/src/settings/internal/routeplanreader.cpp
@@ -112,7 +112,7 @@
 RoutePlanReader::RoutePlanReader(RoutePlanReader&&) noexcept = default;
 RoutePlanReader& RoutePlanReader::operator=(RoutePlanReader&&) noexcept = default;
 
-void RoutePlanReader::prepare(std::string_view text)
+void RoutePlanReader::startReadAhead(std::string_view text)
 {
     routes_.itemsReadAhead.clear();
     accounts_.itemsReadAhead.clear();
@@ -139,7 +139,7 @@
     return items;
 }
 
-bool RoutePlanReader::prepareSome(size_t items)
+bool RoutePlanReader::readAhead(size_t items)
 {
     if (!readAheadState_)
         return true;
--- a/src/settings/routedhostsettings.h
+++ b/src/settings/routedhostsettings.h
@@ -75,7 +75,7 @@
     Duration lookUpTtl = 2s;
     Duration leaveLimit = 2500ms; ///< From acknowledging that a target leaves until it gets no more requests.
     Duration planLimit = 2500ms; ///< From acknowledging a plan until it is in force on all hosts.
-    double linkMegabits = 0; ///< Capacity of this host's network link, in Mbit/s; 0: unknown, no limit.
+    double linkMegabitsPerSecond = 0; ///< Capacity of this host's network link, in Mbit/s; 0: unknown, no limit.
     Limits limits;
 
     [[nodiscard]] HostId host() const { return HostId(toString(linkAddress)); }
--- a/src/settings/routeplanformat.h
+++ b/src/settings/routeplanformat.h
@@ -19,6 +19,6 @@
 
 /// The plan's text with empty lists of routes and client accounts, which is cheap to parse. Returns the text unchanged
 /// if it has no list of routes.
-[[nodiscard]] std::string withoutLists(std::string_view plan);
+[[nodiscard]] std::string planWithoutLists(std::string_view plan);
 
 } // namespace saltvane::settings
--- a/src/settings/routeplanreader.h
+++ b/src/settings/routeplanreader.h
@@ -35,10 +35,10 @@
     [[nodiscard]] std::optional<std::vector<model::AccountRef>> readAccounts(std::string_view text);
     [[nodiscard]] Result<model::RoutePlan, Findings> read(std::string_view text, const std::string& sourceName);
     /// Starts reading a plan ahead of read(), which then only scans the text. One plan at a time; `text` must remain
-    /// valid until prepareSome() has returned true.
-    void prepare(std::string_view text);
+    /// valid until readAhead() has returned true.
+    void startReadAhead(std::string_view text);
     /// Parses up to `items` of the plan's new routes and accounts. Returns true when nothing is left to read ahead.
-    [[nodiscard]] bool prepareSome(size_t items);
+    [[nodiscard]] bool readAhead(size_t items);
 
     /// Number of routes in the last plan that the previous plan did not have.
     [[nodiscard]] size_t newRoutes() const { return routes_.added.size(); }
--- a/src/settings/tests/routeplanreadertests.cpp
+++ b/src/settings/tests/routeplanreadertests.cpp
@@ -100,17 +100,17 @@
     Json plan = planOf(Routes);
     plan["client_accounts"] = accountsOf(Part);
     const std::string text = plan.dump();
-    reader.prepare(text);
+    reader.startReadAhead(text);
     size_t parts = 1;
-    while (!reader.prepareSome(Part))
+    while (!reader.readAhead(Part))
         ++parts;
     EXPECT_EQ(parts, (Routes + Part + Part - 1) / Part);
     const Result<model::RoutePlan, Findings> read = reader.read(text, "plan");
     ASSERT_TRUE(read);
     EXPECT_EQ(reader.newRoutes(), Routes);
     EXPECT_EQ(describe(read), describe(parseRoutePlan(text, "plan")));
-    reader.prepare(text);
-    EXPECT_TRUE(reader.prepareSome(1)); // All items are cached.
+    reader.startReadAhead(text);
+    EXPECT_TRUE(reader.readAhead(1)); // All items are cached.
 }
 
 TEST(RoutePlanReaderTest, OnlyAChangedAccountIsParsed)
@@ -219,8 +219,8 @@
             }
         }
         if (draw(2) == 0) {
-            reader.prepare(text);
-            while (draw(8) != 0 && !reader.prepareSome(draw(5)))
+            reader.startReadAhead(text);
+            while (draw(8) != 0 && !reader.readAhead(draw(5)))
                 continue;
         }
         const Result<model::RoutePlan, Findings> actual = reader.read(text, "plan");
@@ -235,9 +235,9 @@
     Json plan = planOf(3);
     Json rest = plan;
     rest["routes"] = Json::array();
-    EXPECT_EQ(Json::parse(withoutLists(plan.dump(2))), rest);
+    EXPECT_EQ(Json::parse(planWithoutLists(plan.dump(2))), rest);
     for (const char* text : {"", "[]", "{", R"({"routes":3})", R"({"routes":[1]})", R"({"routes":[],"routes":[]})"})
-        EXPECT_EQ(withoutLists(text), text);
+        EXPECT_EQ(planWithoutLists(text), text);
 }
 
 } // namespace saltvane::settings
--- a/src/wire/framecodec.cpp
+++ b/src/wire/framecodec.cpp
@@ -70,7 +70,7 @@
     finishEnvelope(builder, message);
     const size_t size = builder.GetSize();
     const size_t paddedSize = alignedUp(size);
-    if (paddedSize > LargestFrame)
+    if (paddedSize > MaxFrameBytes)
         return {};
     std::string frame;
     frame.reserve(FrameHeaderSize + paddedSize);
@@ -114,7 +114,7 @@
     if (pending.size() < sizeof(uint32_t))
         return std::optional<model::Message> {};
     const auto length = readNumber<uint32_t>(pending.data());
-    if (length > LargestFrame)
+    if (length > MaxFrameBytes)
         return FrameError {.kind = FrameErrorKind::TooLarge, .field = "length"};
     if (length % FrameAlignment != 0)
         return FrameError {.kind = FrameErrorKind::BadLength, .field = "length"};
--- a/src/wire/framecodec.h
+++ b/src/wire/framecodec.h
@@ -19,10 +19,10 @@
 /// (8 bytes), and the FlatBuffers Envelope, padded with zeros to a multiple of 8 bytes.
 namespace saltvane::wire {
 
-inline constexpr size_t LargestFrame = 4 * 1024 * 1024;
+inline constexpr size_t MaxFrameBytes = 4 * 1024 * 1024;
 
 enum class FrameErrorKind {
-    TooLarge, ///< The length exceeds LargestFrame.
+    TooLarge, ///< The length exceeds MaxFrameBytes.
     BadLength, ///< The length is not a multiple of 8.
     BadChecksum,
     BadEnvelope, ///< The FlatBuffers verifier rejected it.
@@ -34,7 +34,7 @@
     std::string field;
 };
 
-/// Returns an empty string if the frame would exceed LargestFrame. Senders must keep their messages smaller.
+/// Returns an empty string if the frame would exceed MaxFrameBytes. Senders must keep their messages smaller.
 [[nodiscard]] std::string encodeFrame(const model::Message& message);
 
 /// Splits a byte stream into messages. After an error the stream cannot be read any further.
--- a/src/wire/tests/framecodectests.cpp
+++ b/src/wire/tests/framecodectests.cpp
@@ -121,9 +121,9 @@
 
 TEST(FrameCodecTest, TooLargeFramesAreRejectedByTheirLengthField)
 {
-    const uint32_t length = LargestFrame + 8;
+    const uint32_t length = MaxFrameBytes + 8;
     EXPECT_EQ(decodeError({reinterpret_cast<const char*>(&length), sizeof(length)}).kind, FrameErrorKind::TooLarge);
-    EXPECT_TRUE(encodeFrame(model::ForwardBody {.bytes = std::string(LargestFrame, 'x')}).empty());
+    EXPECT_TRUE(encodeFrame(model::ForwardBody {.bytes = std::string(MaxFrameBytes, 'x')}).empty());
 }
 
 TEST(FrameCodecTest, LengthThatIsNoMultipleOfEightIsRejected)
--- a/testing/fleet/fleet.cpp
+++ b/testing/fleet/fleet.cpp
@@ -61,7 +61,7 @@
     registries_.sendingTime = [this](const model::Message& message) {
         return fromSeconds(sizeOf(message) / options_.registryBytesPerSecond);
     };
-    registries_.toGateway = [this](size_t from, const model::Outgoing& outgoing) {
+    registries_.toGateway = [this](size_t from, const model::OutgoingMessage& outgoing) {
         Gateway* gateway = find(outgoing.to);
         if (gateway == nullptr || gateway->cutOffUntil)
             return;
@@ -328,7 +328,7 @@
         auto* const request = std::get_if<requests::Action>(&action);
         if (request == nullptr)
             continue;
-        if (onAction && !std::holds_alternative<model::Outgoing>(*request)) {
+        if (onAction && !std::holds_alternative<model::OutgoingMessage>(*request)) {
             onAction(numberOf(gateway), *request);
             continue;
         }
@@ -336,7 +336,7 @@
             gateway.lastStart = std::move(*start);
         if (const auto* response = std::get_if<requests::HttpRespond>(request))
             gateway.lastStatus = response->status;
-        auto* const outgoing = std::get_if<model::Outgoing>(request);
+        auto* const outgoing = std::get_if<model::OutgoingMessage>(request);
         if (outgoing == nullptr || gateway.cutOffUntil)
             continue;
         if (const std::optional<size_t> registry = registries_.numberOf(outgoing->to))
