--- a/src/base/finding.cpp
+++ b/src/base/finding.cpp
@@ -12,17 +12,17 @@
 
 void Findings::add(Finding finding) { items_.push_back(std::move(finding)); }
 
-void Findings::sortByPlace()
+void Findings::sortByLocation()
 {
     std::stable_sort(items_.begin(), items_.end(),
-        [](const Finding& left, const Finding& right) { return left.place < right.place; });
+        [](const Finding& left, const Finding& right) { return left.location < right.location; });
 }
 
 std::string toString(const Finding& finding)
 {
-    std::string text = finding.place.source;
-    if (finding.place.line > 0)
-        text += ":" + std::to_string(finding.place.line) + ":" + std::to_string(finding.place.column);
+    std::string text = finding.location.source;
+    if (finding.location.line > 0)
+        text += ":" + std::to_string(finding.location.line) + ":" + std::to_string(finding.location.column);
     text += ": ";
     if (!finding.field.empty())
         text += finding.field + ": ";
--- a/src/base/finding.h
+++ b/src/base/finding.h
@@ -12,16 +12,16 @@
 namespace saltvane {
 
 /// Location of a finding in its source. Lines and columns count from 1; 0 means unknown.
-struct Place {
+struct Location {
     std::string source;
     int line = 0;
     int column = 0;
-    auto operator<=>(const Place&) const = default;
+    auto operator<=>(const Location&) const = default;
 };
 
 /// An error in an input.
 struct Finding {
-    Place place;
+    Location location;
     std::string field;
     std::string message;
 };
@@ -33,7 +33,7 @@
     [[nodiscard]] bool isEmpty() const { return items_.empty(); }
     [[nodiscard]] const std::vector<Finding>& items() const { return items_; }
     /// Stable: findings at the same location keep their order.
-    void sortByPlace();
+    void sortByLocation();
 
 private:
     std::vector<Finding> items_;
--- a/src/base/logtext.cpp
+++ b/src/base/logtext.cpp
@@ -10,7 +10,7 @@
 
 namespace saltvane {
 
-std::string logWord(std::string_view text)
+std::string logValue(std::string_view text)
 {
     if (text.empty())
         return "-";
@@ -23,7 +23,7 @@
     return sanitized;
 }
 
-std::string decimalText(double number)
+std::string shortestDecimal(double number)
 {
     constexpr size_t MaxCharacters = 32;
     std::array<char, MaxCharacters> text {};
--- a/src/base/logtext.h
+++ b/src/base/logtext.h
@@ -17,10 +17,10 @@
 
 /// Sanitizes a value for a key=value log line, so that untrusted text can't add fields or lines: whitespace, control
 /// and non-ASCII characters, '"' and '=' become '_'. An empty text becomes "-".
-[[nodiscard]] std::string logWord(std::string_view text);
+[[nodiscard]] std::string logValue(std::string_view text);
 
 /// The shortest decimal text that parses back to the same number.
-[[nodiscard]] std::string decimalText(double number);
+[[nodiscard]] std::string shortestDecimal(double number);
 
 /// The text of one log line: key=value pairs in the order they were added.
 class LogText {
@@ -30,10 +30,10 @@
     {
     }
 
-    /// The value is sanitized by logWord().
+    /// The value is sanitized by logValue().
     LogText& add(std::string_view key, std::string_view value)
     {
-        text_.append(" ").append(key).append("=").append(logWord(value));
+        text_.append(" ").append(key).append("=").append(logValue(value));
         return *this;
     }
     template <std::integral Number> LogText& add(std::string_view key, Number value)
--- a/src/base/result.h
+++ b/src/base/result.h
@@ -34,11 +34,11 @@
 };
 
 /// Success without a value.
-struct Done { };
+struct Success { };
 
 /// Error of an operation outside the process, with the path, address or library that it concerns.
 struct IoError {
-    std::string place;
+    std::string location;
     std::string message;
     int code = 0;
 };
--- a/src/base/tests/findingtests.cpp
+++ b/src/base/tests/findingtests.cpp
@@ -13,16 +13,16 @@
 TEST(FindingTest, TextContainsLocationAndField)
 {
     const Finding finding {
-        .place = {.source = "host.yaml", .line = 3, .column = 7}, .field = "zone", .message = "is missing"};
+        .location = {.source = "host.yaml", .line = 3, .column = 7}, .field = "zone", .message = "is missing"};
     EXPECT_EQ(toString(finding), "host.yaml:3:7: zone: is missing");
 }
 
 TEST(FindingTest, SortsByLocation)
 {
     Findings findings;
-    findings.add({.place = {.source = "a", .line = 9, .column = 1}, .field = "late", .message = ""});
-    findings.add({.place = {.source = "a", .line = 2, .column = 5}, .field = "early", .message = ""});
-    findings.sortByPlace();
+    findings.add({.location = {.source = "a", .line = 9, .column = 1}, .field = "late", .message = ""});
+    findings.add({.location = {.source = "a", .line = 2, .column = 5}, .field = "early", .message = ""});
+    findings.sortByLocation();
     EXPECT_EQ(findings.items().front().field, "early");
 }
 
--- a/src/control/tests/testbundles.cpp
+++ b/src/control/tests/testbundles.cpp
@@ -87,7 +87,7 @@
     return command;
 }
 
-model::Operator TestOperator::info() const { return {.name = name_, .publicKey = publicKey_, .place = {}}; }
+model::Operator TestOperator::info() const { return {.name = name_, .publicKey = publicKey_, .location = {}}; }
 
 std::string bundleText(uint64_t version, std::string_view note, std::string_view operators)
 {
@@ -102,7 +102,7 @@
     const size_t note = content.find('|', operators + 1);
     if (!content.starts_with(VersionPrefix) || operators == content.npos || note == content.npos) {
         Findings findings;
-        findings.add({.place = {.source = "test"}, .field = "version", .message = "missing"});
+        findings.add({.location = {.source = "test"}, .field = "version", .message = "missing"});
         return findings;
     }
     const std::string_view number = content.substr(VersionPrefix.size(), operators - VersionPrefix.size());
--- a/src/gateway/internal/backpressuremonitor.cpp
+++ b/src/gateway/internal/backpressuremonitor.cpp
@@ -46,7 +46,8 @@
             now);
     // Responses may arrive out of order, so a shorter time may be the older one.
     target.backpressure.backoffUntil = std::max(target.backpressure.backoffUntil, now + *backoff.duration);
-    log(target, {.event = "target_rest", .key = "seconds", .value = decimalText(toSeconds(*backoff.duration))}, now);
+    log(target, {.event = "target_rest", .key = "seconds", .value = shortestDecimal(toSeconds(*backoff.duration))},
+        now);
 }
 
 void BackpressureMonitor::updateLeaving(GatewayTarget& target, const Response& response, Timestamp now)
@@ -92,7 +93,7 @@
     if (std::exchange(target.backpressure.limit, limit) == limit)
         return;
     target.backpressure.noCreditUntil = {};
-    log(target, {.event = "target_limit", .key = "per_second", .value = limit ? decimalText(*limit) : "none"}, now);
+    log(target, {.event = "target_limit", .key = "per_second", .value = limit ? shortestDecimal(*limit) : "none"}, now);
 }
 
 void BackpressureMonitor::handle(const model::BackpressureReport& report, Timestamp now)
--- a/src/gateway/internal/decisionlog.cpp
+++ b/src/gateway/internal/decisionlog.cpp
@@ -52,7 +52,7 @@
         .add("load", static_cast<int>(exchange.loadAtSend))
         .addMilliseconds("load_age_ms", exchange.loadAge)
         .addMilliseconds("target_age_ms", exchange.targetAge)
-        .add("limit", exchange.limit ? decimalText(*exchange.limit) : "")
+        .add("limit", exchange.limit ? shortestDecimal(*exchange.limit) : "")
         .add("known", exchange.targetsKnown)
         .add("usable", exchange.targetsUsable)
         .add("outcome", model::toString(decision.outcome))
--- a/src/host/internal/apitypes.cpp
+++ b/src/host/internal/apitypes.cpp
@@ -103,9 +103,9 @@
     nlohmann::ordered_json list = nlohmann::ordered_json::array();
     for (const Finding& finding : findings) {
         nlohmann::ordered_json item {{"field", finding.field}, {"message", finding.message}};
-        if (finding.place.line > 0) {
-            item["line"] = finding.place.line;
-            item["column"] = finding.place.column;
+        if (finding.location.line > 0) {
+            item["line"] = finding.location.line;
+            item["column"] = finding.location.column;
         }
         list.push_back(std::move(item));
     }
--- a/src/model/bundle.h
+++ b/src/model/bundle.h
@@ -30,14 +30,14 @@
 struct ZoneShare {
     ZoneName zone;
     double open = 1.0;
-    Place place;
+    Location location;
 };
 
 /// Requests with this method and path prefix may be repeated; requests that match no rule run at most once.
 struct RepeatableRule {
     std::string method;
     std::string pathPrefix = "/"; ///< Matches whole path segments.
-    Place place;
+    Location location;
 };
 
 struct Service {
@@ -50,18 +50,18 @@
     Duration maximumDeadline = 60s;
     Duration entryTtl = 30s; ///< How long a caller may cache the answer to a look-up.
     Duration keyRetention = 24h; ///< How long idempotency keys chosen by callers are stored.
-    Place place;
+    Location location;
 };
 
 struct Zone {
     ZoneName name;
     RegionName region;
-    Place place;
+    Location location;
 };
 
 struct Region {
     RegionName name;
-    Place place;
+    Location location;
 };
 
 /// One-way delay between two regions that differs from Delays::betweenRegions. Applies to the opposite direction too,
@@ -70,7 +70,7 @@
     RegionName from;
     RegionName to;
     Duration delay {};
-    Place place;
+    Location location;
 };
 
 /// Maximum number of requests in flight from one region to another.
@@ -78,21 +78,21 @@
     RegionName from;
     RegionName to;
     uint32_t requestsInFlight = 0;
-    Place place;
+    Location location;
 };
 
 /// Assigns the clients of an address block to the region that is nearest to them.
 struct ClientBlock {
     std::string prefix; ///< CIDR, IPv4 or IPv6.
     RegionName region;
-    Place place;
+    Location location;
 };
 
 /// An operator who may sign bundles.
 struct Operator {
     OperatorName name;
     std::string publicKey; ///< Ed25519, in base64.
-    Place place;
+    Location location;
 };
 
 /// Default one-way delays.
--- a/src/model/internal/bundlechecker.cpp
+++ b/src/model/internal/bundlechecker.cpp
@@ -58,38 +58,38 @@
     return findings_;
 }
 
-void BundleChecker::add(const Place& place, std::string field, std::string message)
+void BundleChecker::add(const Location& location, std::string field, std::string message)
 {
-    findings_.add({.place = place, .field = std::move(field), .message = std::move(message)});
+    findings_.add({.location = location, .field = std::move(field), .message = std::move(message)});
 }
 
-void BundleChecker::checkName(const Place& place, const std::string& field, const std::string& name)
+void BundleChecker::checkName(const Location& location, const std::string& field, const std::string& name)
 {
     if (!isName(name))
-        add(place, field, std::string(NameRule));
+        add(location, field, std::string(NameRule));
 }
 
-void BundleChecker::checkRegion(const Place& place, const std::string& field, const RegionName& name)
+void BundleChecker::checkRegion(const Location& location, const std::string& field, const RegionName& name)
 {
     if (!regions_.contains(name))
-        add(place, field, "is not a region of this bundle: '" + name.value() + "'");
+        add(location, field, "is not a region of this bundle: '" + name.value() + "'");
 }
 
 template <typename Entry> void BundleChecker::checkNames(const std::vector<Entry>& entries, const std::string& field)
 {
     std::set<std::string> seen;
     for (const Entry& entry : entries) {
-        checkName(entry.place, field, entry.name.value());
+        checkName(entry.location, field, entry.name.value());
         if (!seen.insert(entry.name.value()).second)
-            add(entry.place, field, "is listed twice: '" + entry.name.value() + "'");
+            add(entry.location, field, "is listed twice: '" + entry.name.value() + "'");
     }
 }
 
 void BundleChecker::checkRange(
-    const Place& place, const std::string& field, Duration value, Duration minimum, Duration maximum)
+    const Location& location, const std::string& field, Duration value, Duration minimum, Duration maximum)
 {
     if (value < minimum || value > maximum)
-        add(place, field, "must be from " + millisecondsText(minimum) + " to " + millisecondsText(maximum));
+        add(location, field, "must be from " + millisecondsText(minimum) + " to " + millisecondsText(maximum));
 }
 
 void BundleChecker::checkTopLevel()
@@ -116,32 +116,32 @@
     checkNames(bundle_.zones, "regions.zones");
     std::set<RegionName> regionsWithZones;
     for (const Zone& zone : bundle_.zones) {
-        checkRegion(zone.place, "regions.zones", zone.region);
+        checkRegion(zone.location, "regions.zones", zone.region);
         regionsWithZones.insert(zone.region);
     }
     for (const Region& region : bundle_.regions) {
         if (!regionsWithZones.contains(region.name))
-            add(region.place, "regions.zones", "region '" + region.name.value() + "' has no zone");
+            add(region.location, "regions.zones", "region '" + region.name.value() + "' has no zone");
     }
 }
 
 void BundleChecker::checkRegionPair(
-    const Place& place, const std::string& list, const RegionName& from, const RegionName& to)
+    const Location& location, const std::string& list, const RegionName& from, const RegionName& to)
 {
-    checkRegion(place, list + ".from", from);
-    checkRegion(place, list + ".to", to);
+    checkRegion(location, list + ".from", from);
+    checkRegion(location, list + ".to", to);
     if (from == to)
-        add(place, list, "must name two different regions");
+        add(location, list, "must name two different regions");
 }
 
 void BundleChecker::checkRegionDelays()
 {
     std::set<std::pair<RegionName, RegionName>> seen;
     for (const RegionDelay& delay : bundle_.regionDelays) {
-        checkRegionPair(delay.place, "region_delays", delay.from, delay.to);
-        checkRange(delay.place, "region_delays.delay_ms", delay.delay, 0ms, MaxDelay);
+        checkRegionPair(delay.location, "region_delays", delay.from, delay.to);
+        checkRange(delay.location, "region_delays.delay_ms", delay.delay, 0ms, MaxDelay);
         if (!seen.insert({delay.from, delay.to}).second)
-            add(delay.place, "region_delays", "this pair of regions is listed twice");
+            add(delay.location, "region_delays", "this pair of regions is listed twice");
     }
 }
 
@@ -149,9 +149,9 @@
 {
     std::set<std::pair<RegionName, RegionName>> seen;
     for (const LinkLimit& limit : bundle_.linkLimits) {
-        checkRegionPair(limit.place, "link_limits", limit.from, limit.to);
+        checkRegionPair(limit.location, "link_limits", limit.from, limit.to);
         if (!seen.insert({limit.from, limit.to}).second)
-            add(limit.place, "link_limits", "this pair of regions is listed twice");
+            add(limit.location, "link_limits", "this pair of regions is listed twice");
     }
 }
 
@@ -160,13 +160,13 @@
     checkRegion({}, "clients.default_region", bundle_.defaultClientRegion);
     std::set<AddressPrefix> seen;
     for (const ClientBlock& block : bundle_.clients) {
-        checkRegion(block.place, "clients.blocks.region", block.region);
+        checkRegion(block.location, "clients.blocks.region", block.region);
         const auto prefix = parseAddressPrefix(block.prefix);
         if (!prefix)
-            add(block.place, "clients.blocks.prefix",
+            add(block.location, "clients.blocks.prefix",
                 "is not an address block (address/length, with zero bits after the prefix): '" + block.prefix + "'");
         else if (!seen.insert(*prefix).second)
-            add(block.place, "clients.blocks.prefix", "is listed twice: '" + block.prefix + "'");
+            add(block.location, "clients.blocks.prefix", "is listed twice: '" + block.prefix + "'");
     }
 }
 
@@ -174,13 +174,13 @@
 {
     checkNames(bundle_.operators, "operators.name");
     if (!bundle_.operators.empty() && bundle_.operators.size() < MinOperators)
-        add(bundle_.operators.front().place, "operators", "must name at least two operators, or none");
+        add(bundle_.operators.front().location, "operators", "must name at least two operators, or none");
     std::set<std::string> keys;
     for (const Operator& entry : bundle_.operators) {
         if (!isPublicKey(entry.publicKey))
-            add(entry.place, "operators.public_key", std::string(PublicKeyRule));
+            add(entry.location, "operators.public_key", std::string(PublicKeyRule));
         else if (!keys.insert(entry.publicKey).second)
-            add(entry.place, "operators.public_key", "is also the key of another operator");
+            add(entry.location, "operators.public_key", "is also the key of another operator");
     }
 }
 
@@ -197,54 +197,55 @@
     std::set<ZoneName> seen;
     for (const ZoneShare& share : service.zones) {
         if (!zones_.contains(share.zone))
-            add(share.place, "services.zones.zone", "is not a zone of this bundle: '" + share.zone.value() + "'");
+            add(share.location, "services.zones.zone", "is not a zone of this bundle: '" + share.zone.value() + "'");
         if (!seen.insert(share.zone).second)
-            add(share.place, "services.zones.zone", "is listed twice: '" + share.zone.value() + "'");
+            add(share.location, "services.zones.zone", "is listed twice: '" + share.zone.value() + "'");
         if (!(share.open >= 0 && share.open <= 1))
-            add(share.place, "services.zones.open", "must be from 0 to 1");
+            add(share.location, "services.zones.open", "must be from 0 to 1");
     }
     const bool isOpen = std::any_of(
         service.zones.begin(), service.zones.end(), [](const ZoneShare& share) { return share.open > 0; });
     if (!isOpen)
-        add(service.place, "services.zones", "must open at least one zone");
+        add(service.location, "services.zones", "must open at least one zone");
 }
 
-void BundleChecker::checkCap(const Place& place, const std::string& field, const ShiftCap& cap)
+void BundleChecker::checkCap(const Location& location, const std::string& field, const ShiftCap& cap)
 {
     if (!(cap.share > 0 && cap.share <= 1))
-        add(place, field + ".share", "must be over 0 and up to 1");
-    checkRange(place, field + ".window_s", cap.window, MinWindow, MaxWindow);
+        add(location, field + ".share", "must be over 0 and up to 1");
+    checkRange(location, field + ".window_s", cap.window, MinWindow, MaxWindow);
 }
 
 void BundleChecker::checkShiftCaps(const Service& service)
 {
-    checkCap(service.place, "services.shift_cap", service.shiftCap);
+    checkCap(service.location, "services.shift_cap", service.shiftCap);
     if (!service.failoverCap)
         return;
-    checkCap(service.place, "services.failover_cap", *service.failoverCap);
+    checkCap(service.location, "services.failover_cap", *service.failoverCap);
     const double shiftRate = service.shiftCap.share * toSeconds(service.failoverCap->window);
     const double failoverRate = service.failoverCap->share * toSeconds(service.shiftCap.window);
     if (failoverRate < shiftRate)
-        add(service.place, "services.failover_cap", "must not be slower than the shift cap");
+        add(service.location, "services.failover_cap", "must not be slower than the shift cap");
 }
 
 void BundleChecker::checkRepeatable(const Service& service)
 {
     for (const RepeatableRule& rule : service.repeatable) {
         if (!isMethod(rule.method))
-            add(rule.place, "services.repeatable.method", "is not an HTTP method in upper case: '" + rule.method + "'");
+            add(rule.location, "services.repeatable.method",
+                "is not an HTTP method in upper case: '" + rule.method + "'");
         if (!rule.pathPrefix.starts_with('/'))
-            add(rule.place, "services.repeatable.path_prefix", "must start with '/'");
+            add(rule.location, "services.repeatable.path_prefix", "must start with '/'");
     }
 }
 
 void BundleChecker::checkServiceTimes(const Service& service)
 {
-    checkRange(service.place, "services.maximum_deadline_ms", service.maximumDeadline, MinDeadline, MaxDeadline);
+    checkRange(service.location, "services.maximum_deadline_ms", service.maximumDeadline, MinDeadline, MaxDeadline);
     if (service.defaultDeadline < MinDeadline || service.defaultDeadline > service.maximumDeadline)
-        add(service.place, "services.default_deadline_ms", "must be from 1 ms to the maximum deadline");
-    checkRange(service.place, "services.entry_ttl_s", service.entryTtl, MinTtl, MaxTtl);
-    checkRange(service.place, "services.key_retention_h", service.keyRetention, MinRetention, MaxRetention);
+        add(service.location, "services.default_deadline_ms", "must be from 1 ms to the maximum deadline");
+    checkRange(service.location, "services.entry_ttl_s", service.entryTtl, MinTtl, MaxTtl);
+    checkRange(service.location, "services.key_retention_h", service.keyRetention, MinRetention, MaxRetention);
 }
 
 Findings checkBundle(const Bundle& bundle) { return BundleChecker(bundle).check(); }
--- a/src/model/internal/bundlechecker.h
+++ b/src/model/internal/bundlechecker.h
@@ -37,12 +37,14 @@
     void checkRepeatable(const Service& service);
     void checkServiceTimes(const Service& service);
 
-    void add(const Place& place, std::string field, std::string message);
-    void checkName(const Place& place, const std::string& field, const std::string& name);
-    void checkRegion(const Place& place, const std::string& field, const RegionName& name);
-    void checkCap(const Place& place, const std::string& field, const ShiftCap& cap);
-    void checkRange(const Place& place, const std::string& field, Duration value, Duration minimum, Duration maximum);
-    void checkRegionPair(const Place& place, const std::string& list, const RegionName& from, const RegionName& to);
+    void add(const Location& location, std::string field, std::string message);
+    void checkName(const Location& location, const std::string& field, const std::string& name);
+    void checkRegion(const Location& location, const std::string& field, const RegionName& name);
+    void checkCap(const Location& location, const std::string& field, const ShiftCap& cap);
+    void checkRange(
+        const Location& location, const std::string& field, Duration value, Duration minimum, Duration maximum);
+    void checkRegionPair(
+        const Location& location, const std::string& list, const RegionName& from, const RegionName& to);
     template <typename Entry> void checkNames(const std::vector<Entry>& entries, const std::string& field);
 
     const Bundle& bundle_;
--- a/src/model/internal/routeplan.cpp
+++ b/src/model/internal/routeplan.cpp
@@ -41,7 +41,7 @@
 private:
     void addFinding(std::string field, std::string message)
     {
-        findings_.add({.place = {.source = source_}, .field = std::move(field), .message = std::move(message)});
+        findings_.add({.location = {.source = source_}, .field = std::move(field), .message = std::move(message)});
     }
 
     void checkServices()
--- a/src/model/tests/bundlecheckertests.cpp
+++ b/src/model/tests/bundlecheckertests.cpp
@@ -119,14 +119,14 @@
 {
     Bundle bundle = makeBundle();
     bundle.version = {0};
-    bundle.zones[2].place = {.source = "b.yaml", .line = 9, .column = 3};
+    bundle.zones[2].location = {.source = "b.yaml", .line = 9, .column = 3};
     bundle.zones[2].region = RegionName("west");
     bundle.services[0].entryTtl = 0s;
-    bundle.services[0].place = {.source = "b.yaml", .line = 20, .column = 5};
+    bundle.services[0].location = {.source = "b.yaml", .line = 20, .column = 5};
     const Findings findings = checkBundle(bundle);
     ASSERT_EQ(findings.items().size(), 3);
-    EXPECT_EQ(findings.items()[1].place, bundle.zones[2].place);
-    EXPECT_EQ(findings.items()[2].place, bundle.services[0].place);
+    EXPECT_EQ(findings.items()[1].location, bundle.zones[2].location);
+    EXPECT_EQ(findings.items()[2].location, bundle.services[0].location);
 }
 
 TEST(CheckBundleTest, EmptyBundleHasFindings) { EXPECT_FALSE(checkBundle(Bundle {}).isEmpty()); }
--- a/src/net/inetadapters.h
+++ b/src/net/inetadapters.h
@@ -120,11 +120,11 @@
     /// Number of process starts on this folder, including the current one.
     [[nodiscard]] virtual uint64_t startCount() const = 0;
     /// Writes and syncs; the write is durable if the result is a success. After an error it can be retried.
-    [[nodiscard]] virtual Result<Done, IoError> write(const control::StorageWrite& write) = 0;
+    [[nodiscard]] virtual Result<Success, IoError> write(const control::StorageWrite& write) = 0;
     /// The soft state that was found on opening; empty if there was none or it was unreadable.
     [[nodiscard]] virtual const host::SoftState& softState() const = 0;
     /// Replaces the soft state atomically and syncs it. After an error the previous one is still valid.
-    [[nodiscard]] virtual Result<Done, IoError> writeSoftState(const host::SoftState& state) = 0;
+    [[nodiscard]] virtual Result<Success, IoError> writeSoftState(const host::SoftState& state) = 0;
 };
 /// Fails if the folder is in use by another process, has another format version, or is corrupted anywhere but in the
 /// last record.
--- a/src/net/internal/datafolder.cpp
+++ b/src/net/internal/datafolder.cpp
@@ -20,11 +20,11 @@
 constexpr size_t NumberBytes = 8;
 } // namespace
 
-Result<Done, IoError> DataFolder::write(const control::StorageWrite& write)
+Result<Success, IoError> DataFolder::write(const control::StorageWrite& write)
 {
     const std::vector<LogItem> items = itemsOf(write);
     if (items.empty())
-        return Done {};
+        return Success {};
     if (mustStartSegment_) {
         if (auto started = startSegment(); !started)
             return started;
@@ -42,10 +42,10 @@
         (void)startSegment();
     if (write.snapshot)
         removeObsolete(write.snapshotIndex);
-    return Done {};
+    return Success {};
 }
 
-Result<Done, IoError> DataFolder::writeSnapshot(const control::StorageWrite& write)
+Result<Success, IoError> DataFolder::writeSnapshot(const control::StorageWrite& write)
 {
     const std::string payload = encodeLinkInteger(write.snapshotTerm.value, TermBytes) + *write.snapshot;
     const std::string record = encodeRecord({.file = write.snapshotIndex.value}, payload);
@@ -54,10 +54,10 @@
     const uint64_t index = write.snapshotIndex.value;
     if (std::find(snapshots_.begin(), snapshots_.end(), index) == snapshots_.end())
         snapshots_.push_back(index);
-    return Done {};
+    return Success {};
 }
 
-Result<Done, IoError> DataFolder::startSegment()
+Result<Success, IoError> DataFolder::startSegment()
 {
     mustStartSegment_ = true;
     const uint64_t number = segment_->number() + 1;
@@ -69,16 +69,16 @@
     segments_.emplace(number, LogIndex {});
     mustStartSegment_ = false;
     recordLastSegment();
-    return Done {};
+    return Success {};
 }
 
-Result<Done, IoError> DataFolder::writeSoftState(const host::SoftState& state)
+Result<Success, IoError> DataFolder::writeSoftState(const host::SoftState& state)
 {
     const std::string targets = wire::encodeFrame(state.targets);
     const std::string suspects = wire::encodeFrame(state.suspects);
     const std::string bytes = targets + suspects;
     if (targets.empty() || suspects.empty())
-        return IoError {.place = pathOf(std::string(SoftStateName)), .message = "too large"};
+        return IoError {.location = pathOf(std::string(SoftStateName)), .message = "too large"};
     return replaceFile(disk_, path_, std::string(SoftStateName), encodeRecord(SoftStatePosition, bytes));
 }
 
--- a/src/net/internal/datafolder.h
+++ b/src/net/internal/datafolder.h
@@ -35,39 +35,39 @@
     }
 
     /// Locks, checks and reads the folder; creates it if it does not exist.
-    [[nodiscard]] Result<Done, IoError> open();
+    [[nodiscard]] Result<Success, IoError> open();
 
     [[nodiscard]] const control::RecoveredState& recovered() const override { return recovered_; }
     [[nodiscard]] const std::vector<std::string>& warnings() const override { return warnings_; }
     [[nodiscard]] uint64_t startCount() const override { return startCount_; }
-    [[nodiscard]] Result<Done, IoError> write(const control::StorageWrite& write) override;
+    [[nodiscard]] Result<Success, IoError> write(const control::StorageWrite& write) override;
     [[nodiscard]] const host::SoftState& softState() const override { return softState_; }
-    [[nodiscard]] Result<Done, IoError> writeSoftState(const host::SoftState& state) override;
+    [[nodiscard]] Result<Success, IoError> writeSoftState(const host::SoftState& state) override;
 
 private:
-    using Step = Result<Done, IoError> (DataFolder::*)();
+    using Step = Result<Success, IoError> (DataFolder::*)();
     // Steps of opening, in order.
-    [[nodiscard]] Result<Done, IoError> makeFolder();
-    [[nodiscard]] Result<Done, IoError> lock();
-    [[nodiscard]] Result<Done, IoError> listFiles();
-    [[nodiscard]] Result<Done, IoError> checkFormat();
-    [[nodiscard]] Result<Done, IoError> readReplica();
-    [[nodiscard]] Result<Done, IoError> readSnapshot();
-    [[nodiscard]] Result<Done, IoError> checkLastSegment();
-    [[nodiscard]] Result<Done, IoError> readSegments();
-    [[nodiscard]] Result<Done, IoError> incrementStartCount();
-    [[nodiscard]] Result<Done, IoError> readSoftState();
+    [[nodiscard]] Result<Success, IoError> makeFolder();
+    [[nodiscard]] Result<Success, IoError> lock();
+    [[nodiscard]] Result<Success, IoError> listFiles();
+    [[nodiscard]] Result<Success, IoError> checkFormat();
+    [[nodiscard]] Result<Success, IoError> readReplica();
+    [[nodiscard]] Result<Success, IoError> readSnapshot();
+    [[nodiscard]] Result<Success, IoError> checkLastSegment();
+    [[nodiscard]] Result<Success, IoError> readSegments();
+    [[nodiscard]] Result<Success, IoError> incrementStartCount();
+    [[nodiscard]] Result<Success, IoError> readSoftState();
 
-    [[nodiscard]] Result<Done, IoError> checkUnformatted() const;
-    [[nodiscard]] Result<Done, IoError> create();
-    [[nodiscard]] Result<Done, IoError> openLast(uint64_t number, const SegmentContent& content);
-    [[nodiscard]] Result<Done, IoError> reconcileSnapshot();
+    [[nodiscard]] Result<Success, IoError> checkUnformatted() const;
+    [[nodiscard]] Result<Success, IoError> create();
+    [[nodiscard]] Result<Success, IoError> openLast(uint64_t number, const SegmentContent& content);
+    [[nodiscard]] Result<Success, IoError> reconcileSnapshot();
     void apply(const LogItem& item);
     [[nodiscard]] std::string pathOf(const std::string& name) const { return path_ + "/" + name; }
 
     // Writing.
-    [[nodiscard]] Result<Done, IoError> writeSnapshot(const control::StorageWrite& write);
-    [[nodiscard]] Result<Done, IoError> startSegment();
+    [[nodiscard]] Result<Success, IoError> writeSnapshot(const control::StorageWrite& write);
+    [[nodiscard]] Result<Success, IoError> startSegment();
     void recordLastSegment();
     void removeObsolete(LogIndex snapshotIndex);
 
--- a/src/net/internal/datafolderopen.cpp
+++ b/src/net/internal/datafolderopen.cpp
@@ -39,7 +39,7 @@
 
 IoError refusal(const std::string& location, const std::string& message)
 {
-    return {.place = location, .message = message};
+    return {.location = location, .message = message};
 }
 
 std::string freshReplicaId()
@@ -66,7 +66,7 @@
 
 } // namespace
 
-Result<Done, IoError> DataFolder::open()
+Result<Success, IoError> DataFolder::open()
 {
     constexpr std::array<Step, 11> Steps {&DataFolder::makeFolder, &DataFolder::lock, &DataFolder::listFiles,
         &DataFolder::checkFormat, &DataFolder::readReplica, &DataFolder::readSnapshot, &DataFolder::checkLastSegment,
@@ -76,30 +76,30 @@
         if (auto done = (this->*step)(); !done)
             return done;
     }
-    return Done {};
+    return Success {};
 }
 
-Result<Done, IoError> DataFolder::makeFolder()
+Result<Success, IoError> DataFolder::makeFolder()
 {
     std::error_code error;
     std::filesystem::create_directories(path_, error);
     if (error)
-        return IoError {.place = path_, .message = "mkdir: " + error.message(), .code = error.value()};
-    return Done {};
+        return IoError {.location = path_, .message = "mkdir: " + error.message(), .code = error.value()};
+    return Success {};
 }
 
-Result<Done, IoError> DataFolder::lock()
+Result<Success, IoError> DataFolder::lock()
 {
     const std::string path = pathOf(std::string(LockName));
     lock_.reset(::open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, OwnerOnly));
     if (!lock_.isOpen())
         return lastError(path, "open");
     if (::flock(lock_.get(), LOCK_EX | LOCK_NB) != 0)
-        return IoError {.place = path, .message = "in use by another process", .code = errno};
-    return Done {};
+        return IoError {.location = path, .message = "in use by another process", .code = errno};
+    return Success {};
 }
 
-Result<Done, IoError> DataFolder::listFiles()
+Result<Success, IoError> DataFolder::listFiles()
 {
     std::error_code error;
     for (const auto& entry : std::filesystem::directory_iterator(path_, error)) {
@@ -110,7 +110,7 @@
             names_.push_back(name);
     }
     if (error)
-        return IoError {.place = path_, .message = "readdir: " + error.message(), .code = error.value()};
+        return IoError {.location = path_, .message = "readdir: " + error.message(), .code = error.value()};
     std::sort(names_.begin(), names_.end());
     for (const std::string& name : names_) {
         if (const auto number = segmentNumberOf(name))
@@ -119,10 +119,10 @@
             snapshots_.push_back(*index);
     }
     hasFormat_ = std::find(names_.begin(), names_.end(), FormatName) != names_.end();
-    return Done {};
+    return Success {};
 }
 
-Result<Done, IoError> DataFolder::checkFormat()
+Result<Success, IoError> DataFolder::checkFormat()
 {
     if (!hasFormat_)
         return create();
@@ -134,10 +134,10 @@
         return refusal(path, "another format: \"" + text.value().substr(0, FormatText.size()) + "\"");
     if (segments_.empty())
         return refusal(path_, "no segment");
-    return Done {};
+    return Success {};
 }
 
-Result<Done, IoError> DataFolder::checkUnformatted() const
+Result<Success, IoError> DataFolder::checkUnformatted() const
 {
     // An interrupted creation may have left these files. Any other file is not ours: never overwrite it.
     const std::array<std::string, 4> known {
@@ -150,10 +150,10 @@
     const bool hasSegment = !segments_.empty();
     if (hasSegment && std::filesystem::file_size(pathOf(segmentName(FirstSegment)), error) > MaxEmptySegmentBytes)
         return refusal(path_, "the folder has no format file, but holds records");
-    return Done {};
+    return Success {};
 }
 
-Result<Done, IoError> DataFolder::create()
+Result<Success, IoError> DataFolder::create()
 {
     if (auto checked = checkUnformatted(); !checked)
         return checked;
@@ -170,7 +170,7 @@
     return replaceFile(disk_, path_, std::string(FormatName), FormatText);
 }
 
-Result<Done, IoError> DataFolder::readReplica()
+Result<Success, IoError> DataFolder::readReplica()
 {
     const std::string path = pathOf(std::string(ReplicaName));
     const auto replica = readRecordFile(path, ReplicaPosition);
@@ -179,13 +179,13 @@
     if (replica.value().size() != ReplicaIdBytes * 2)
         return refusal(path + ":0", "damaged");
     recovered_.replica = model::ReplicaId(replica.value());
-    return Done {};
+    return Success {};
 }
 
-Result<Done, IoError> DataFolder::readSnapshot()
+Result<Success, IoError> DataFolder::readSnapshot()
 {
     if (snapshots_.empty())
-        return Done {};
+        return Success {};
     recovered_.snapshotIndex = {*std::max_element(snapshots_.begin(), snapshots_.end())};
     const std::string path = pathOf(snapshotName(recovered_.snapshotIndex));
     auto payload = readRecordFile(path, {.file = recovered_.snapshotIndex.value});
@@ -195,7 +195,7 @@
         return refusal(path + ":0", "damaged");
     recovered_.snapshotTerm = {decodeLinkInteger(std::string_view(payload.value()).substr(0, CountBytes))};
     recovered_.snapshot = payload.value().substr(CountBytes);
-    return Done {};
+    return Success {};
 }
 
 void DataFolder::apply(const LogItem& item)
@@ -211,20 +211,20 @@
     highest = std::max(highest, entry->index);
 }
 
-Result<Done, IoError> DataFolder::checkLastSegment()
+Result<Success, IoError> DataFolder::checkLastSegment()
 {
     if (std::find(names_.begin(), names_.end(), LastSegmentName) == names_.end())
-        return Done {};
+        return Success {};
     const auto number = readRecordFile(pathOf(std::string(LastSegmentName)), LastSegmentPosition);
     if (!number)
         return number.error();
     const uint64_t last = decodeLinkInteger(number.value());
     if (segments_.rbegin()->first < last)
         return refusal(pathOf(segmentName(last)), "the segment is missing");
-    return Done {};
+    return Success {};
 }
 
-Result<Done, IoError> DataFolder::readSegments()
+Result<Success, IoError> DataFolder::readSegments()
 {
     const uint64_t last = segments_.rbegin()->first;
     for (auto& [number, highest] : segments_) {
@@ -239,10 +239,10 @@
         if (number == last)
             return openLast(number, content.value());
     }
-    return Done {};
+    return Success {};
 }
 
-Result<Done, IoError> DataFolder::openLast(uint64_t number, const SegmentContent& content)
+Result<Success, IoError> DataFolder::openLast(uint64_t number, const SegmentContent& content)
 {
     if (content.tornBytes > 0) {
         warnings_.push_back(pathOf(segmentName(number)) + ":" + std::to_string(content.validBytes) + ": cut off "
@@ -252,10 +252,10 @@
     if (!segment)
         return segment.error();
     segment_ = std::move(segment.value());
-    return Done {};
+    return Success {};
 }
 
-Result<Done, IoError> DataFolder::reconcileSnapshot()
+Result<Success, IoError> DataFolder::reconcileSnapshot()
 {
     const SnapshotMark mark {.index = recovered_.snapshotIndex, .term = recovered_.snapshotTerm};
     const SnapshotMark before = state_.base();
@@ -270,19 +270,19 @@
     recovered_.isNewDisk = state_.isEmpty() && snapshots_.empty();
     recovered_.hardState = state_.hardState();
     recovered_.entries = state_.releaseEntries();
-    return Done {};
+    return Success {};
 }
 
-Result<Done, IoError> DataFolder::readSoftState()
+Result<Success, IoError> DataFolder::readSoftState()
 {
     if (std::find(names_.begin(), names_.end(), SoftStateName) == names_.end())
-        return Done {};
+        return Success {};
     // The soft state is optional: if it is unreadable, start without it.
     const std::string path = pathOf(std::string(SoftStateName));
     const Result<std::string, IoError> bytes = readRecordFile(path, SoftStatePosition);
     if (!bytes) {
         warnings_.push_back(path + ": soft state left out: " + bytes.error().message);
-        return Done {};
+        return Success {};
     }
     wire::FrameReader reader;
     reader.append(bytes.value());
@@ -290,7 +290,7 @@
     auto* targets = message && message.value() ? std::get_if<model::TargetReport>(&*message.value()) : nullptr;
     if (targets == nullptr) {
         warnings_.push_back(path + ": soft state left out: of another version");
-        return Done {};
+        return Success {};
     }
     softState_.targets = std::move(*targets);
     // Earlier versions stored only the targets.
@@ -298,10 +298,10 @@
     auto* suspects = further && further.value() ? std::get_if<model::SuspectReport>(&*further.value()) : nullptr;
     if (suspects != nullptr)
         softState_.suspects = std::move(*suspects);
-    return Done {};
+    return Success {};
 }
 
-Result<Done, IoError> DataFolder::incrementStartCount()
+Result<Success, IoError> DataFolder::incrementStartCount()
 {
     const std::string path = pathOf(std::string(StartsName));
     const auto counted = readRecordFile(path, StartsPosition);
--- a/src/net/internal/filetools.cpp
+++ b/src/net/internal/filetools.cpp
@@ -19,7 +19,8 @@
 constexpr mode_t OwnerOnly = 0600;
 } // namespace
 
-Result<Done, IoError> writeAll(IDiskCalls& disk, int fd, std::string_view bytes, off_t offset, const std::string& path)
+Result<Success, IoError> writeAll(
+    IDiskCalls& disk, int fd, std::string_view bytes, off_t offset, const std::string& path)
 {
     while (!bytes.empty()) {
         const ssize_t count = disk.write(fd, bytes.data(), bytes.size(), offset);
@@ -28,11 +29,11 @@
         if (count < 0)
             return lastError(path, "write");
         if (count == 0)
-            return IoError {.place = path, .message = "write: no bytes were written", .code = ENOSPC};
+            return IoError {.location = path, .message = "write: no bytes were written", .code = ENOSPC};
         bytes.remove_prefix(static_cast<size_t>(count));
         offset += count;
     }
-    return Done {};
+    return Success {};
 }
 
 Result<std::string, IoError> readFile(const std::string& path)
@@ -53,7 +54,7 @@
     }
 }
 
-Result<Done, IoError> replaceFile(
+Result<Success, IoError> replaceFile(
     IDiskCalls& disk, const std::string& folder, const std::string& name, std::string_view bytes)
 {
     const std::string path = folder + "/" + name;
@@ -71,7 +72,7 @@
         return lastError(path, "rename");
     if (disk.syncFolder(folder) != 0)
         return lastError(folder, "fsync");
-    return Done {};
+    return Success {};
 }
 
 } // namespace saltvane::net
--- a/src/net/internal/httpserver.cpp
+++ b/src/net/internal/httpserver.cpp
@@ -77,7 +77,7 @@
     MHD_stop_daemon(daemon_);
 }
 
-Result<Done, IoError> HttpServer::start()
+Result<Success, IoError> HttpServer::start()
 {
     auto listening = listenOn(options_.address);
     if (!listening)
@@ -103,7 +103,7 @@
     (void)listening.value().release(); // Closed by libmicrohttpd.
     pollWatcher_.watch(MHD_get_daemon_info(daemon_, MHD_DAEMON_INFO_EPOLL_FD)->epoll_fd, EV_READ);
     startLimitTimer();
-    return Done {};
+    return Success {};
 }
 
 void HttpServer::startLimitTimer()
--- a/src/net/internal/httpserver.h
+++ b/src/net/internal/httpserver.h
@@ -31,7 +31,7 @@
     HttpServer& operator=(const HttpServer&) = delete;
 
     /// Binds and listens.
-    [[nodiscard]] Result<Done, IoError> start();
+    [[nodiscard]] Result<Success, IoError> start();
 
     void carryOut(requests::HttpRespond action) override;
     void carryOut(requests::HttpResponseBody action) override;
--- a/src/net/internal/linkhub.cpp
+++ b/src/net/internal/linkhub.cpp
@@ -46,7 +46,7 @@
     closedLinks_.clear_and_dispose(std::default_delete<Link> {});
 }
 
-Result<Done, IoError> LinkHub::start()
+Result<Success, IoError> LinkHub::start()
 {
     auto listening = listenOn(options_.listenAddress);
     if (!listening)
@@ -55,7 +55,7 @@
     boundAddress_ = boundAddressOf(listening_.get());
     acceptWatcher_.watch(listening_.get(), EV_READ);
     keepAliveTimer_.startRepeating(Link::KeepAliveTick);
-    return Done {};
+    return Success {};
 }
 
 Link& LinkHub::addLink(LinkRole role, UniqueFd fd, const model::Address& remote, const DialOptions& dialling)
--- a/src/net/internal/linkhub.h
+++ b/src/net/internal/linkhub.h
@@ -33,7 +33,7 @@
     LinkHub(const LinkHub&) = delete;
     LinkHub& operator=(const LinkHub&) = delete;
 
-    [[nodiscard]] Result<Done, IoError> start();
+    [[nodiscard]] Result<Success, IoError> start();
 
     void carryOut(const host::LinksWanted& action) override;
     void send(const model::OutgoingMessage& outgoing) override;
--- a/src/net/internal/segment.cpp
+++ b/src/net/internal/segment.cpp
@@ -46,7 +46,7 @@
 
 IoError corruptionAt(const std::string& path, uint64_t offset, const std::string& message)
 {
-    return {.place = path + ":" + std::to_string(offset), .message = message};
+    return {.location = path + ":" + std::to_string(offset), .message = message};
 }
 
 } // namespace
@@ -122,22 +122,22 @@
     return segment;
 }
 
-Result<Done, IoError> Segment::discardPartialWrite()
+Result<Success, IoError> Segment::discardPartialWrite()
 {
     if (!hasPartialWrite_)
-        return Done {};
+        return Success {};
     if (disk_.truncate(fd_.get(), static_cast<off_t>(size_)) != 0)
         return lastError(path_, "ftruncate");
     if (disk_.syncData(fd_.get()) != 0)
         return lastError(path_, "fdatasync");
     hasPartialWrite_ = false;
-    return Done {};
+    return Success {};
 }
 
-Result<Done, IoError> Segment::append(std::string_view payload)
+Result<Success, IoError> Segment::append(std::string_view payload)
 {
     if (payload.size() > MaxRecordPayloadBytes)
-        return IoError {.place = path_, .message = "write too large", .code = EFBIG};
+        return IoError {.location = path_, .message = "write too large", .code = EFBIG};
     if (auto discarded = discardPartialWrite(); !discarded)
         return discarded;
     const std::string record = encodeRecord({.file = number_, .offset = size_}, payload);
@@ -153,7 +153,7 @@
     }
     size_ += record.size();
     hasPartialWrite_ = false;
-    return Done {};
+    return Success {};
 }
 
 } // namespace saltvane::net
--- a/src/net/internal/segment.h
+++ b/src/net/internal/segment.h
@@ -53,10 +53,10 @@
     [[nodiscard]] uint64_t size() const { return size_; }
 
     /// Writes and syncs one record. After an error the partial write is discarded, at the latest before the next write.
-    [[nodiscard]] Result<Done, IoError> append(std::string_view payload);
+    [[nodiscard]] Result<Success, IoError> append(std::string_view payload);
 
 private:
-    [[nodiscard]] Result<Done, IoError> discardPartialWrite();
+    [[nodiscard]] Result<Success, IoError> discardPartialWrite();
 
     IDiskCalls& disk_;
     std::string path_;
--- a/src/net/internal/socketaddress.cpp
+++ b/src/net/internal/socketaddress.cpp
@@ -73,14 +73,14 @@
 IoError lastError(std::string location, const std::string& call)
 {
     const int code = errno;
-    return {.place = std::move(location), .message = call + ": " + std::strerror(code), .code = code};
+    return {.location = std::move(location), .message = call + ": " + std::strerror(code), .code = code};
 }
 
 Result<UniqueFd, IoError> listenOn(const model::Address& address)
 {
     const auto socketAddress = SocketAddress::from(address);
     if (!socketAddress)
-        return IoError {.place = describe(address), .message = "not an IP address", .code = EINVAL};
+        return IoError {.location = describe(address), .message = "not an IP address", .code = EINVAL};
     UniqueFd fd(::socket(socketAddress->family(), SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
     if (!fd.isOpen())
         return lastError(describe(address), "socket");
--- a/src/net/netmodule.cpp
+++ b/src/net/netmodule.cpp
@@ -29,14 +29,14 @@
 {
     const CURLcode code = curl_global_init(CURL_GLOBAL_DEFAULT);
     if (code != CURLE_OK)
-        return IoError {.place = "libcurl", .message = curl_easy_strerror(code), .code = code};
+        return IoError {.location = "libcurl", .message = curl_easy_strerror(code), .code = code};
     return std::unique_ptr<ITargetClient>(std::make_unique<TargetClient>(std::move(options)));
 }
 
 Result<std::unique_ptr<ILinkHub>, IoError> makeLinkHub(LinkHubOptions options)
 {
     if (sodium_init() < 0)
-        return IoError {.place = "libsodium", .message = "no random numbers"};
+        return IoError {.location = "libsodium", .message = "no random numbers"};
     auto hub = std::make_unique<LinkHub>(std::move(options));
     const auto started = hub->start();
     if (!started)
@@ -48,7 +48,7 @@
 {
     static DiskCalls disk; // Stateless.
     if (sodium_init() < 0)
-        return IoError {.place = "libsodium", .message = "no random numbers"};
+        return IoError {.location = "libsodium", .message = "no random numbers"};
     auto folder = std::make_unique<DataFolder>(path, disk);
     const auto opened = folder->open();
     if (!opened)
--- a/src/net/tests/datacrashtests.cpp
+++ b/src/net/tests/datacrashtests.cpp
@@ -30,7 +30,7 @@
         FaultyDisk disk;
         DataFolder folder(path, disk);
         const auto opened = folder.open();
-        ASSERT_TRUE(opened.isOk()) << fault << " " << opened.error().place << " " << opened.error().message;
+        ASSERT_TRUE(opened.isOk()) << fault << " " << opened.error().location << " " << opened.error().message;
         const RecoveredState& found = folder.recovered();
         const size_t minWrites = successfulWrites.value_or(0);
         bool isExpected = isSame(found, expectedAfter(writes, minWrites));
@@ -132,7 +132,7 @@
         const auto full = open.write(appending(4, 6, 1));
         ASSERT_FALSE(full.isOk());
         EXPECT_EQ(full.error().code, ENOSPC);
-        EXPECT_NE(full.error().place.find("segment-"), std::string::npos);
+        EXPECT_NE(full.error().location.find("segment-"), std::string::npos);
     }
     disk.bytesLeft = FaultyDisk::Unlimited;
     ASSERT_TRUE(open.write(appending(4, 6, 1)).isOk());
--- a/src/net/tests/datadamagetests.cpp
+++ b/src/net/tests/datadamagetests.cpp
@@ -45,7 +45,7 @@
             flipByte(file, offset);
             const auto opened = openDataFolder(corrupted);
             ASSERT_FALSE(opened.isOk()) << segment << " " << offset;
-            EXPECT_TRUE(opened.error().place.starts_with(file + ":")) << opened.error().place;
+            EXPECT_TRUE(opened.error().location.starts_with(file + ":")) << opened.error().location;
             fs::remove_all(corrupted);
         }
     }
@@ -79,7 +79,7 @@
             flipByte(corrupted + "/" + name, offset);
             const auto opened = openDataFolder(corrupted);
             ASSERT_FALSE(opened.isOk()) << name << " " << offset;
-            EXPECT_NE(opened.error().place.find(name), std::string::npos);
+            EXPECT_NE(opened.error().location.find(name), std::string::npos);
             fs::remove_all(corrupted);
         }
     }
--- a/src/net/tests/datafolderfixture.h
+++ b/src/net/tests/datafolderfixture.h
@@ -129,7 +129,7 @@
 inline std::unique_ptr<IDataFolder> reopened(const std::string& path)
 {
     auto folder = openDataFolder(path);
-    EXPECT_TRUE(folder.isOk()) << folder.error().place << " " << folder.error().message;
+    EXPECT_TRUE(folder.isOk()) << folder.error().location << " " << folder.error().message;
     return folder ? std::move(folder.value()) : nullptr;
 }
 
--- a/src/registry/internal/calls.cpp
+++ b/src/registry/internal/calls.cpp
@@ -86,7 +86,7 @@
     return UnknownCall {};
 }
 
-BundleVersion statedVersion(std::string_view plan)
+BundleVersion uncheckedVersion(std::string_view plan)
 {
     const Json json = Json::parse(settings::planWithoutLists(plan), nullptr, false);
     if (!json.is_object() || !json.contains("version") || !json["version"].is_number_unsigned())
@@ -94,7 +94,7 @@
     return {json["version"].get<uint64_t>()};
 }
 
-std::set<ServiceName> statedServices(std::string_view plan)
+std::set<ServiceName> uncheckedServices(std::string_view plan)
 {
     std::set<ServiceName> services;
     const Json json = Json::parse(settings::planWithoutLists(plan), nullptr, false);
--- a/src/registry/internal/calls.h
+++ b/src/registry/internal/calls.h
@@ -47,9 +47,9 @@
 /// Considers method, path and headers only; the body comes later.
 [[nodiscard]] Call readCall(const requests::HttpRequestStarted& request, const settings::HeaderNames& headers);
 /// The version named in a plan's text, which is not validated; 0 where there is none.
-[[nodiscard]] BundleVersion statedVersion(std::string_view plan);
+[[nodiscard]] BundleVersion uncheckedVersion(std::string_view plan);
 /// The services named in a plan's text, which is not validated.
-[[nodiscard]] std::set<ServiceName> statedServices(std::string_view plan);
+[[nodiscard]] std::set<ServiceName> uncheckedServices(std::string_view plan);
 
 [[nodiscard]] requests::HttpRespond jsonAnswer(requests::HttpHandle handle, int status, std::string body);
 [[nodiscard]] requests::HttpRespond errorAnswer(requests::HttpHandle handle, int status, std::string_view message);
--- a/src/registry/internal/loadboard.cpp
+++ b/src/registry/internal/loadtable.cpp
@@ -3,7 +3,7 @@
  * saltvane: global traffic steering
  * Copyright (c) 2026 the saltvane authors
  */
-#include "registry/internal/loadboard.h"
+#include "registry/internal/loadtable.h"
 
 #include <algorithm>
 
@@ -25,7 +25,7 @@
 
 } // namespace
 
-void LoadBoard::apply(const model::TargetLoads& loads, bool isAdded)
+void LoadTable::apply(const model::TargetLoads& loads, bool isAdded)
 {
     for (size_t i = 0; i < loads.targets.size(); ++i) {
         Sum& sum = sums_[loads.targets[i]];
@@ -39,7 +39,7 @@
     }
 }
 
-void LoadBoard::record(const HostId& gateway, const model::TargetLoads& loads, Timestamp now)
+void LoadTable::record(const HostId& gateway, const model::TargetLoads& loads, Timestamp now)
 {
     const auto [found, isNew] = gateways_.try_emplace(gateway);
     if (!isNew)
@@ -49,7 +49,7 @@
     arrivals_.emplace_back(now, gateway);
 }
 
-void LoadBoard::expire(Timestamp now)
+void LoadTable::expire(Timestamp now)
 {
     for (; !arrivals_.empty() && now - arrivals_.front().first > LoadReportTimeout; arrivals_.pop_front()) {
         const auto found = gateways_.find(arrivals_.front().second);
@@ -60,7 +60,7 @@
     }
 }
 
-model::TargetLoads LoadBoard::takeChanges()
+model::TargetLoads LoadTable::takeChanges()
 {
     model::TargetLoads changes {.isChange = true};
     for (const uint64_t target : dirtyTargets_) {
@@ -78,7 +78,7 @@
     return changes;
 }
 
-model::TargetLoads LoadBoard::published() const
+model::TargetLoads LoadTable::published() const
 {
     model::TargetLoads all;
     for (const auto& [target, sum] : sums_) {
--- a/src/registry/internal/loadboard.h
+++ b/src/registry/internal/loadtable.h
@@ -16,7 +16,7 @@
 
 /// The requests that each gateway last reported in flight on each target, and their sums over all gateways. A report
 /// costs in proportion to the targets that it names.
-class LoadBoard {
+class LoadTable {
 public:
     void record(const HostId& gateway, const model::TargetLoads& loads, Timestamp now);
     /// Removes gateways whose last report is too old.
--- a/src/registry/internal/nearestgateways.h
+++ b/src/registry/internal/nearestgateways.h
@@ -6,7 +6,7 @@
 #pragma once
 
 #include "membership/ihostroster.h"
-#include "registry/internal/targetbook.h"
+#include "registry/internal/targettable.h"
 
 #include <span>
 #include <vector>
--- a/src/registry/internal/refusedreports.cpp
+++ b/src/registry/internal/refusedreports.cpp
@@ -11,7 +11,7 @@
 
 namespace saltvane::registry {
 
-std::optional<host::LogLine> RefusedReports::note(std::string_view path, const Findings& findings, Timestamp now)
+std::optional<host::LogLine> RefusedReports::record(std::string_view path, const Findings& findings, Timestamp now)
 {
     if (now < nextLineAt_) {
         ++suppressedLines_;
--- a/src/registry/internal/refusedreports.h
+++ b/src/registry/internal/refusedreports.h
@@ -17,7 +17,7 @@
 class RefusedReports {
 public:
     /// The line to write; none where one was written within the last second.
-    [[nodiscard]] std::optional<host::LogLine> note(std::string_view path, const Findings& findings, Timestamp now);
+    [[nodiscard]] std::optional<host::LogLine> record(std::string_view path, const Findings& findings, Timestamp now);
 
 private:
     static constexpr Duration LogInterval = 1s;
--- a/src/registry/internal/registrycalls.cpp
+++ b/src/registry/internal/registrycalls.cpp
@@ -45,7 +45,8 @@
         return refuseReport(handle, openCall, heartbeat.error(), now);
     if (!isServiceInPlan(heartbeat.value())) {
         Findings findings;
-        findings.add({.place = {.source = "heartbeat"}, .field = "service", .message = "is not a service of the plan"});
+        findings.add(
+            {.location = {.source = "heartbeat"}, .field = "service", .message = "is not a service of the plan"});
         return refuseReport(handle, openCall, findings, now);
     }
     counters_->add(model::Counter::Announcements);
@@ -54,7 +55,7 @@
     const bool isAlreadyRetired = isRetired(targetIncarnation);
     const bool mustRetire = heartbeat.value().isLeaving && !isAlreadyRetired;
     heartbeat.value().isLeaving = heartbeat.value().isLeaving || isAlreadyRetired;
-    if (!targets_.note(std::move(heartbeat.value()), now))
+    if (!targets_.applyReport(std::move(heartbeat.value()), now))
         counters_->add(model::Counter::StaleMessages);
     if (mustRetire)
         return retire(handle, targetIncarnation, now);
@@ -80,7 +81,7 @@
     requests::HttpHandle handle, const OpenCall& openCall, const Findings& findings, Timestamp now)
 {
     counters_->add(model::Counter::AnnouncementsRefused);
-    if (std::optional<host::LogLine> line = refusedReports_.note(openCall.path, findings, now))
+    if (std::optional<host::LogLine> line = refusedReports_.record(openCall.path, findings, now))
         actions_.emplace_back(*std::move(line));
     answer(findingsAnswer(handle, findings.items()));
 }
@@ -92,7 +93,7 @@
         return true; // Targets may report before the first plan.
     if (servicesPosition_ != routing.planPosition) {
         servicesPosition_ = routing.planPosition;
-        services_ = statedServices(routing.planContent);
+        services_ = uncheckedServices(routing.planContent);
     }
     // A target whose service was removed by a newer plan must still be able to leave.
     return services_.contains(record.service) || targets_.isKnown(record.target, record.service);
@@ -109,7 +110,7 @@
     log(host::LogSeverity::Info,
         "event=plan_order base=" + std::to_string(call.base.value) + " bytes=" + std::to_string(openCall.body.size()));
     planQueue_.add({.handle = handle,
-        .order = {.base = call.base, .version = statedVersion(openCall.body), .content = std::move(openCall.body)}});
+        .order = {.base = call.base, .version = uncheckedVersion(openCall.body), .content = std::move(openCall.body)}});
     submitPreparedPlan(now);
 }
 
--- a/src/registry/internal/registrycore.cpp
+++ b/src/registry/internal/registrycore.cpp
@@ -58,7 +58,7 @@
 Result<model::Bundle, Findings> refuseBundle(std::string_view /*content*/)
 {
     Findings findings;
-    findings.add({.place = {}, .field = "", .message = "a registry accepts route plans, not bundles"});
+    findings.add({.location = {}, .field = "", .message = "a registry accepts route plans, not bundles"});
     return findings;
 }
 
--- a/src/registry/internal/registrycore.h
+++ b/src/registry/internal/registrycore.h
@@ -10,13 +10,13 @@
 #include "membership/ihostroster.h"
 #include "registry/internal/calls.h"
 #include "registry/internal/creditpool.h"
-#include "registry/internal/loadboard.h"
+#include "registry/internal/loadtable.h"
 #include "registry/internal/nearestgateways.h"
 #include "registry/internal/ordertracker.h"
 #include "registry/internal/planqueue.h"
 #include "registry/internal/refusedreports.h"
 #include "registry/internal/suspectrelay.h"
-#include "registry/internal/targetbook.h"
+#include "registry/internal/targettable.h"
 #include "registry/iregistry.h"
 #include "settings/routeplanreader.h"
 
@@ -142,7 +142,7 @@
     PlanQueue planQueue_;
     std::unique_ptr<membership::IHostRoster> roster_;
     std::unique_ptr<control::IBundleHolder> bundleReplica_;
-    TargetBook targets_;
+    TargetTable targets_;
     OrderTracker orders_;
     std::unordered_map<requests::HttpHandle, OpenCall> calls_;
     std::unordered_map<requests::HttpHandle, uint64_t> planAnswers_; ///< Bytes of plans being sent to callers.
@@ -157,7 +157,7 @@
     LogPosition appliedOrdersPosition_;
     std::set<HostId> syncedGateways_; ///< Gateways that were sent all targets on their present link.
     Timestamp nextReportAt_ {};
-    LoadBoard loads_;
+    LoadTable loads_;
     NearestGateways nearestGateways_;
     SuspectRelay suspects_;
     std::optional<CreditPool> credits_; ///< Created by the first tick.
--- a/src/registry/internal/registryreports.cpp
+++ b/src/registry/internal/registryreports.cpp
@@ -95,7 +95,7 @@
         return;
     nextReportAt_ = now + ReportInterval;
     model::TargetReport report = makeReport();
-    report.targets = targets_.takeNews(gateways(now), now);
+    report.targets = targets_.drainUpdates(gateways(now), now);
     if (!report.targets.empty())
         sendToGateways(report);
 }
--- a/src/registry/internal/targetreports.cpp
+++ b/src/registry/internal/targetreports.cpp
@@ -50,7 +50,7 @@
     [[nodiscard]] const Findings& findings() const { return findings_; }
     void add(std::string field, std::string message)
     {
-        findings_.add({.place = {.source = source_}, .field = std::move(field), .message = std::move(message)});
+        findings_.add({.location = {.source = source_}, .field = std::move(field), .message = std::move(message)});
     }
 
     std::string text(const char* field)
--- a/src/registry/internal/targetbook.cpp
+++ b/src/registry/internal/targettable.cpp
@@ -3,7 +3,7 @@
  * saltvane: global traffic steering
  * Copyright (c) 2026 the saltvane authors
  */
-#include "registry/internal/targetbook.h"
+#include "registry/internal/targettable.h"
 
 #include <utility>
 #include <xxhash.h>
@@ -28,12 +28,12 @@
 
 } // namespace
 
-TargetBook::TargetBook(std::map<ZoneName, RegionName> zones)
+TargetTable::TargetTable(std::map<ZoneName, RegionName> zones)
     : zones_(std::move(zones))
 {
 }
 
-bool TargetBook::note(model::TargetRecord record, Timestamp now)
+bool TargetTable::applyReport(model::TargetRecord record, Timestamp now)
 {
     const auto found = entries_.find(record.target);
     if (found == entries_.end() || found->second.record.incarnation < record.incarnation)
@@ -45,7 +45,7 @@
     return true;
 }
 
-bool TargetBook::addIncarnation(model::TargetRecord record, Timestamp now)
+bool TargetTable::addIncarnation(model::TargetRecord record, Timestamp now)
 {
     if (displaced_.contains(targetIncarnationOf(record), now) || isAddressOfNewerIncarnation(record))
         return false;
@@ -58,7 +58,7 @@
     return true;
 }
 
-void TargetBook::updateEntry(Entry& entry, model::TargetRecord record, Timestamp now)
+void TargetTable::updateEntry(Entry& entry, model::TargetRecord record, Timestamp now)
 {
     record.isLeaving = record.isLeaving || entry.record.isLeaving;
     // The target reported to another registry host in between, from which gateways may have newer information.
@@ -83,7 +83,7 @@
         queueUpdate(entry);
 }
 
-TargetBook::Entry& TargetBook::add(model::TargetRecord record, Timestamp now)
+TargetTable::Entry& TargetTable::add(model::TargetRecord record, Timestamp now)
 {
     ++changes_;
     Entry& entry = entries_[record.target];
@@ -93,7 +93,7 @@
     return entry;
 }
 
-void TargetBook::erase(Entry& entry)
+void TargetTable::erase(Entry& entry)
 {
     ++changes_;
     if (atAddress(entry.record.address) == &entry)
@@ -101,33 +101,33 @@
     entries_.erase(entries_.find(entry.record.target));
 }
 
-void TargetBook::queueUpdate(Entry& entry)
+void TargetTable::queueUpdate(Entry& entry)
 {
     if (!entry.updateHook.is_linked() && !isWithheld(entry))
         updates_.push_back(entry);
 }
 
-void TargetBook::markReceived(Entry& entry, Timestamp now)
+void TargetTable::markReceived(Entry& entry, Timestamp now)
 {
     entry.receivedAt = now;
     entry.receivedHook.unlink();
     byReceivedAt_.push_back(entry);
 }
 
-void TargetBook::markSent(Entry& entry, Timestamp now)
+void TargetTable::markSent(Entry& entry, Timestamp now)
 {
     entry.sentAt = now;
     entry.sentHook.unlink();
     bySentAt_.push_back(entry);
 }
 
-TargetBook::Entry* TargetBook::atAddress(const model::Address& address) const
+TargetTable::Entry* TargetTable::atAddress(const model::Address& address) const
 {
     const auto found = byAddress_.find(address);
     return found == byAddress_.end() ? nullptr : found->second;
 }
 
-bool TargetBook::isAddressOfNewerIncarnation(const model::TargetRecord& record) const
+bool TargetTable::isAddressOfNewerIncarnation(const model::TargetRecord& record) const
 {
     const Entry* other = atAddress(record.address);
     // Targets that don't report their incarnation are accepted in the order of their reports.
@@ -135,7 +135,7 @@
         && other->record.incarnation > record.incarnation;
 }
 
-void TargetBook::displaceOthersAt(const model::TargetRecord& record, Timestamp now)
+void TargetTable::displaceOthersAt(const model::TargetRecord& record, Timestamp now)
 {
     Entry* other = atAddress(record.address);
     if (other == nullptr || other->record.target == record.target)
@@ -144,7 +144,7 @@
     erase(*other);
 }
 
-void TargetBook::markLeaving(const model::TargetIncarnation& targetIncarnation)
+void TargetTable::markLeaving(const model::TargetIncarnation& targetIncarnation)
 {
     const auto found = entries_.find(targetIncarnation.target);
     if (found == entries_.end() || found->second.record.incarnation != targetIncarnation.incarnation)
@@ -155,26 +155,26 @@
     queueUpdate(found->second);
 }
 
-void TargetBook::remove(const model::TargetIncarnation& targetIncarnation)
+void TargetTable::remove(const model::TargetIncarnation& targetIncarnation)
 {
     const auto found = entries_.find(targetIncarnation.target);
     if (found != entries_.end() && found->second.record.incarnation <= targetIncarnation.incarnation)
         erase(found->second);
 }
 
-Incarnation TargetBook::incarnationOf(const TargetId& target) const
+Incarnation TargetTable::incarnationOf(const TargetId& target) const
 {
     const auto found = entries_.find(target);
     return found == entries_.end() ? Incarnation {} : found->second.record.incarnation;
 }
 
-bool TargetBook::isKnown(const TargetId& target, const ServiceName& service) const
+bool TargetTable::isKnown(const TargetId& target, const ServiceName& service) const
 {
     const auto found = entries_.find(target);
     return found != entries_.end() && found->second.record.service == service;
 }
 
-void TargetBook::recall(std::span<const model::TargetRecord> records, Timestamp now)
+void TargetTable::recall(std::span<const model::TargetRecord> records, Timestamp now)
 {
     for (model::TargetRecord record : records) {
         if (entries_.contains(record.target) || atAddress(record.address) != nullptr)
@@ -184,7 +184,7 @@
     }
 }
 
-void TargetBook::releaseRecalled(const membership::RetiredTargets& retired)
+void TargetTable::releaseRecalled(const membership::RetiredTargets& retired)
 {
     isRecallReleased_ = true;
     std::vector<Entry*> recalled;
@@ -200,7 +200,7 @@
     }
 }
 
-std::vector<model::TargetRecord> TargetBook::recallable(const std::set<ZoneName>& evacuatedZones) const
+std::vector<model::TargetRecord> TargetTable::recallable(const std::set<ZoneName>& evacuatedZones) const
 {
     std::vector<model::TargetRecord> records;
     for (const auto& [target, entry] : entries_) {
@@ -213,19 +213,19 @@
     return records;
 }
 
-void TargetBook::awaitReportsOf(const ZoneName& zone, Timestamp now)
+void TargetTable::awaitReportsOf(const ZoneName& zone, Timestamp now)
 {
     ++changes_;
     reportsAwaitedSince_.insert_or_assign(zone, now);
 }
 
-bool TargetBook::isAwaitingReport(const Entry& entry) const
+bool TargetTable::isAwaitingReport(const Entry& entry) const
 {
     const auto awaited = reportsAwaitedSince_.find(entry.record.zone);
     return awaited != reportsAwaitedSince_.end() && entry.reportedAt <= awaited->second;
 }
 
-HostId TargetBook::slowStartHostOf(const model::TargetRecord& record, std::span<const HostLocation> gateways) const
+HostId TargetTable::slowStartHostOf(const model::TargetRecord& record, std::span<const HostLocation> gateways) const
 {
     const auto region = zones_.find(record.zone);
     const HostLocation* best = nullptr;
@@ -242,7 +242,7 @@
     return best == nullptr ? HostId {} : best->host;
 }
 
-model::TargetRecord TargetBook::outgoingRecordOf(
+model::TargetRecord TargetTable::outgoingRecordOf(
     const Entry& entry, std::span<const HostLocation> gateways, Timestamp now) const
 {
     model::TargetRecord outgoing = entry.record;
@@ -252,7 +252,7 @@
     return outgoing;
 }
 
-void TargetBook::queueResends(Timestamp now)
+void TargetTable::queueResends(Timestamp now)
 {
     while (!bySentAt_.empty() && now - bySentAt_.front().sentAt >= ResendInterval) {
         Entry& entry = bySentAt_.front();
@@ -262,7 +262,7 @@
     }
 }
 
-std::vector<model::TargetRecord> TargetBook::takeNews(std::span<const HostLocation> gateways, Timestamp now)
+std::vector<model::TargetRecord> TargetTable::drainUpdates(std::span<const HostLocation> gateways, Timestamp now)
 {
     std::vector<model::TargetRecord> updates;
     // The age of the last record shows gateways that the target is unresponsive.
@@ -282,12 +282,12 @@
     return updates;
 }
 
-bool TargetBook::isUnresponsive(const Entry& entry, Timestamp now)
+bool TargetTable::isUnresponsive(const Entry& entry, Timestamp now)
 {
     return now - entry.receivedAt >= model::TargetHeartbeatTimeout;
 }
 
-std::vector<model::TargetRecord> TargetBook::all(std::span<const HostLocation> gateways, Timestamp now) const
+std::vector<model::TargetRecord> TargetTable::all(std::span<const HostLocation> gateways, Timestamp now) const
 {
     std::vector<model::TargetRecord> records;
     records.reserve(entries_.size());
--- a/src/registry/internal/targetbook.h
+++ b/src/registry/internal/targettable.h
@@ -26,15 +26,15 @@
     auto operator<=>(const HostLocation&) const = default;
 };
 
-/// The targets that report to this host, and the updates of them to send to gateways. A report or a call of takeNews()
-/// costs in proportion to the targets that changed, not to all known ones.
-class TargetBook {
+/// The targets that report to this host, and the updates of them to send to gateways. A report or a call of
+/// drainUpdates() costs in proportion to the targets that changed, not to all known ones.
+class TargetTable {
 public:
-    explicit TargetBook(std::map<ZoneName, RegionName> zones);
+    explicit TargetTable(std::map<ZoneName, RegionName> zones);
 
     /// Applies a target's report; false where it is older than the last one, or of an incarnation that a newer one
     /// replaced.
-    bool note(model::TargetRecord record, Timestamp now);
+    bool applyReport(model::TargetRecord record, Timestamp now);
     /// This incarnation announced in its answers that it leaves: overrides what it reports.
     void markLeaving(const model::TargetIncarnation& targetIncarnation);
     /// Removes the target if its incarnation is this one or an older one.
@@ -57,7 +57,7 @@
 
     /// Records that changed since the last call or are due to be sent again. Includes unresponsive targets a last time,
     /// and removes them.
-    [[nodiscard]] std::vector<model::TargetRecord> takeNews(std::span<const HostLocation> gateways, Timestamp now);
+    [[nodiscard]] std::vector<model::TargetRecord> drainUpdates(std::span<const HostLocation> gateways, Timestamp now);
     [[nodiscard]] std::vector<model::TargetRecord> all(std::span<const HostLocation> gateways, Timestamp now) const;
 
 private:
--- a/src/registry/tests/incarnationtests.cpp
+++ b/src/registry/tests/incarnationtests.cpp
@@ -3,7 +3,7 @@
  * saltvane: global traffic steering
  * Copyright (c) 2026 the saltvane authors
  */
-#include "registry/internal/targetbook.h"
+#include "registry/internal/targettable.h"
 #include "registrycluster.h"
 
 #include <boost/random/mersenne_twister.hpp>
@@ -166,12 +166,12 @@
 } // namespace
 
 // Reports of four incarnations of each of three targets in random order, some of them repeated.
-TEST(TargetBookTest, LatestIncarnationWinsForAnyReportOrder)
+TEST(TargetTableTest, LatestIncarnationWinsForAnyReportOrder)
 {
     constexpr uint64_t Seeds = 1000;
     for (uint64_t seed = 0; seed < Seeds; ++seed) {
         boost::random::mt19937_64 random(seed);
-        TargetBook table({{ZoneName("north-a"), RegionName("north")}});
+        TargetTable table({{ZoneName("north-a"), RegionName("north")}});
         std::map<TargetId, Incarnation> latest;
         Timestamp now {100s};
         for (int step = 0; step < 60; ++step) {
@@ -179,10 +179,10 @@
             const uint64_t start = 1 + random() % 4;
             const auto record = recordOf("t-" + std::to_string(target), start * 1000 + target, 1 + random() % 20,
                 static_cast<uint16_t>(9000 + target));
-            (void)table.note(record, now);
+            (void)table.applyReport(record, now);
             latest[record.target] = std::max(latest[record.target], record.incarnation);
             now += std::chrono::milliseconds(random() % 50);
-            for (const model::TargetRecord& update : table.takeNews({}, now))
+            for (const model::TargetRecord& update : table.drainUpdates({}, now))
                 ASSERT_EQ(update.incarnation, latest.at(update.target)) << "seed " << seed << " step " << step;
         }
         for (const model::TargetRecord& record : table.all({}, now))
@@ -190,33 +190,33 @@
     }
 }
 
-TEST(TargetBookTest, AddressIsNotReassignedToOlderIncarnationOfAnotherTarget)
+TEST(TargetTableTest, AddressIsNotReassignedToOlderIncarnationOfAnotherTarget)
 {
-    TargetBook table({});
+    TargetTable table({});
     Timestamp now {100s};
     // The earlier one reported to another host before: this host never knew it.
-    EXPECT_TRUE(table.note(recordOf("later", 2000, 1, 9000), now));
-    EXPECT_FALSE(table.note(recordOf("earlier", 1000, 70, 9000), now));
+    EXPECT_TRUE(table.applyReport(recordOf("later", 2000, 1, 9000), now));
+    EXPECT_FALSE(table.applyReport(recordOf("earlier", 1000, 70, 9000), now));
     ASSERT_EQ(table.all({}, now).size(), 1U);
     EXPECT_EQ(table.all({}, now).front().target, TargetId("later"));
     // Once the later one is unresponsive, its address is free.
     now += model::TargetHeartbeatTimeout;
-    (void)table.takeNews({}, now);
-    EXPECT_TRUE(table.note(recordOf("earlier", 1000, 71, 9000), now));
+    (void)table.drainUpdates({}, now);
+    EXPECT_TRUE(table.applyReport(recordOf("earlier", 1000, 71, 9000), now));
 }
 
 // When the clock steps back between two starts, the second has the lower incarnation: it is accepted only once the
 // first is unresponsive.
-TEST(TargetBookTest, IncarnationWithEarlierClockIsAcceptedAfterTheFormerTimesOut)
+TEST(TargetTableTest, IncarnationWithEarlierClockIsAcceptedAfterTheFormerTimesOut)
 {
-    TargetBook table({});
+    TargetTable table({});
     Timestamp now {100s};
-    EXPECT_TRUE(table.note(recordOf("t-1", 2000, 9, 9000), now));
+    EXPECT_TRUE(table.applyReport(recordOf("t-1", 2000, 9, 9000), now));
     now += 1s;
-    EXPECT_FALSE(table.note(recordOf("t-1", 1000, 1, 9000), now));
+    EXPECT_FALSE(table.applyReport(recordOf("t-1", 1000, 1, 9000), now));
     now += model::TargetHeartbeatTimeout;
-    (void)table.takeNews({}, now);
-    EXPECT_TRUE(table.note(recordOf("t-1", 1000, 9, 9000), now));
+    (void)table.drainUpdates({}, now);
+    EXPECT_TRUE(table.applyReport(recordOf("t-1", 1000, 9, 9000), now));
 }
 
 } // namespace saltvane::registry::test
--- a/src/registry/tests/loadboardtests.cpp
+++ b/src/registry/tests/loadtabletests.cpp
@@ -3,7 +3,7 @@
  * saltvane: global traffic steering
  * Copyright (c) 2026 the saltvane authors
  */
-#include "registry/internal/loadboard.h"
+#include "registry/internal/loadtable.h"
 #include "registry/internal/nearestgateways.h"
 
 #include <boost/random/mersenne_twister.hpp>
@@ -26,10 +26,10 @@
 } // namespace
 
 // 91 gateways report requests on 452 targets: the published sums must track the actual ones, with few entries sent.
-TEST(LoadBoardTest, PublishedChangesTrackTheSums)
+TEST(LoadTableTest, PublishedChangesTrackTheSums)
 {
     boost::random::mt19937_64 random(7);
-    LoadBoard table;
+    LoadTable table;
     std::map<HostId, std::map<uint64_t, uint32_t>> reportedLoads;
     std::map<uint64_t, uint32_t> received;
     Timestamp now {100s};
@@ -70,9 +70,9 @@
     EXPECT_LT(entries, 452U * Rounds / 2); // Sending all of them each time would be more than twice that.
 }
 
-TEST(LoadBoardTest, LoadsOfExpiredGatewayAreRemoved)
+TEST(LoadTableTest, LoadsOfExpiredGatewayAreRemoved)
 {
-    LoadBoard table;
+    LoadTable table;
     const Timestamp now {100s};
     table.record(HostId("a"), {.targets = {1}, .inFlight = {5}}, now);
     table.record(HostId("b"), {.targets = {1}, .inFlight = {4}}, now + 3s);
@@ -84,9 +84,9 @@
     EXPECT_TRUE(table.published().targets.empty());
 }
 
-TEST(LoadBoardTest, NewGatewayReceivesThePublishedSums)
+TEST(LoadTableTest, NewGatewayReceivesThePublishedSums)
 {
-    LoadBoard table;
+    LoadTable table;
     table.record(HostId("a"), {.targets = {1, 2}, .inFlight = {5, 7}}, Timestamp {100s});
     (void)table.takeChanges();
     EXPECT_FALSE(table.published().isChange);
--- a/src/registry/tests/registrycluster.cpp
+++ b/src/registry/tests/registrycluster.cpp
@@ -98,12 +98,12 @@
     host.deferredEvents.clear();
 }
 
-void RegistryCluster::wake(size_t number)
+void RegistryCluster::resume(size_t number)
 {
     Host& host = hosts_.at(number);
     if (!host.suspendedSince)
         return;
-    if (doClocksStandStill)
+    if (doClocksStopWhileSuspended)
         host.clockLag += now_ - *host.suspendedSince;
     host.suspendedSince.reset();
     runDeferred(number);
--- a/src/registry/tests/registrycluster.h
+++ b/src/registry/tests/registrycluster.h
@@ -50,9 +50,9 @@
     size_t addHost();
     /// Suspends the machine: it does nothing, and messages to it wait. Its clock includes that time when it resumes.
     void suspend(size_t number) { hosts_.at(number).suspendedSince = now_; }
-    void wake(size_t number);
+    void resume(size_t number);
     /// Simulates clocks that stop while the machine is suspended, from the next wake() on.
-    bool doClocksStandStill = false;
+    bool doClocksStopWhileSuspended = false;
     void isolate(size_t number) { isolated_.insert(number); }
     void heal() { isolated_.clear(); }
 
--- a/src/registry/tests/targetbooktests.cpp
+++ b/src/registry/tests/targettabletests.cpp
@@ -3,7 +3,7 @@
  * saltvane: global traffic steering
  * Copyright (c) 2026 the saltvane authors
  */
-#include "registry/internal/targetbook.h"
+#include "registry/internal/targettable.h"
 
 #include <gtest/gtest.h>
 
@@ -13,7 +13,7 @@
 
 const ZoneName Zone("north-a");
 
-class TargetBookChangesTest : public testing::Test {
+class TargetTableChangesTest : public testing::Test {
 protected:
     model::TargetRecord recordOf(const std::string& id, uint16_t port)
     {
@@ -35,34 +35,34 @@
 
     Timestamp now_ {100s};
     uint64_t sequence_ = 0;
-    TargetBook table_ {{{Zone, RegionName("north")}}};
+    TargetTable table_ {{{Zone, RegionName("north")}}};
 };
 
 } // namespace
 
-TEST_F(TargetBookChangesTest, UnchangedReportsDoNotChangeRecallableRecords)
+TEST_F(TargetTableChangesTest, UnchangedReportsDoNotChangeRecallableRecords)
 {
-    EXPECT_TRUE(changes([this] { (void)table_.note(recordOf("t-1", 1), now_); }));
-    EXPECT_FALSE(changes([this] { (void)table_.note(recordOf("t-1", 1), now_); }));
-    EXPECT_FALSE(changes([this] { (void)table_.takeNews({}, now_); }));
+    EXPECT_TRUE(changes([this] { (void)table_.applyReport(recordOf("t-1", 1), now_); }));
+    EXPECT_FALSE(changes([this] { (void)table_.applyReport(recordOf("t-1", 1), now_); }));
+    EXPECT_FALSE(changes([this] { (void)table_.drainUpdates({}, now_); }));
 }
 
-TEST_F(TargetBookChangesTest, ChangesOfRecallableRecordsAreCounted)
+TEST_F(TargetTableChangesTest, ChangesOfRecallableRecordsAreCounted)
 {
-    (void)table_.note(recordOf("t-1", 1), now_);
-    EXPECT_TRUE(changes([this] { (void)table_.note(recordOf("t-2", 2), now_); }));
-    EXPECT_TRUE(changes([this] { (void)table_.note(recordOf("t-2", 3), now_); })) << "another address";
+    (void)table_.applyReport(recordOf("t-1", 1), now_);
+    EXPECT_TRUE(changes([this] { (void)table_.applyReport(recordOf("t-2", 2), now_); }));
+    EXPECT_TRUE(changes([this] { (void)table_.applyReport(recordOf("t-2", 3), now_); })) << "another address";
     EXPECT_TRUE(changes([this] { table_.awaitReportsOf(Zone, now_); }));
-    EXPECT_TRUE(changes([this] { (void)table_.note(recordOf("t-1", 1), now_); })) << "a report that was awaited";
+    EXPECT_TRUE(changes([this] { (void)table_.applyReport(recordOf("t-1", 1), now_); })) << "a report that was awaited";
     model::TargetRecord slow = recordOf("t-1", 1);
     slow.slowStartLeft = 3s;
-    EXPECT_TRUE(changes([&] { (void)table_.note(slow, now_); }));
+    EXPECT_TRUE(changes([&] { (void)table_.applyReport(slow, now_); }));
     model::TargetRecord leaving = recordOf("t-1", 1);
     leaving.isLeaving = true;
-    EXPECT_TRUE(changes([&] { (void)table_.note(leaving, now_); }));
+    EXPECT_TRUE(changes([&] { (void)table_.applyReport(leaving, now_); }));
     EXPECT_TRUE(changes([this] { table_.remove({.target = TargetId("t-1")}); }));
     now_ += model::TargetHeartbeatTimeout;
-    EXPECT_TRUE(changes([this] { (void)table_.takeNews({}, now_); })) << "a target that became unresponsive";
+    EXPECT_TRUE(changes([this] { (void)table_.drainUpdates({}, now_); })) << "a target that became unresponsive";
 }
 
 } // namespace saltvane::registry::test
--- a/src/saltvane/internal/bundlecommands.cpp
+++ b/src/saltvane/internal/bundlecommands.cpp
@@ -51,7 +51,7 @@
     }
     Result<Signer, IoError> signer = Signer::load(arguments.keyPath);
     if (!signer) {
-        std::cerr << "saltvane: " << signer.error().place << ": " << signer.error().message << "\n";
+        std::cerr << "saltvane: " << signer.error().location << ": " << signer.error().message << "\n";
         return std::nullopt;
     }
     return signer.value();
--- a/src/saltvane/internal/checkcommands.cpp
+++ b/src/saltvane/internal/checkcommands.cpp
@@ -18,7 +18,7 @@
 
 nlohmann::json toJson(const Finding& finding)
 {
-    return {{"source", finding.place.source}, {"line", finding.place.line}, {"column", finding.place.column},
+    return {{"source", finding.location.source}, {"line", finding.location.line}, {"column", finding.location.column},
         {"field", finding.field}, {"message", finding.message}};
 }
 
@@ -76,7 +76,7 @@
     }
     const Result<std::string, IoError> publicKey = Signer::createKeyFile(arguments.operands.front());
     if (!publicKey) {
-        std::cerr << "saltvane: " << publicKey.error().place << ": " << publicKey.error().message << "\n";
+        std::cerr << "saltvane: " << publicKey.error().location << ": " << publicKey.error().message << "\n";
         return ExitUsage;
     }
     std::cout << "public_key: " << publicKey.value() << "\n";
--- a/src/saltvane/internal/signer.cpp
+++ b/src/saltvane/internal/signer.cpp
@@ -45,13 +45,13 @@
 {
     const std::string text = firstKeyLine(path);
     if (text.empty())
-        return IoError {.place = path, .message = "cannot read a secret key"};
+        return IoError {.location = path, .message = "cannot read a secret key"};
     Signer signer;
     size_t length = 0;
     const int decoded = sodium_base642bin(signer.secretKey_.data(), signer.secretKey_.size(), text.data(), text.size(),
         nullptr, &length, nullptr, Base64Variant);
     if (decoded != 0 || length != signer.secretKey_.size())
-        return IoError {.place = path, .message = "is not an Ed25519 secret key in base64 (64 bytes)"};
+        return IoError {.location = path, .message = "is not an Ed25519 secret key in base64 (64 bytes)"};
     return signer;
 }
 
@@ -62,12 +62,12 @@
     crypto_sign_keypair(publicKey.data(), secretKey.data());
     const int file = open(path.c_str(), O_WRONLY | O_CREAT | O_EXCL | O_CLOEXEC, KeyFileMode);
     if (file < 0)
-        return IoError {.place = path, .message = std::strerror(errno), .code = errno};
+        return IoError {.location = path, .message = std::strerror(errno), .code = errno};
     const std::string text = encodeBase64(secretKey) + "\n";
     const bool isWritten = write(file, text.data(), text.size()) == static_cast<ssize_t>(text.size());
     const bool isClosed = close(file) == 0;
     if (!isWritten || !isClosed)
-        return IoError {.place = path, .message = "cannot write the key"};
+        return IoError {.location = path, .message = "cannot write the key"};
     return encodeBase64(publicKey);
 }
 
--- a/src/saltvaned/internal/accesslog.cpp
+++ b/src/saltvaned/internal/accesslog.cpp
@@ -13,13 +13,13 @@
 void logAccess(const requests::AccessRecord& record)
 {
     LOG_TAGGED(INFO, "requests") << "event=" << (record.isOwnerSide ? "dispatched" : "request")
-                                 << " request=" << logWord(record.request.value())
-                                 << " service=" << logWord(record.service.value())
-                                 << " method=" << logWord(record.method)
-                                 << " client_region=" << logWord(record.clientRegion.value())
-                                 << " zone=" << logWord(record.zone.value())
-                                 << " owner=" << logWord(record.owner.value())
-                                 << " target=" << logWord(record.target.value()) << " tries=" << record.tries
+                                 << " request=" << logValue(record.request.value())
+                                 << " service=" << logValue(record.service.value())
+                                 << " method=" << logValue(record.method)
+                                 << " client_region=" << logValue(record.clientRegion.value())
+                                 << " zone=" << logValue(record.zone.value())
+                                 << " owner=" << logValue(record.owner.value())
+                                 << " target=" << logValue(record.target.value()) << " tries=" << record.tries
                                  << " outcome=" << model::toString(record.outcome)
                                  << " reason=" << model::toString(record.reason) << " status=" << record.status
                                  << " total_us="
--- a/src/saltvaned/internal/daemon.cpp
+++ b/src/saltvaned/internal/daemon.cpp
@@ -58,7 +58,7 @@
 Result<std::unique_ptr<Daemon>, IoError> Daemon::start(const settings::HostSettings& settings)
 {
     std::unique_ptr<Daemon> daemon(new Daemon);
-    const Result<Done, IoError> opened = daemon->openAdapters(settings);
+    const Result<Success, IoError> opened = daemon->openAdapters(settings);
     if (!opened)
         return opened.error();
     daemon->startWatchers();
@@ -72,7 +72,7 @@
     const settings::RoutedHostSettings& settings, const std::string& settingsPath)
 {
     std::unique_ptr<Daemon> daemon(new Daemon);
-    const Result<Done, IoError> opened = daemon->openAdapters(settings);
+    const Result<Success, IoError> opened = daemon->openAdapters(settings);
     if (!opened)
         return opened.error();
     daemon->startWatchers();
@@ -226,20 +226,20 @@
 
 void Daemon::carryOut(const control::StorageWrite& write)
 {
-    const Result<Done, IoError> result = dataFolder_->write(write);
+    const Result<Success, IoError> result = dataFolder_->write(write);
     if (result) {
         events_.emplace_back(control::StorageDone {.sequence = write.sequence});
         return;
     }
-    LOG_TAGGED(ERROR, "net") << "event=storage_failed place=" << result.error().place << " error=\""
+    LOG_TAGGED(ERROR, "net") << "event=storage_failed place=" << result.error().location << " error=\""
                              << result.error().message << "\"";
     events_.emplace_back(control::StorageFailed {.sequence = write.sequence, .message = result.error().message});
 }
 
 void Daemon::carryOut(const host::SoftStateWrite& write)
 {
-    if (const Result<Done, IoError> result = dataFolder_->writeSoftState(write.state); !result)
-        LOG_TAGGED(WARNING, "net") << "event=soft_state_kept_old place=" << result.error().place << " error=\""
+    if (const Result<Success, IoError> result = dataFolder_->writeSoftState(write.state); !result)
+        LOG_TAGGED(WARNING, "net") << "event=soft_state_kept_old place=" << result.error().location << " error=\""
                                    << result.error().message << "\"";
 }
 
--- a/src/saltvaned/internal/daemon.h
+++ b/src/saltvaned/internal/daemon.h
@@ -48,13 +48,13 @@
         uint64_t memoryBytes = 0; ///< Memory limit of the host.
     };
 
-    Result<Done, IoError> openAdapters(const settings::HostSettings& settings);
-    Result<Done, IoError> openAdapters(const settings::RoutedHostSettings& settings);
-    Result<Done, IoError> openDataFolder(const std::string& path);
-    Result<Done, IoError> openLinks(const LinkIdentity& identity);
-    Result<Done, IoError> openTargetClient(Duration connectTimeout, int receiveBufferBytes);
+    Result<Success, IoError> openAdapters(const settings::HostSettings& settings);
+    Result<Success, IoError> openAdapters(const settings::RoutedHostSettings& settings);
+    Result<Success, IoError> openDataFolder(const std::string& path);
+    Result<Success, IoError> openLinks(const LinkIdentity& identity);
+    Result<Success, IoError> openTargetClient(Duration connectTimeout, int receiveBufferBytes);
     /// Adds a server to httpServers_; its index there is its listener number.
-    Result<Done, IoError> openHttpServer(
+    Result<Success, IoError> openHttpServer(
         const model::Address& address, const settings::Limits& limits, bool isMetricsServed, int sendBufferBytes);
     [[nodiscard]] std::unique_ptr<host::IHostCore> makeRoutedCore(
         const settings::RoutedHostSettings& settings, Incarnation incarnation) const;
--- a/src/saltvaned/internal/daemonadapters.cpp
+++ b/src/saltvaned/internal/daemonadapters.cpp
@@ -71,7 +71,7 @@
 
 } // namespace
 
-Result<Done, IoError> Daemon::openAdapters(const settings::HostSettings& settings)
+Result<Success, IoError> Daemon::openAdapters(const settings::HostSettings& settings)
 {
     const Incarnation incarnation = makeIncarnation();
     std::optional<control::RecoveredState> recovered;
@@ -98,7 +98,7 @@
     return openHttpServer(settings.entryAddress, settings.limits, true, 0);
 }
 
-Result<Done, IoError> Daemon::openAdapters(const settings::RoutedHostSettings& settings)
+Result<Success, IoError> Daemon::openAdapters(const settings::RoutedHostSettings& settings)
 {
     const Incarnation incarnation = makeIncarnation();
     if (settings.isRegistry) {
@@ -107,7 +107,7 @@
     }
     core_ = makeRoutedCore(settings, incarnation);
     if (!core_)
-        return IoError {.place = settings.dataFolder, .message = "contains no state of this version"};
+        return IoError {.location = settings.dataFolder, .message = "contains no state of this version"};
     const auto linked = openLinks({.host = settings.host(),
         .incarnation = incarnation,
         .deployment = settings.deployment,
@@ -128,7 +128,7 @@
             return opened;
     }
     if (settings.metricsAddress.port == 0)
-        return Done {};
+        return Success {};
     return openHttpServer(settings.metricsAddress, settings.limits, true, 0);
 }
 
@@ -144,7 +144,7 @@
         .seed = randomSeed()});
 }
 
-Result<Done, IoError> Daemon::openDataFolder(const std::string& path)
+Result<Success, IoError> Daemon::openDataFolder(const std::string& path)
 {
     Result<std::unique_ptr<net::IDataFolder>, IoError> folder = net::openDataFolder(path);
     if (!folder)
@@ -152,10 +152,10 @@
     dataFolder_ = std::move(folder.value());
     for (const std::string& warning : dataFolder_->warnings())
         LOG_TAGGED(WARNING, "net") << "event=data_folder_warning " << warning;
-    return Done {};
+    return Success {};
 }
 
-Result<Done, IoError> Daemon::openLinks(const LinkIdentity& identity)
+Result<Success, IoError> Daemon::openLinks(const LinkIdentity& identity)
 {
     Result<std::unique_ptr<net::ILinkHub>, IoError> linkHub = net::makeLinkHub({.loop = loop_,
         .self = identity.host,
@@ -169,10 +169,10 @@
     if (!linkHub)
         return linkHub.error();
     linkHub_ = std::move(linkHub.value());
-    return Done {};
+    return Success {};
 }
 
-Result<Done, IoError> Daemon::openTargetClient(Duration connectTimeout, int receiveBufferBytes)
+Result<Success, IoError> Daemon::openTargetClient(Duration connectTimeout, int receiveBufferBytes)
 {
     Result<std::unique_ptr<net::ITargetClient>, IoError> targetClient = net::makeTargetClient({.loop = loop_,
         .sink = [this](host::Event event) { deliver(std::move(event)); },
@@ -181,10 +181,10 @@
     if (!targetClient)
         return targetClient.error();
     targetClient_ = std::move(targetClient.value());
-    return Done {};
+    return Success {};
 }
 
-Result<Done, IoError> Daemon::openHttpServer(
+Result<Success, IoError> Daemon::openHttpServer(
     const model::Address& address, const settings::Limits& limits, bool isMetricsServed, int sendBufferBytes)
 {
     Result<std::unique_ptr<net::IHttpServer>, IoError> httpServer = net::makeHttpServer({.loop = loop_,
@@ -210,7 +210,7 @@
     if (!httpServer)
         return httpServer.error();
     httpServers_.push_back(std::move(httpServer.value()));
-    return Done {};
+    return Success {};
 }
 
 } // namespace saltvane::saltvaned
--- a/src/saltvaned/main.cpp
+++ b/src/saltvaned/main.cpp
@@ -37,7 +37,7 @@
 {
     Result<std::unique_ptr<saltvaned::Daemon>, IoError> daemon = startDaemon(settings, path);
     if (!daemon) {
-        std::cerr << daemon.error().place << ": " << daemon.error().message << "\n";
+        std::cerr << daemon.error().location << ": " << daemon.error().message << "\n";
         return saltvaned::ExitFailure;
     }
     return daemon.value()->run();
--- a/src/settings/hostsettings.h
+++ b/src/settings/hostsettings.h
@@ -60,7 +60,7 @@
     std::vector<AnnounceKey> announceKeys;
     std::vector<model::Operator> operators; ///< Who may sign the first bundle.
     Limits limits;
-    Place place;
+    Location location;
 };
 
 /// Parses and checks settings. Reports all findings with their locations, including unknown keys.
--- a/src/settings/internal/bundleparser.cpp
+++ b/src/settings/internal/bundleparser.cpp
@@ -79,10 +79,10 @@
 {
     for (YamlReader& entry : root_.mappings("regions", Presence::Required)) {
         const RegionName region(entry.text("name"));
-        bundle_.regions.push_back({.name = region, .place = entry.place()});
+        bundle_.regions.push_back({.name = region, .location = entry.location()});
         for (LocatedText& zone : entry.texts("zones", Presence::Required))
             bundle_.zones.push_back(
-                {.name = ZoneName(std::move(zone.text)), .region = region, .place = std::move(zone.place)});
+                {.name = ZoneName(std::move(zone.text)), .region = region, .location = std::move(zone.location)});
         entry.reportUnknownKeys();
     }
 }
@@ -93,7 +93,7 @@
         bundle_.regionDelays.push_back({.from = RegionName(entry.text("from")),
             .to = RegionName(entry.text("to")),
             .delay = entry.duration("delay_ms", 1ms),
-            .place = entry.place()});
+            .location = entry.location()});
         entry.reportUnknownKeys();
     }
 }
@@ -105,7 +105,7 @@
         bundle_.linkLimits.push_back({.from = RegionName(entry.text("from")),
             .to = RegionName(entry.text("to")),
             .requestsInFlight = static_cast<uint32_t>(limit),
-            .place = entry.place()});
+            .location = entry.location()});
         entry.reportUnknownKeys();
     }
 }
@@ -118,7 +118,7 @@
     bundle_.defaultClientRegion = RegionName(clients->text("default_region"));
     for (YamlReader& entry : clients->mappings("blocks", Presence::Optional)) {
         bundle_.clients.push_back(
-            {.prefix = entry.text("prefix"), .region = RegionName(entry.text("region")), .place = entry.place()});
+            {.prefix = entry.text("prefix"), .region = RegionName(entry.text("region")), .location = entry.location()});
         entry.reportUnknownKeys();
     }
     clients->reportUnknownKeys();
@@ -133,7 +133,7 @@
 model::Service BundleParser::readService(YamlReader& entry)
 {
     model::Service service;
-    service.place = entry.place();
+    service.location = entry.location();
     service.name = ServiceName(entry.text("name"));
     service.zones = readZoneShares(entry);
     if (auto cap = entry.mapping("shift_cap", Presence::Required))
@@ -154,7 +154,7 @@
     std::vector<model::ZoneShare> shares;
     for (YamlReader& entry : service.mappings("zones", Presence::Required)) {
         shares.push_back(
-            {.zone = ZoneName(entry.text("zone")), .open = entry.decimal("open", 1.0), .place = entry.place()});
+            {.zone = ZoneName(entry.text("zone")), .open = entry.decimal("open", 1.0), .location = entry.location()});
         entry.reportUnknownKeys();
     }
     return shares;
@@ -164,8 +164,9 @@
 {
     std::vector<model::RepeatableRule> rules;
     for (YamlReader& entry : service.mappings("repeatable", Presence::Optional)) {
-        rules.push_back(
-            {.method = entry.text("method"), .pathPrefix = entry.text("path_prefix", "/"), .place = entry.place()});
+        rules.push_back({.method = entry.text("method"),
+            .pathPrefix = entry.text("path_prefix", "/"),
+            .location = entry.location()});
         entry.reportUnknownKeys();
     }
     return rules;
--- a/src/settings/internal/hostsettingsparser.cpp
+++ b/src/settings/internal/hostsettingsparser.cpp
@@ -63,7 +63,7 @@
 
 HostSettings HostSettingsParser::parse()
 {
-    settings_.place = root_.place();
+    settings_.location = root_.location();
     readIdentity();
     readRoles();
     readAddresses();
@@ -110,9 +110,9 @@
     const bool isEntry = role.text == "entry";
     const bool isControl = role.text == "control";
     if (!isEntry && !isControl)
-        root_.addItemFinding("roles", role.place, "must be entry or control");
+        root_.addItemFinding("roles", role.location, "must be entry or control");
     if ((isEntry && settings_.isEntry) || (isControl && settings_.isControl))
-        root_.addItemFinding("roles", role.place, "is listed twice: '" + role.text + "'");
+        root_.addItemFinding("roles", role.location, "is listed twice: '" + role.text + "'");
     settings_.isEntry = settings_.isEntry || isEntry;
     settings_.isControl = settings_.isControl || isControl;
 }
@@ -139,7 +139,7 @@
         if (const auto address = model::parseAddress(seed.text))
             settings_.seeds.push_back(*address);
         else
-            root_.addItemFinding("seeds", seed.place, std::string(AddressRule));
+            root_.addItemFinding("seeds", seed.location, std::string(AddressRule));
     }
 }
 
--- a/src/settings/internal/operatorlist.cpp
+++ b/src/settings/internal/operatorlist.cpp
@@ -29,8 +29,9 @@
     std::set<OperatorName> names;
     std::vector<model::Operator> operators;
     for (YamlReader& entry : root.mappings("operators", Presence::Optional)) {
-        operators.push_back(
-            {.name = OperatorName(entry.text("name")), .publicKey = entry.text("public_key"), .place = entry.place()});
+        operators.push_back({.name = OperatorName(entry.text("name")),
+            .publicKey = entry.text("public_key"),
+            .location = entry.location()});
         if (checks == OperatorChecks::Run)
             checkOperator(entry, operators.back(), names);
         entry.reportUnknownKeys();
--- a/src/settings/internal/routedhostparser.cpp
+++ b/src/settings/internal/routedhostparser.cpp
@@ -72,7 +72,7 @@
             settings_.isGateway = settings_.isGateway || role.text == "gateway";
             settings_.isRegistry = settings_.isRegistry || role.text == "registry";
             if (role.text != "gateway" && role.text != "registry")
-                root_.addItemFinding("roles", role.place, "must be gateway or registry");
+                root_.addItemFinding("roles", role.location, "must be gateway or registry");
         }
         if (settings_.isGateway == settings_.isRegistry)
             root_.addFinding("roles", "must name one of gateway and registry");
@@ -129,7 +129,7 @@
             if (const auto address = model::parseAddress(seed.text))
                 settings_.seeds.push_back({.ip = address->ip, .port = port});
             else
-                root_.addItemFinding("seeds", seed.place, std::string(AddressRule));
+                root_.addItemFinding("seeds", seed.location, std::string(AddressRule));
         }
     }
 
--- a/src/settings/internal/routeplanfields.cpp
+++ b/src/settings/internal/routeplanfields.cpp
@@ -138,7 +138,7 @@
 
     void addFinding(const std::string& key, std::string message)
     {
-        findings_.add({.place = {.source = source_}, .field = fieldOf(key), .message = std::move(message)});
+        findings_.add({.location = {.source = source_}, .field = fieldOf(key), .message = std::move(message)});
     }
 
 private:
--- a/src/settings/internal/routeplanparser.cpp
+++ b/src/settings/internal/routeplanparser.cpp
@@ -15,7 +15,7 @@
 using Json = nlohmann::json;
 
 /// Line and column of a byte offset; both count from 1.
-Place locationOf(std::string_view text, size_t byte, const std::string& source)
+Location locationOf(std::string_view text, size_t byte, const std::string& source)
 {
     const std::string_view before = text.substr(0, std::min(byte, text.size()));
     const size_t lineStart = before.rfind('\n') == std::string_view::npos ? 0 : before.rfind('\n') + 1;
@@ -40,10 +40,10 @@
         return plan;
     } catch (const Json::parse_error& error) {
         const size_t byte = error.byte > 0 ? error.byte - 1 : 0;
-        findings.add({.place = locationOf(text, byte, sourceName), .field = "", .message = "is not valid JSON"});
+        findings.add({.location = locationOf(text, byte, sourceName), .field = "", .message = "is not valid JSON"});
         return findings;
     } catch (const Json::out_of_range&) {
-        findings.add({.place = {.source = sourceName}, .field = "", .message = "has a number out of range"});
+        findings.add({.location = {.source = sourceName}, .field = "", .message = "has a number out of range"});
         return findings;
     }
 }
--- a/src/settings/internal/textfile.cpp
+++ b/src/settings/internal/textfile.cpp
@@ -16,7 +16,7 @@
 IoError currentError(const std::string& path)
 {
     const int code = errno;
-    return {.place = path, .message = code == 0 ? "input error" : std::strerror(code), .code = code};
+    return {.location = path, .message = code == 0 ? "input error" : std::strerror(code), .code = code};
 }
 
 } // namespace
@@ -39,7 +39,7 @@
 Findings fileFinding(const IoError& error)
 {
     Findings findings;
-    findings.add({.place = {.source = error.place}, .field = "", .message = "cannot be read: " + error.message});
+    findings.add({.location = {.source = error.location}, .field = "", .message = "cannot be read: " + error.message});
     return findings;
 }
 
--- a/src/settings/internal/yamlcontext.cpp
+++ b/src/settings/internal/yamlcontext.cpp
@@ -12,7 +12,7 @@
 {
 }
 
-Place YamlContext::place(int line, int column) const
+Location YamlContext::location(int line, int column) const
 {
     if (line < 0 || column < 0)
         return {.source = sourceName_};
@@ -25,27 +25,27 @@
     return document_;
 }
 
-void YamlContext::add(Place place, std::string field, std::string message)
+void YamlContext::add(Location location, std::string field, std::string message)
 {
-    findings_.add({.place = std::move(place), .field = std::move(field), .message = std::move(message)});
+    findings_.add({.location = std::move(location), .field = std::move(field), .message = std::move(message)});
 }
 
-YamlContext::FieldKey YamlContext::keyOf(const Place& entry, const std::string& field)
+YamlContext::FieldKey YamlContext::keyOf(const Location& entry, const std::string& field)
 {
     return {{entry.line, entry.column}, field};
 }
 
-void YamlContext::recordField(const Place& entry, const std::string& field, const Place& value)
+void YamlContext::recordField(const Location& entry, const std::string& field, const Location& value)
 {
     fields_[keyOf(entry, field)].value = value;
 }
 
-void YamlContext::recordInvalidField(const Place& entry, const std::string& field)
+void YamlContext::recordInvalidField(const Location& entry, const std::string& field)
 {
     fields_[keyOf(entry, field)].isInvalid = true;
 }
 
-bool YamlContext::isInvalid(const Place& entry, std::string field) const
+bool YamlContext::isInvalid(const Location& entry, std::string field) const
 {
     while (!field.empty()) {
         const auto recorded = fields_.find(keyOf(entry, field));
@@ -60,19 +60,19 @@
 void YamlContext::addContentFindings(const Findings& contentFindings)
 {
     for (const Finding& finding : contentFindings.items()) {
-        if (isInvalid(finding.place, finding.field))
+        if (isInvalid(finding.location, finding.field))
             continue;
-        Place place = finding.place.line > 0 ? finding.place : this->place(0, 0);
-        const auto recorded = fields_.find(keyOf(finding.place, finding.field));
+        Location location = finding.location.line > 0 ? finding.location : this->location(0, 0);
+        const auto recorded = fields_.find(keyOf(finding.location, finding.field));
         if (recorded != fields_.end())
-            place = recorded->second.value;
-        add(place, finding.field, finding.message);
+            location = recorded->second.value;
+        add(location, finding.field, finding.message);
     }
 }
 
 Findings YamlContext::takeFindings()
 {
-    findings_.sortByPlace();
+    findings_.sortByLocation();
     return std::move(findings_);
 }
 
--- a/src/settings/internal/yamlcontext.h
+++ b/src/settings/internal/yamlcontext.h
@@ -20,17 +20,17 @@
     explicit YamlContext(std::string sourceName);
 
     /// Location for a zero-based mark of the parser; unknown if the mark is negative.
-    [[nodiscard]] Place place(int line, int column) const;
+    [[nodiscard]] Location location(int line, int column) const;
 
     /// Stores the parsed document, which the readers point into.
     const YamlNode& storeDocument(YamlNode document);
 
-    void add(Place place, std::string field, std::string message);
+    void add(Location location, std::string field, std::string message);
 
     /// Records the location of the value of `field`. `entry` is the location of the list entry that contains it.
-    void recordField(const Place& entry, const std::string& field, const Place& value);
+    void recordField(const Location& entry, const std::string& field, const Location& value);
     /// Records that a finding about the field was added.
-    void recordInvalidField(const Place& entry, const std::string& field);
+    void recordInvalidField(const Location& entry, const std::string& field);
 
     /// Adds the findings of a check of the content. Findings about invalid fields, or about fields within one, are
     /// dropped, because these have a finding already. The others get the location of the field's value.
@@ -42,14 +42,14 @@
 
 private:
     struct RecordedField {
-        Place value; ///< Location of the field's value.
+        Location value; ///< Location of the field's value.
         bool isInvalid = false;
     };
     /// Line and column of the list entry, and the path of the field.
     using FieldKey = std::pair<std::pair<int, int>, std::string>;
 
-    [[nodiscard]] bool isInvalid(const Place& entry, std::string field) const;
-    [[nodiscard]] static FieldKey keyOf(const Place& entry, const std::string& field);
+    [[nodiscard]] bool isInvalid(const Location& entry, std::string field) const;
+    [[nodiscard]] static FieldKey keyOf(const Location& entry, const std::string& field);
 
     std::string sourceName_;
     YamlNode document_;
--- a/src/settings/internal/yamlreader.cpp
+++ b/src/settings/internal/yamlreader.cpp
@@ -43,16 +43,16 @@
         const YamlNode& document = context.storeDocument(parseYaml(text));
         if (document.kind == YamlNode::Kind::Mapping)
             return YamlReader(context, document, "", {});
-        context.add(context.place(0, 0), "", "must be one YAML document that is a mapping");
+        context.add(context.location(0, 0), "", "must be one YAML document that is a mapping");
     } catch (const YAML::Exception& error) {
-        context.add(context.place(error.mark.line, error.mark.column), "", "cannot be parsed: " + error.msg);
+        context.add(context.location(error.mark.line, error.mark.column), "", "cannot be parsed: " + error.msg);
     } catch (const std::exception& error) {
-        context.add(context.place(0, 0), "", std::string("cannot be parsed: ") + error.what());
+        context.add(context.location(0, 0), "", std::string("cannot be parsed: ") + error.what());
     }
     return std::nullopt;
 }
 
-YamlReader::YamlReader(YamlContext& context, const YamlNode& node, std::string path, Place entry)
+YamlReader::YamlReader(YamlContext& context, const YamlNode& node, std::string path, Location entry)
     : context_(&context)
     , path_(std::move(path))
     , place_(locationOf(node))
@@ -79,7 +79,7 @@
     return path_.empty() ? std::string(key) : path_ + "." + std::string(key);
 }
 
-Place YamlReader::locationOf(const YamlNode& node) const { return context_->place(node.line, node.column); }
+Location YamlReader::locationOf(const YamlNode& node) const { return context_->location(node.line, node.column); }
 
 YamlReader::Field* YamlReader::find(std::string_view key)
 {
@@ -94,11 +94,11 @@
         [key](const Field& field) { return field.key == key && field.value->kind != YamlNode::Kind::Null; });
 }
 
-void YamlReader::rejectField(std::string_view key, const Place& place, std::string message)
+void YamlReader::rejectField(std::string_view key, const Location& location, std::string message)
 {
     invalidFields_.emplace_back(key);
     context_->recordInvalidField(entry_, pathOf(key));
-    context_->add(place, pathOf(key), std::move(message));
+    context_->add(location, pathOf(key), std::move(message));
 }
 
 bool YamlReader::isInvalid(std::string_view key) const
@@ -114,9 +114,9 @@
     rejectField(key, field ? locationOf(*field->value) : place_, std::move(message));
 }
 
-void YamlReader::addItemFinding(std::string_view key, const Place& place, std::string message)
+void YamlReader::addItemFinding(std::string_view key, const Location& location, std::string message)
 {
-    rejectField(key, place, std::move(message));
+    rejectField(key, location, std::move(message));
 }
 
 const YamlNode* YamlReader::value(std::string_view key, Presence presence)
@@ -237,7 +237,7 @@
         return result;
     for (const YamlNode& item : items->items) {
         if (item.kind == YamlNode::Kind::Scalar)
-            result.push_back({.text = item.scalar, .place = locationOf(item)});
+            result.push_back({.text = item.scalar, .location = locationOf(item)});
         else
             rejectField(key, locationOf(item), "must be a list of single values");
     }
@@ -262,7 +262,7 @@
     if (!items)
         return result;
     for (const YamlNode& item : items->items) {
-        const Place itemLocation = locationOf(item);
+        const Location itemLocation = locationOf(item);
         if (item.kind == YamlNode::Kind::Mapping)
             result.push_back(YamlReader(*context_, item, pathOf(key), itemLocation));
         else
--- a/src/settings/internal/yamlreader.h
+++ b/src/settings/internal/yamlreader.h
@@ -20,7 +20,7 @@
 /// A list item with its location.
 struct LocatedText {
     std::string text;
-    Place place;
+    Location location;
 };
 
 struct IntegerRange {
@@ -45,7 +45,7 @@
     /// Reader of the root mapping of a document; a parse error is reported as a finding.
     [[nodiscard]] static std::optional<YamlReader> parse(std::string_view text, YamlContext& context);
 
-    [[nodiscard]] const Place& place() const { return place_; }
+    [[nodiscard]] const Location& location() const { return place_; }
     [[nodiscard]] bool has(std::string_view key) const;
 
     std::string text(std::string_view key, std::optional<std::string> fallback = std::nullopt);
@@ -62,7 +62,7 @@
     /// Adds a finding about a field, unless it has one already.
     void addFinding(std::string_view key, std::string message);
     /// Adds a finding about one item of a list.
-    void addItemFinding(std::string_view key, const Place& place, std::string message);
+    void addItemFinding(std::string_view key, const Location& location, std::string message);
     /// Whether the field has a finding. Used to suppress findings that would only result from that one.
     [[nodiscard]] bool isInvalid(std::string_view key) const;
     /// Adds a finding for each key that no accessor has read.
@@ -71,16 +71,16 @@
 private:
     struct Field {
         std::string key;
-        Place keyLocation;
+        Location keyLocation;
         const YamlNode* value = nullptr;
         bool isRead = false;
     };
 
-    YamlReader(YamlContext& context, const YamlNode& node, std::string path, Place entry);
+    YamlReader(YamlContext& context, const YamlNode& node, std::string path, Location entry);
 
     void readFields(const YamlNode& node);
     [[nodiscard]] std::string pathOf(std::string_view key) const;
-    [[nodiscard]] Place locationOf(const YamlNode& node) const;
+    [[nodiscard]] Location locationOf(const YamlNode& node) const;
     Field* find(std::string_view key);
     /// The value of a field; nullptr if it is absent or null. Adds a finding if it is null, or required and absent.
     const YamlNode* value(std::string_view key, Presence presence);
@@ -88,12 +88,12 @@
     std::optional<double> number(std::string_view key, Presence presence);
     const YamlNode* sequence(std::string_view key, Presence presence);
     /// Adds a finding and marks the field as invalid.
-    void rejectField(std::string_view key, const Place& place, std::string message);
+    void rejectField(std::string_view key, const Location& location, std::string message);
 
     YamlContext* context_;
     std::string path_; ///< Dotted path of the mapping; empty for the root.
-    Place place_;
-    Place entry_; ///< Innermost enclosing list item; unknown at the root. Content checks report it as the location.
+    Location place_;
+    Location entry_; ///< Innermost enclosing list item; unknown at the root. Content checks report it as the location.
     std::vector<Field> fields_;
     std::vector<std::string> invalidFields_;
 };
--- a/src/settings/tests/hostsettingstests.cpp
+++ b/src/settings/tests/hostsettingstests.cpp
@@ -142,7 +142,7 @@
         const auto result = loadHostSettings(path);
         ASSERT_FALSE(result) << path;
         ASSERT_EQ(result.error().items().size(), 1);
-        EXPECT_EQ(result.error().items()[0].place.source, path);
+        EXPECT_EQ(result.error().items()[0].location.source, path);
         EXPECT_TRUE(result.error().items()[0].message.starts_with("cannot be read"));
     }
 }
--- a/src/settings/tests/mutationtests.cpp
+++ b/src/settings/tests/mutationtests.cpp
@@ -65,7 +65,7 @@
     if (result)
         return true;
     for (const Finding& finding : result.error().items()) {
-        if (finding.place.source != "damaged.yaml" || finding.place.line < 1 || finding.message.empty())
+        if (finding.location.source != "damaged.yaml" || finding.location.line < 1 || finding.message.empty())
             return false;
     }
     return !result.error().isEmpty();
--- a/src/settings/tests/sampletexts.h
+++ b/src/settings/tests/sampletexts.h
@@ -67,8 +67,8 @@
 {
     std::vector<std::string> result;
     for (const Finding& finding : findings.items())
-        result.push_back(
-            std::to_string(finding.place.line) + ":" + std::to_string(finding.place.column) + " " + finding.field);
+        result.push_back(std::to_string(finding.location.line) + ":" + std::to_string(finding.location.column) + " "
+            + finding.field);
     return result;
 }
 
--- a/testing/benchmarks/targetbenchmark.cpp
+++ b/testing/benchmarks/targetbenchmark.cpp
@@ -4,8 +4,8 @@
  * Copyright (c) 2026 the saltvane authors
  */
 #include "gateway/internal/placement.h"
-#include "registry/internal/loadboard.h"
-#include "registry/internal/targetbook.h"
+#include "registry/internal/loadtable.h"
+#include "registry/internal/targettable.h"
 
 #include <benchmark/benchmark.h>
 
@@ -89,14 +89,14 @@
 
 void hearOneTarget(benchmark::State& state)
 {
-    registry::TargetBook book(Zones);
+    registry::TargetTable table(Zones);
     for (uint32_t i = 0; i < static_cast<uint32_t>(state.range(0)); ++i)
-        (void)book.note(recordOf(i, 1), Now);
-    (void)book.takeNews({}, Now);
+        (void)table.applyReport(recordOf(i, 1), Now);
+    (void)table.drainUpdates({}, Now);
     uint64_t sequence = 1;
     for (auto _ : state) {
-        (void)book.note(recordOf(7, ++sequence), Now);
-        benchmark::DoNotOptimize(book.takeNews({}, Now));
+        (void)table.applyReport(recordOf(7, ++sequence), Now);
+        benchmark::DoNotOptimize(table.drainUpdates({}, Now));
     }
 }
 
--- a/testing/fleet/suspendedhosttests.cpp
+++ b/testing/fleet/suspendedhosttests.cpp
@@ -21,18 +21,18 @@
 
 /// Plan version that a leader serves right after it resumes, when a newer plan was acknowledged while it was suspended;
 /// 0 if it serves none.
-uint64_t versionServedAfterResume(bool doClocksStandStill)
+uint64_t versionServedAfterResume(bool doClocksStopWhileSuspended)
 {
     PlanFleet fleet;
     registry::test::RegistryCluster& registries = fleet.registries();
-    registries.doClocksStandStill = doClocksStandStill;
+    registries.doClocksStopWhileSuspended = doClocksStopWhileSuspended;
     const size_t suspended = *registries.leader();
     registries.suspend(suspended);
     (void)registries.runUntil([&] { return registries.leader().has_value(); }, 5s);
     fleet.putPlan();
     EXPECT_EQ(fleet.version(), 2U);
     fleet.run(500ms);
-    registries.wake(suspended);
+    registries.resume(suspended);
     const auto response = registries.call(suspended, "GET", "/v1/plan", {}, {}, 10ms);
     if (!response || response->status != 200)
         return 0;
@@ -80,7 +80,7 @@
             fleet.recordFault();
             fleet.run(duration);
             fleet.putPlan();
-            fleet.registries().wake(registry);
+            fleet.registries().resume(registry);
             fleet.recordFault();
             fleet.run(5s);
             fleet.putPlan();
@@ -98,7 +98,7 @@
     fleet.fleet().suspendGateway(0, 4s);
     fleet.fleet().registries().suspend(1);
     fleet.run(4s);
-    fleet.fleet().registries().wake(1);
+    fleet.fleet().registries().resume(1);
     for (size_t gateway = 1; gateway < 6; ++gateway) {
         fleet.fleet().suspendGateway(gateway, 3s);
         fleet.run(2s);
--- a/testing/fuzz/fuzzplans.cpp
+++ b/testing/fuzz/fuzzplans.cpp
@@ -18,9 +18,9 @@
     const auto plan = settings::parseRoutePlan(content, "plan");
     if (!plan)
         (void)registry::findingsAnswer({}, plan.error().items());
-    else if (plan.value().version != registry::statedVersion(content))
+    else if (plan.value().version != registry::uncheckedVersion(content))
         __builtin_trap();
-    (void)registry::statedServices(content);
+    (void)registry::uncheckedServices(content);
     settings::RoutePlanReader reader;
     for (int attempt = 0; attempt < 2; ++attempt) {
         const auto read = reader.read(content, "plan");
--- a/testing/fuzz/fuzzreports.cpp
+++ b/testing/fuzz/fuzzreports.cpp
@@ -24,7 +24,7 @@
     registry::RefusedReports refused;
     if (!heartbeat) {
         (void)registry::findingsAnswer({}, heartbeat.error().items());
-        (void)refused.note(target.value(), heartbeat.error(), Timestamp {10s});
+        (void)refused.record(target.value(), heartbeat.error(), Timestamp {10s});
     }
     (void)registry::readTargetLeave(target, body);
     return 0;
--- a/testing/standin/main.cpp
+++ b/testing/standin/main.cpp
@@ -50,7 +50,7 @@
             .coldResponses = coldResponses,
             .seed = targets.size() + 1});
         if (!target) {
-            std::cerr << target.error().place << ": " << target.error().message << "\n";
+            std::cerr << target.error().location << ": " << target.error().message << "\n";
             return ExitFailure;
         }
         pointers.push_back(target.value().get());
@@ -59,7 +59,7 @@
     auto announcer = standin::Announcer::start(
         {.loop = loop, .targets = pointers, .hosts = std::move(hosts), .incarnation = makeIncarnation()});
     if (!announcer) {
-        std::cerr << announcer.error().place << ": " << announcer.error().message << "\n";
+        std::cerr << announcer.error().location << ": " << announcer.error().message << "\n";
         return ExitFailure;
     }
     ev_signal terminate {};
--- a/testing/standin/targetlist.cpp
+++ b/testing/standin/targetlist.cpp
@@ -38,7 +38,7 @@
         for (const YAML::Node& node : root["targets"])
             targets.push_back(readTarget(node));
     } catch (const YAML::Exception& error) {
-        findings.add({.place = {.source = path, .line = error.mark.line + 1, .column = error.mark.column + 1},
+        findings.add({.location = {.source = path, .line = error.mark.line + 1, .column = error.mark.column + 1},
             .field = "targets",
             .message = error.msg});
     }
