--- a/src/gateway/internal/gatewaycore.cpp
+++ b/src/gateway/internal/gatewaycore.cpp
@@ -188,7 +188,7 @@
     if (const auto* report = std::get_if<model::TargetReport>(&delivery.message))
         onTargetReport(*report, now);
     else if (const auto* loads = std::get_if<model::TargetLoads>(&delivery.message))
-        targets_.noteLoads(*loads, now);
+        targets_.applyLoads(*loads, now);
     else if (const auto* suspects = std::get_if<model::SuspectReport>(&delivery.message))
         quarantine_.handle(*suspects, now);
     else if (const auto* backpressure = std::get_if<model::BackpressureReport>(&delivery.message))
--- a/src/gateway/internal/gatewaytarget.cpp
+++ b/src/gateway/internal/gatewaytarget.cpp
@@ -71,7 +71,7 @@
     ejectedUntil = now + FirstEjection * (1 << doublings);
 }
 
-void GatewayTarget::noteLoad(std::string_view text, Timestamp now)
+void GatewayTarget::updateLoad(std::string_view text, Timestamp now)
 {
     uint32_t running = 0;
     uint32_t waiting = 0;
--- a/src/gateway/internal/gatewaytarget.h
+++ b/src/gateway/internal/gatewaytarget.h
@@ -75,7 +75,7 @@
     /// The target lost the connection or did not answer in time. `isCertain`: it can't be reached at all.
     void onFailure(Timestamp now, bool isCertain);
     /// Parses the load header "running,waiting,slots"; malformed values are ignored.
-    void noteLoad(std::string_view text, Timestamp now);
+    void updateLoad(std::string_view text, Timestamp now);
     [[nodiscard]] bool hasFreeSlots(Timestamp now) const { return loadUpdatedAt == now && load(now) < record.slots; }
     /// The target refused a request. It is not considered full if it stated free slots at the same time.
     void onRefusal(Timestamp now);
--- a/src/gateway/internal/placement.cpp
+++ b/src/gateway/internal/placement.cpp
@@ -126,7 +126,7 @@
 {
     if (target.load(now) + 1 > target.record.slots * MaxLoadPerSlot)
         return false;
-    const Duration usableTime = fromSeconds(toSeconds(query.left) * RemainingTimeFraction);
+    const Duration usableTime = fromSeconds(toSeconds(query.remaining) * RemainingTimeFraction);
     // A request that a free slot could start now is not refused if the object is likely warm. Cold work takes several
     // times as long, and in an overload other requests wait for the slot.
     const bool hasFreeSlot = isLikelyWarm && target.load(now) + 1 <= target.record.slots;
--- a/src/gateway/internal/placement.h
+++ b/src/gateway/internal/placement.h
@@ -27,7 +27,7 @@
     const model::ClientAccount* account = nullptr; ///< Null if the route requires no account.
     std::optional<uint64_t> object; ///< Hash of the request's object; without one any target is suitable.
     Duration elapsed {}; ///< Since the request arrived.
-    Duration left {}; ///< Until the deadline.
+    Duration remaining {}; ///< Until the deadline.
     bool isRetry = false; ///< The request was sent before: a late response is wanted as well.
     bool needsNoCredit = false; ///< Only targets without a limit are suitable.
     std::span<const TargetId> attemptedTargets;
--- a/src/gateway/internal/requestresponses.cpp
+++ b/src/gateway/internal/requestresponses.cpp
@@ -26,7 +26,7 @@
     GatewayTarget* target = options_.targets.find(exchange.target);
     const std::string_view load = requests::firstFieldValue(head.headers, options_.headers.load);
     if (target != nullptr && !load.empty())
-        target->noteLoad(load, now);
+        target->updateLoad(load, now);
     const std::string_view id = requests::firstFieldValue(head.headers, options_.headers.requestId);
     const bool isNotRun = !requests::firstFieldValue(head.headers, options_.headers.notRun).empty();
     const bool isRefusal = isNotRun || head.status == StatusMisdirected;
--- a/src/gateway/internal/requestrunner.cpp
+++ b/src/gateway/internal/requestrunner.cpp
@@ -105,7 +105,7 @@
                                          .account = exchange.account ? &exchange.account->account : nullptr,
                                          .object = exchange.object,
                                          .elapsed = now - exchange.startedAt,
-                                         .left = exchange.deadline - now,
+                                         .remaining = exchange.deadline - now,
                                          .isRetry = !exchange.attemptedTargets.empty(),
                                          .needsNoCredit = !mayAwaitCredit,
                                          .attemptedTargets = exchange.attemptedTargets},
--- a/src/gateway/internal/targetset.cpp
+++ b/src/gateway/internal/targetset.cpp
@@ -225,7 +225,7 @@
     return target.zone->name == location_.zone ? Proximity::Zone : Proximity::Region;
 }
 
-void TargetSet::noteLoads(const model::TargetLoads& loads, Timestamp now)
+void TargetSet::applyLoads(const model::TargetLoads& loads, Timestamp now)
 {
     totalsAt_ = now;
     if (!loads.isChange) {
--- a/src/gateway/internal/targetset.h
+++ b/src/gateway/internal/targetset.h
@@ -42,7 +42,7 @@
     TargetSet& operator=(const TargetSet&) = delete;
 
     void note(const model::TargetReport& report, Timestamp now);
-    void noteLoads(const model::TargetLoads& loads, Timestamp now);
+    void applyLoads(const model::TargetLoads& loads, Timestamp now);
     /// Loads of this gateway's own requests, to be reported to the registry.
     [[nodiscard]] model::TargetLoads collectOwnLoads();
     /// The target announced that it is leaving: this incarnation gets no new requests any more, whatever the registry
--- a/testing/benchmarks/targetbenchmark.cpp
+++ b/testing/benchmarks/targetbenchmark.cpp
@@ -51,7 +51,7 @@
     constexpr uint64_t Objects = 1000;
     const auto choose = [&](uint64_t object) {
         return gateway.placement.choose(
-            {.route = route, .service = service, .object = object % Objects, .left = 10s}, Now);
+            {.route = route, .service = service, .object = object % Objects, .remaining = 10s}, Now);
     };
     for (uint64_t object = 0; object < Objects; ++object)
         (void)choose(object); // Ranks the targets of each object; the rankings are cached.
@@ -84,7 +84,7 @@
         loads.inFlight.push_back(i);
     }
     for (auto _ : state)
-        gateway.set.noteLoads(loads, Now);
+        gateway.set.applyLoads(loads, Now);
 }
 
 void hearOneTarget(benchmark::State& state)
--- a/testing/fuzz/fuzzanswers.cpp
+++ b/testing/fuzz/fuzzanswers.cpp
@@ -25,8 +25,8 @@
     gateway::GatewayTarget target;
     target.record.slots = 3;
     const Timestamp now {100s};
-    target.noteLoad(requests::firstFieldValue(head.headers(), "Saltvane-Load"), now);
-    target.noteLoad(std::string_view(reinterpret_cast<const char*>(data), size), now);
+    target.updateLoad(requests::firstFieldValue(head.headers(), "Saltvane-Load"), now);
+    target.updateLoad(std::string_view(reinterpret_cast<const char*>(data), size), now);
     if (target.load(now) < 0 || target.load(now) > 18)
         __builtin_trap();
     return 0;
