--- a/src/gateway/internal/gatewaycore.cpp
+++ b/src/gateway/internal/gatewaycore.cpp
@@ -122,7 +122,7 @@
     collectActions(now);
 }
 
-std::vector<host::Action> GatewayCore::takeActions() { return std::exchange(actions_, {}); }
+std::vector<host::Action> GatewayCore::drainActions() { return std::exchange(actions_, {}); }
 
 void GatewayCore::accept(requests::HttpEvent event, Timestamp now)
 {
@@ -338,7 +338,7 @@
 void GatewayCore::collectActions(Timestamp now)
 {
     runner_.onCreditResults(now); // Refuses requests for which no registry host could be asked for a credit.
-    for (requests::Action& action : runner_.takeActions())
+    for (requests::Action& action : runner_.drainActions())
         actions_.emplace_back(std::move(action));
     sendBackpressure(now); // Before credits of these limits are requested.
     for (model::OutgoingMessage& outgoing : credits_.takeOutgoing())
@@ -347,7 +347,7 @@
         actions_.emplace_back(requests::Action(std::move(outgoing)));
     for (model::OutgoingMessage& outgoing : replica_->takeOutgoing())
         actions_.emplace_back(requests::Action(std::move(outgoing)));
-    for (requests::Action& action : quarantine_.takeActions())
+    for (requests::Action& action : quarantine_.drainActions())
         actions_.emplace_back(std::move(action));
     sendSuspects(now);
     for (host::LogLine& line : decisions_.drainLogLines(now))
--- a/src/gateway/internal/quarantine.h
+++ b/src/gateway/internal/quarantine.h
@@ -70,7 +70,7 @@
     [[nodiscard]] std::vector<model::SuspectRequest> drainReports(Timestamp now);
     /// All blamed requests, for a registry host that may have lost them.
     [[nodiscard]] std::vector<model::SuspectRequest> blamedRequests(Timestamp now) const { return table_.blamed(now); }
-    [[nodiscard]] std::vector<requests::Action> takeActions() { return prober_.takeActions(); }
+    [[nodiscard]] std::vector<requests::Action> drainActions() { return prober_.drainActions(); }
     [[nodiscard]] std::vector<host::LogLine> drainLogLines() { return std::exchange(logLines_, {}); }
 
 private:
--- a/src/gateway/internal/requestrunner.cpp
+++ b/src/gateway/internal/requestrunner.cpp
@@ -52,7 +52,7 @@
         event);
 }
 
-std::vector<requests::Action> RequestRunner::takeActions() { return std::exchange(actions_, {}); }
+std::vector<requests::Action> RequestRunner::drainActions() { return std::exchange(actions_, {}); }
 
 Exchange* RequestRunner::find(requests::HttpHandle handle) const
 {
@@ -172,7 +172,7 @@
         .headers = std::move(headers),
         .bodyLength = exchange.body.size(),
         .isRepeatable = exchange.route.kind != model::RouteKind::AtMostOnce,
-        .reuseIdleLimit = std::min(idleLimit, std::max(addressAge - IdlePrecision, IdlePrecision)),
+        .maxReuseIdleTime = std::min(idleLimit, std::max(addressAge - IdlePrecision, IdlePrecision)),
         .needsNewConnection = addressAge < IdlePrecision * 2,
         .echoedHeader = options_.headers.requestId});
     if (!exchange.body.empty())
--- a/src/gateway/internal/requestrunner.h
+++ b/src/gateway/internal/requestrunner.h
@@ -82,7 +82,7 @@
     void handle(requests::TargetEvent event, Timestamp now);
     /// Fails requests whose deadline has passed; checks targets that are unresponsive.
     void tick(Timestamp now);
-    [[nodiscard]] std::vector<requests::Action> takeActions();
+    [[nodiscard]] std::vector<requests::Action> drainActions();
     [[nodiscard]] size_t inFlight() const { return exchanges_.size(); }
     /// Responses that were not delivered to their callers completely.
     [[nodiscard]] size_t pendingResponses() const { return pendingResponses_.size(); }
--- a/src/gateway/internal/targetprober.cpp
+++ b/src/gateway/internal/targetprober.cpp
@@ -89,6 +89,6 @@
     }
 }
 
-std::vector<requests::Action> TargetProber::takeActions() { return std::exchange(actions_, {}); }
+std::vector<requests::Action> TargetProber::drainActions() { return std::exchange(actions_, {}); }
 
 } // namespace saltvane::gateway
--- a/src/gateway/internal/targetprober.h
+++ b/src/gateway/internal/targetprober.h
@@ -47,7 +47,7 @@
     [[nodiscard]] std::optional<ProbeResult> handle(const requests::TargetEvent& event);
     /// Cancels probes that timed out.
     void tick(Timestamp now);
-    [[nodiscard]] std::vector<requests::Action> takeActions();
+    [[nodiscard]] std::vector<requests::Action> drainActions();
 
 private:
     /// Two round trips between the most distant regions, plus the response time of a slow target.
--- a/src/gateway/tests/gatewayfixture.cpp
+++ b/src/gateway/tests/gatewayfixture.cpp
@@ -56,7 +56,7 @@
 
 void GatewayFixture::collectActions()
 {
-    for (host::Action& action : gateway_->takeActions()) {
+    for (host::Action& action : gateway_->drainActions()) {
         if (std::holds_alternative<host::StopFinished>(action))
             isStopFinished_ = true;
         const auto* const line = std::get_if<host::LogLine>(&action);
--- a/src/gateway/tests/incarnationtests.cpp
+++ b/src/gateway/tests/incarnationtests.cpp
@@ -129,7 +129,7 @@
     request({});
     const auto later = takeStarts();
     EXPECT_FALSE(later.at(0).needsNewConnection);
-    EXPECT_LE(later.at(0).reuseIdleLimit, 2s); // Only a connection that was used since.
+    EXPECT_LE(later.at(0).maxReuseIdleTime, 2s); // Only a connection that was used since.
 }
 
 // Reports of incarnations from several registry hosts arrive in any order, some of them twice: no request goes to an
--- a/src/host/ihostcore.h
+++ b/src/host/ihostcore.h
@@ -30,7 +30,7 @@
     virtual ~IHostCore() = default;
     virtual void handle(Event event, Timestamp now) = 0;
     virtual void tick(Timestamp now) = 0;
-    [[nodiscard]] virtual std::vector<Action> takeActions() = 0;
+    [[nodiscard]] virtual std::vector<Action> drainActions() = 0;
     /// Interval at which the driver must call tick.
     [[nodiscard]] virtual Duration tickPeriod() const { return TickInterval; }
     [[nodiscard]] virtual HostStatus status(Timestamp now) const = 0;
--- a/src/host/internal/hostcore.cpp
+++ b/src/host/internal/hostcore.cpp
@@ -65,7 +65,7 @@
     processPending(now);
 }
 
-std::vector<Action> HostCore::takeActions() { return outbox_.takeActions(); }
+std::vector<Action> HostCore::drainActions() { return outbox_.drainActions(); }
 
 void HostCore::accept(requests::HttpEvent event, Timestamp now) { http_.handle(std::move(event), now); }
 
@@ -86,7 +86,7 @@
 void HostCore::accept(const LinkDown& down, Timestamp now)
 {
     modules_.hostTable->noteLinkDown(down.host, now);
-    noteHostLost(down.host, now);
+    onHostLost(down.host, now);
 }
 
 void HostCore::accept(const control::StorageDone& done, Timestamp now)
@@ -200,7 +200,7 @@
 void HostCore::collectActions()
 {
     collectEntryActions();
-    outbox_.add(modules_.owner->takeActions());
+    outbox_.add(modules_.owner->drainActions());
     outbox_.send(modules_.hostTable->takeOutgoing());
     outbox_.send(modules_.directory->takeOutgoing());
     outbox_.send(modules_.creditIssuer->takeOutgoing());
@@ -218,7 +218,7 @@
 {
     if (!modules_.entry)
         return;
-    for (requests::Action& action : modules_.entry->takeActions()) {
+    for (requests::Action& action : modules_.entry->drainActions()) {
         if (const auto* outgoing = std::get_if<model::OutgoingMessage>(&action)) {
             if (const auto* end = std::get_if<model::ForwardEnd>(&outgoing->message))
                 issuerForwards_.remove(outgoing->to, end->correlation);
@@ -233,7 +233,7 @@
     case IncarnationTracker::Verdict::Known:
         return true;
     case IncarnationTracker::Verdict::Restarted:
-        noteHostLost(host, now);
+        onHostLost(host, now);
         return true;
     case IncarnationTracker::Verdict::Stale:
         break;
@@ -242,9 +242,9 @@
     return false;
 }
 
-void HostCore::noteHostLost(const HostId& host, Timestamp now)
+void HostCore::onHostLost(const HostId& host, Timestamp now)
 {
-    modules_.noteHostLost(host, now);
+    modules_.onHostLost(host, now);
     issuerForwards_.removeAll(host);
 }
 
--- a/src/host/internal/hostcore.h
+++ b/src/host/internal/hostcore.h
@@ -29,7 +29,7 @@
 
     void handle(Event event, Timestamp now) override;
     void tick(Timestamp now) override;
-    [[nodiscard]] std::vector<Action> takeActions() override;
+    [[nodiscard]] std::vector<Action> drainActions() override;
     [[nodiscard]] HostStatus status(Timestamp now) const override;
     [[nodiscard]] const model::Counters& counters() const override { return modules_.counters; }
 
@@ -67,7 +67,7 @@
     void collectEntryActions();
     /// False where the sender is an earlier incarnation, whose messages are void.
     [[nodiscard]] bool recordIncarnation(const HostId& host, Incarnation incarnation, Timestamp now);
-    void noteHostLost(const HostId& host, Timestamp now);
+    void onHostLost(const HostId& host, Timestamp now);
     [[nodiscard]] model::HostState state() const;
 
     Timestamp lastTick_;
--- a/src/host/internal/hostliveness.h
+++ b/src/host/internal/hostliveness.h
@@ -12,7 +12,7 @@
 namespace saltvane::host {
 
 /// Tells the entry side of requests which incarnations of hosts are alive, by the host table.
-class HostLiveness : public requests::IHostFinder {
+class HostLiveness : public requests::IHostLiveness {
 public:
     /// `hosts` must outlive the object.
     HostLiveness(membership::HostIdentity self, const membership::IHostTable& hosts);
--- a/src/host/internal/hostmodules.cpp
+++ b/src/host/internal/hostmodules.cpp
@@ -71,7 +71,7 @@
     , creditIssuer(membership::makeCreditIssuer({.counters = &counters}))
     , creditStore(membership::makeCreditWallet({.counters = &counters}))
     , retryBudget(steering::makeRetryBudget({}))
-    , minter(requests::makeTokenMinter(
+    , tokenIssuer(requests::makeTokenIssuer(
           {.host = self.host, .incarnation = self.incarnation, .macKey = options.settings.tokenKey}))
     , hostLiveness(std::make_unique<HostLiveness>(self, *hostTable))
     , bundleReplica(control::makeBundleHolder({.self = self.host, .counters = &counters}))
@@ -93,7 +93,7 @@
             .steering = steering.get(),
             .credits = creditStore.get(),
             .retryBudget = retryBudget.get(),
-            .minter = minter.get(),
+            .tokenIssuer = tokenIssuer.get(),
             .hosts = hostLiveness.get(),
             .counters = &counters,
             .seed = options.seed ^ EntrySeed,
@@ -103,21 +103,21 @@
     entry->install(deployment, now);
 }
 
-void HostModules::noteHostLost(const HostId& host, Timestamp now)
+void HostModules::onHostLost(const HostId& host, Timestamp now)
 {
-    owner->noteHostLost(host, now);
-    creditIssuer->noteHostLost(host, now);
+    owner->onHostLost(host, now);
+    creditIssuer->onHostLost(host, now);
     creditStore->noteOwnerLost(host, now);
     if (entry)
-        entry->noteHostLost(host, now);
+        entry->onHostLost(host, now);
 }
 
 uint32_t HostModules::requestsInFlight() const { return (entry ? entry->inFlight() : 0) + owner->inFlight(); }
 
-uint32_t HostModules::cutAll(Timestamp now)
+uint32_t HostModules::terminateAll(Timestamp now)
 {
-    const uint32_t terminatedAtEntry = entry ? entry->cutAll(now) : 0;
-    return terminatedAtEntry + owner->cutAll(now);
+    const uint32_t terminatedAtEntry = entry ? entry->terminateAll(now) : 0;
+    return terminatedAtEntry + owner->terminateAll(now);
 }
 
 } // namespace saltvane::host
--- a/src/host/internal/hostmodules.h
+++ b/src/host/internal/hostmodules.h
@@ -16,7 +16,7 @@
 #include "model/deployment.h"
 #include "requests/ientryrequests.h"
 #include "requests/iownerrequests.h"
-#include "requests/itokenminter.h"
+#include "requests/itokenissuer.h"
 #include "steering/iretrybudget.h"
 #include "steering/isteering.h"
 #include "steering/itargetpool.h"
@@ -32,10 +32,10 @@
     /// Installs a bundle that came into force; the first one also creates steering and the entry side of requests.
     void install(model::DeploymentPtr installed, Timestamp now);
     /// The host is down or restarted: requests in flight there get no response any more.
-    void noteHostLost(const HostId& host, Timestamp now);
+    void onHostLost(const HostId& host, Timestamp now);
     [[nodiscard]] uint32_t requestsInFlight() const;
     /// Terminates the requests in flight on the entry and owner sides; returns how many there were.
-    uint32_t cutAll(Timestamp now);
+    uint32_t terminateAll(Timestamp now);
 
     HostCoreOptions options;
     membership::HostIdentity self;
@@ -48,7 +48,7 @@
     std::unique_ptr<membership::ICreditIssuer> creditIssuer;
     std::unique_ptr<membership::ICreditWallet> creditStore;
     std::unique_ptr<steering::IRetryBudget> retryBudget;
-    std::unique_ptr<requests::ITokenMinter> minter;
+    std::unique_ptr<requests::ITokenIssuer> tokenIssuer;
     std::unique_ptr<HostLiveness> hostLiveness;
     std::unique_ptr<control::IBundleHolder> bundleReplica;
     std::unique_ptr<control::IControlReplica> replica; ///< Null without the control role.
--- a/src/host/internal/lookupapi.cpp
+++ b/src/host/internal/lookupapi.cpp
@@ -70,7 +70,7 @@
             {"ttl_ms", toMilliseconds(modules_.steering->entryTtl(service))},
             {"bundle_version", deployment.bundle().version.value},
             {"state_age_ms", toMilliseconds(modules_.bundleReplica->age(now))},
-            {"token", modules_.minter->mint(name, now)}});
+            {"token", modules_.tokenIssuer->issue(name, now)}});
 }
 
 std::vector<LookUpApi::Tier> LookUpApi::tiers(ServiceIndex service, RegionIndex clientRegion) const
--- a/src/host/internal/outbox.cpp
+++ b/src/host/internal/outbox.cpp
@@ -52,7 +52,7 @@
     actions_.emplace_back(LogLine {.severity = severity, .module = "host", .text = std::move(text)});
 }
 
-std::vector<Action> Outbox::takeActions() { return std::exchange(actions_, {}); }
+std::vector<Action> Outbox::drainActions() { return std::exchange(actions_, {}); }
 
 std::optional<model::Delivery> Outbox::popOwnDelivery()
 {
--- a/src/host/internal/outbox.h
+++ b/src/host/internal/outbox.h
@@ -27,7 +27,7 @@
     void send(std::vector<model::OutgoingMessage> outgoing);
     void log(LogSeverity severity, std::string text);
 
-    [[nodiscard]] std::vector<Action> takeActions();
+    [[nodiscard]] std::vector<Action> drainActions();
     /// The next message of the host to itself, in the order sent.
     [[nodiscard]] std::optional<model::Delivery> popOwnDelivery();
     [[nodiscard]] bool hasOwnDelivery() const { return !ownDeliveries_.empty(); }
--- a/src/host/internal/ownrecord.cpp
+++ b/src/host/internal/ownrecord.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Queued requests per usable slot that credits are granted for; same value as OwnerRequestsOptions::queuePerRoom.
+/// Queued requests per usable slot that credits are granted for; same value as OwnerRequestsOptions::maxQueuedPerSlot.
 constexpr double MaxQueuedPerSlot = 1.0;
 
 std::vector<model::ServiceRoom> serviceRooms(const HostModules& modules, Timestamp now)
--- a/src/host/internal/plannedstop.cpp
+++ b/src/host/internal/plannedstop.cpp
@@ -28,7 +28,7 @@
     if (isFinished_)
         return;
     if (isStopping())
-        finish(modules_.cutAll(now));
+        finish(modules_.terminateAll(now));
     else
         start(now);
 }
@@ -38,7 +38,7 @@
     if (!isStopping() || isFinished_)
         return;
     if (now - *startedAt_ >= modules_.options.settings.limits.stopTimeLimit) {
-        finish(modules_.cutAll(now));
+        finish(modules_.terminateAll(now));
         return;
     }
     const bool isIdle = hasHandedOver() && modules_.requestsInFlight() == 0 && !hasOutstandingCredits(now);
--- a/src/host/tests/fakes/fakehost.cpp
+++ b/src/host/tests/fakes/fakehost.cpp
@@ -97,7 +97,7 @@
 void FakeHost::carryOutAll()
 {
     // An action may kill the host.
-    for (Action& action : core_->takeActions()) {
+    for (Action& action : core_->drainActions()) {
         if (!core_)
             return;
         carryOut(std::move(action));
--- a/src/membership/icredits.h
+++ b/src/membership/icredits.h
@@ -25,7 +25,7 @@
     virtual void setCapacity(const ServiceName& service, uint32_t capacity, Timestamp now) = 0;
     virtual void handle(const HostId& from, const model::CreditRequest& request, Timestamp now) = 0;
     /// The host was lost. Its windows stay reserved until they expire, because it may still send requests.
-    virtual void noteHostLost(const HostId& host, Timestamp now) = 0;
+    virtual void onHostLost(const HostId& host, Timestamp now) = 0;
     virtual void tick(Timestamp now) = 0;
     [[nodiscard]] virtual std::vector<model::OutgoingMessage> takeOutgoing() = 0;
     [[nodiscard]] virtual uint32_t outstanding(const ServiceName& service, Timestamp now) const = 0;
--- a/src/membership/internal/creditissuer.cpp
+++ b/src/membership/internal/creditissuer.cpp
@@ -83,7 +83,7 @@
             .sequence = request.sequence}});
 }
 
-void CreditIssuer::noteHostLost(const HostId& host, Timestamp now)
+void CreditIssuer::onHostLost(const HostId& host, Timestamp now)
 {
     for (auto& [name, service] : services_) {
         const auto found = service.requesters.find(host);
--- a/src/membership/internal/creditissuer.h
+++ b/src/membership/internal/creditissuer.h
@@ -19,7 +19,7 @@
 
     void setCapacity(const ServiceName& service, uint32_t capacity, Timestamp now) override;
     void handle(const HostId& from, const model::CreditRequest& request, Timestamp now) override;
-    void noteHostLost(const HostId& host, Timestamp now) override;
+    void onHostLost(const HostId& host, Timestamp now) override;
     void tick(Timestamp now) override;
     [[nodiscard]] std::vector<model::OutgoingMessage> takeOutgoing() override;
     [[nodiscard]] uint32_t outstanding(const ServiceName& service, Timestamp now) const override;
--- a/src/net/internal/targetexchange.cpp
+++ b/src/net/internal/targetexchange.cpp
@@ -104,7 +104,7 @@
         setExclusiveConnection();
     else if (options_.start.needsNewConnection)
         curl_easy_setopt(transfer_, CURLOPT_FRESH_CONNECT, 1L);
-    else if (options_.start.reuseIdleLimit > Duration::zero())
+    else if (options_.start.maxReuseIdleTime > Duration::zero())
         setMaxReuseIdleTime();
     curl_easy_setopt(transfer_, CURLOPT_SOCKOPTFUNCTION, &TargetExchange::onSocketMade);
     curl_easy_setopt(transfer_, CURLOPT_SOCKOPTDATA, this);
@@ -120,12 +120,12 @@
 
 bool TargetExchange::needsExclusiveConnection() const
 {
-    return !options_.start.isRepeatable && options_.start.reuseIdleLimit <= Duration::zero();
+    return !options_.start.isRepeatable && options_.start.maxReuseIdleTime <= Duration::zero();
 }
 
 void TargetExchange::setMaxReuseIdleTime()
 {
-    const auto seconds = std::chrono::ceil<std::chrono::seconds>(options_.start.reuseIdleLimit).count();
+    const auto seconds = std::chrono::ceil<std::chrono::seconds>(options_.start.maxReuseIdleTime).count();
     curl_easy_setopt(transfer_, CURLOPT_MAXAGE_CONN, static_cast<long>(seconds));
 }
 
--- a/src/registry/internal/registrycore.cpp
+++ b/src/registry/internal/registrycore.cpp
@@ -125,7 +125,7 @@
         actions_.emplace_back(host::StopFinished {});
 }
 
-std::vector<host::Action> RegistryCore::takeActions() { return std::exchange(actions_, {}); }
+std::vector<host::Action> RegistryCore::drainActions() { return std::exchange(actions_, {}); }
 
 void RegistryCore::accept(requests::HttpEvent event, Timestamp now)
 {
--- a/src/registry/internal/registrycore.h
+++ b/src/registry/internal/registrycore.h
@@ -39,7 +39,7 @@
 
     void handle(host::Event event, Timestamp now) override;
     void tick(Timestamp now) override;
-    [[nodiscard]] std::vector<host::Action> takeActions() override;
+    [[nodiscard]] std::vector<host::Action> drainActions() override;
     [[nodiscard]] host::HostStatus status(Timestamp now) const override;
     [[nodiscard]] const model::Counters& counters() const override { return *counters_; }
     [[nodiscard]] Duration tickPeriod() const override;
--- a/src/registry/tests/registrycluster.cpp
+++ b/src/registry/tests/registrycluster.cpp
@@ -242,7 +242,7 @@
     Host& host = hosts_[number];
     for (bool hasActions = true; hasActions && host.core;) {
         hasActions = false;
-        for (host::Action& action : host.core->takeActions()) {
+        for (host::Action& action : host.core->drainActions()) {
             hasActions = true;
             if (const auto* writing = std::get_if<control::StorageWrite>(&action)) {
                 const host::Event result = write(host, *writing);
--- a/src/requests/exchangetypes.h
+++ b/src/requests/exchangetypes.h
@@ -140,7 +140,7 @@
     bool isRepeatable = false; ///< If false, the adapter uses a connection that carried no request before.
     /// If positive, only connections that have been idle for at most this time are reused, whether the request is
     /// repeatable or not.
-    Duration reuseIdleLimit {};
+    Duration maxReuseIdleTime {};
     /// Opens a new connection: existing ones may belong to a target that had the address before. The new connection may
     /// be reused later.
     bool needsNewConnection = false;
--- a/src/requests/ientryrequests.h
+++ b/src/requests/ientryrequests.h
@@ -10,7 +10,7 @@
 #include "model/counters.h"
 #include "model/deployment.h"
 #include "requests/exchangetypes.h"
-#include "requests/itokenminter.h"
+#include "requests/itokenissuer.h"
 #include "steering/iretrybudget.h"
 #include "steering/isteering.h"
 
@@ -31,7 +31,7 @@
     /// Replies of owners and token issuers; ForwardRequest with purpose Mint, and its body frames.
     virtual void handle(const model::Delivery& delivery, Timestamp now) = 0;
     /// The link to the host broke or the host restarted: requests forwarded to it will get no reply.
-    virtual void noteHostLost(const HostId& host, Timestamp now) = 0;
+    virtual void onHostLost(const HostId& host, Timestamp now) = 0;
     /// If false, new requests are refused with NotReady because the state of the deployment is not current.
     virtual void setReady(bool isReady) = 0;
     /// The control host that caller-made keys are claimed at; empty while it is unknown.
@@ -39,16 +39,16 @@
     /// Starts a planned stop: new requests are refused with Stopping, requests in flight continue.
     virtual void startStopping(Timestamp now) = 0;
     /// Terminates all requests in flight; returns their number.
-    virtual uint32_t cutAll(Timestamp now) = 0;
+    virtual uint32_t terminateAll(Timestamp now) = 0;
     [[nodiscard]] virtual uint32_t inFlight() const = 0;
     virtual void tick(Timestamp now) = 0;
-    [[nodiscard]] virtual std::vector<Action> takeActions() = 0;
+    [[nodiscard]] virtual std::vector<Action> drainActions() = 0;
 };
 
 /// Tells the entry host which hosts are alive.
-class IHostFinder {
+class IHostLiveness {
 public:
-    virtual ~IHostFinder() = default;
+    virtual ~IHostLiveness() = default;
     /// True if this incarnation of the host is alive, as far as is known.
     [[nodiscard]] virtual bool isAlive(const HostId& host, Incarnation incarnation) const = 0;
 };
@@ -58,8 +58,8 @@
     steering::ISteering* steering = nullptr;
     membership::ICreditWallet* credits = nullptr;
     steering::IRetryBudget* retryBudget = nullptr;
-    ITokenMinter* minter = nullptr;
-    const IHostFinder* hosts = nullptr;
+    ITokenIssuer* tokenIssuer = nullptr;
+    const IHostLiveness* hosts = nullptr;
     model::Counters* counters = nullptr;
     uint32_t maxAttempts = 3;
     uint64_t maxStoredResponseBytes = 64 * 1024; ///< Size limit of a response that is stored for resends of its key.
--- a/src/requests/internal/entryrequests.cpp
+++ b/src/requests/internal/entryrequests.cpp
@@ -80,9 +80,9 @@
         receiver_.handle(delivery, window, now);
 }
 
-void EntryRequests::noteHostLost(const HostId& host, Timestamp now)
+void EntryRequests::onHostLost(const HostId& host, Timestamp now)
 {
-    forwarder_.noteHostLost(host);
+    forwarder_.onHostLost(host);
     std::vector<ExchangeId> orphans;
     for (const ExchangeId id : context_.table.ids()) {
         Exchange* exchange = context_.table.find(id);
@@ -117,7 +117,7 @@
 
 void EntryRequests::startStopping(Timestamp) { context_.isStopping = true; }
 
-uint32_t EntryRequests::cutAll(Timestamp now)
+uint32_t EntryRequests::terminateAll(Timestamp now)
 {
     const auto count = static_cast<uint32_t>(context_.table.size());
     std::vector<ExchangeId> running;
@@ -151,7 +151,7 @@
     finishStep(now);
 }
 
-std::vector<Action> EntryRequests::takeActions() { return std::exchange(context_.actions, {}); }
+std::vector<Action> EntryRequests::drainActions() { return std::exchange(context_.actions, {}); }
 
 void EntryRequests::finishStep(Timestamp now)
 {
--- a/src/requests/internal/entryrequests.h
+++ b/src/requests/internal/entryrequests.h
@@ -24,14 +24,14 @@
     void install(model::DeploymentPtr deployment, Timestamp now) override;
     void handle(HttpEvent event, Timestamp now) override;
     void handle(const model::Delivery& delivery, Timestamp now) override;
-    void noteHostLost(const HostId& host, Timestamp now) override;
+    void onHostLost(const HostId& host, Timestamp now) override;
     void setReady(bool isReady) override;
     void setControlLeader(const HostId& leader) override;
     void startStopping(Timestamp now) override;
-    [[nodiscard]] uint32_t cutAll(Timestamp now) override;
+    [[nodiscard]] uint32_t terminateAll(Timestamp now) override;
     [[nodiscard]] uint32_t inFlight() const override;
     void tick(Timestamp now) override;
-    [[nodiscard]] std::vector<Action> takeActions() override;
+    [[nodiscard]] std::vector<Action> drainActions() override;
 
 private:
     void handle(const model::Delivery& delivery, const model::ForwardBody& body, Timestamp now);
--- a/src/requests/internal/forwarder.cpp
+++ b/src/requests/internal/forwarder.cpp
@@ -309,7 +309,7 @@
     return true;
 }
 
-void Forwarder::noteHostLost(const HostId& host)
+void Forwarder::onHostLost(const HostId& host)
 {
     std::erase_if(cancelled_, [&host](const auto& entry) { return entry.second.host == host; });
 }
--- a/src/requests/internal/forwarder.h
+++ b/src/requests/internal/forwarder.h
@@ -40,7 +40,7 @@
     /// Handles the peer's report on a cancelled attempt: if the attempt did not run, its key may run again. Returns
     /// false if the correlation id isn't that of a cancelled attempt.
     [[nodiscard]] bool handleCancelledEnd(const HostId& from, const model::ForwardEnd& end);
-    void noteHostLost(const HostId& host);
+    void onHostLost(const HostId& host);
     /// Retries the requests that wait for credit; refuses those whose wait has expired.
     void serveWaiting(Timestamp now, bool isTick);
     void tick(Timestamp now);
--- a/src/requests/internal/keyedrequests.cpp
+++ b/src/requests/internal/keyedrequests.cpp
@@ -66,7 +66,7 @@
 KeyedRequests::Identity KeyedRequests::identifyKey(const Exchange& exchange, Timestamp now) const
 {
     const Result<TokenClaims, TokenError> token
-        = context_.options.minter->read(exchange.idempotencyKey, exchange.service, now);
+        = context_.options.tokenIssuer->read(exchange.idempotencyKey, exchange.service, now);
     if (token) {
         const TokenClaims& claims = token.value();
         const membership::HostIdentity& self = context_.options.self;
--- a/src/requests/internal/ownerdispatcher.h
+++ b/src/requests/internal/ownerdispatcher.h
@@ -50,7 +50,7 @@
 
     void send(const OwnerExchange& exchange, model::Message message);
     void emit(Action action) { actions_.push_back(std::move(action)); }
-    [[nodiscard]] std::vector<Action> takeActions() { return std::exchange(actions_, {}); }
+    [[nodiscard]] std::vector<Action> drainActions() { return std::exchange(actions_, {}); }
 
     void tick(Timestamp now);
     void releaseClosingSlots(Timestamp now);
--- a/src/requests/internal/ownerrequests.cpp
+++ b/src/requests/internal/ownerrequests.cpp
@@ -226,7 +226,7 @@
     dispatcher_.abortRequest(exchange, result, reason, now);
 }
 
-void OwnerRequests::noteHostLost(const HostId& host, Timestamp now)
+void OwnerRequests::onHostLost(const HostId& host, Timestamp now)
 {
     for (const OwnerExchangeId id : table_.idsOfHost(host, std::nullopt))
         dispatcher_.dropRequest(*table_.find(id), now);
@@ -250,7 +250,7 @@
     return dispatcher_.queues().oldestWait(service, now);
 }
 
-uint32_t OwnerRequests::cutAll(Timestamp now)
+uint32_t OwnerRequests::terminateAll(Timestamp now)
 {
     uint32_t terminated = 0;
     for (const OwnerExchangeId id : table_.ids()) {
--- a/src/requests/internal/ownerrequests.h
+++ b/src/requests/internal/ownerrequests.h
@@ -21,14 +21,14 @@
 
     void handle(const model::Delivery& delivery, Timestamp now) override;
     void handle(TargetEvent event, Timestamp now) override;
-    void noteHostLost(const HostId& host, Timestamp now) override;
+    void onHostLost(const HostId& host, Timestamp now) override;
     void serveQueues(Timestamp now) override;
     [[nodiscard]] uint32_t inFlight() const override;
     [[nodiscard]] uint32_t queued(const ServiceName& service) const override;
     [[nodiscard]] Duration queueDelay(const ServiceName& service, Timestamp now) const override;
-    uint32_t cutAll(Timestamp now) override;
+    uint32_t terminateAll(Timestamp now) override;
     void tick(Timestamp now) override;
-    [[nodiscard]] std::vector<Action> takeActions() override { return dispatcher_.takeActions(); }
+    [[nodiscard]] std::vector<Action> drainActions() override { return dispatcher_.drainActions(); }
 
 private:
     void onFrame(const ExchangeKey& key, const model::ForwardRequest& request, Timestamp now);
--- a/src/requests/internal/tokenissuer.cpp
+++ b/src/requests/internal/tokenissuer.cpp
@@ -84,7 +84,7 @@
         options.macKey.size(), nullptr, 0);
 }
 
-std::string TokenIssuer::mint(const ServiceName& service, Timestamp now)
+std::string TokenIssuer::issue(const ServiceName& service, Timestamp now)
 {
     std::string payload;
     appendNumber(payload, incarnation_.value);
--- a/src/requests/internal/tokenissuer.h
+++ b/src/requests/internal/tokenissuer.h
@@ -5,7 +5,7 @@
  */
 #pragma once
 
-#include "requests/itokenminter.h"
+#include "requests/itokenissuer.h"
 
 #include <array>
 #include <cstdint>
@@ -16,11 +16,11 @@
 
 /// A token is the base64url encoding of incarnation, sequence, expiry, service hash, host and a truncated MAC over all
 /// of these and the service name. docs/REQUESTS.md
-class TokenIssuer final : public ITokenMinter {
+class TokenIssuer final : public ITokenIssuer {
 public:
     explicit TokenIssuer(const TokenIssuerOptions& options);
 
-    [[nodiscard]] std::string mint(const ServiceName& service, Timestamp now) override;
+    [[nodiscard]] std::string issue(const ServiceName& service, Timestamp now) override;
     [[nodiscard]] Result<TokenClaims, TokenError> read(
         std::string_view idempotencyKey, const ServiceName& service, Timestamp now) const override;
 
--- a/src/requests/iownerrequests.h
+++ b/src/requests/iownerrequests.h
@@ -27,7 +27,7 @@
     virtual void handle(const model::Delivery& delivery, Timestamp now) = 0;
     virtual void handle(TargetEvent event, Timestamp now) = 0;
     /// The link to the entry host broke or the host restarted: its requests are cancelled.
-    virtual void noteHostLost(const HostId& host, Timestamp now) = 0;
+    virtual void onHostLost(const HostId& host, Timestamp now) = 0;
     /// Dispatches queued requests; called when slots may have become free.
     virtual void serveQueues(Timestamp now) = 0;
     /// Unfinished requests, including queued ones, plus slots not released yet. 0 means that a stop loses nothing.
@@ -35,9 +35,9 @@
     [[nodiscard]] virtual uint32_t queued(const ServiceName& service) const = 0;
     [[nodiscard]] virtual Duration queueDelay(const ServiceName& service, Timestamp now) const = 0;
     /// Terminates all requests in flight; returns how many of them had been dispatched.
-    virtual uint32_t cutAll(Timestamp now) = 0;
+    virtual uint32_t terminateAll(Timestamp now) = 0;
     virtual void tick(Timestamp now) = 0;
-    [[nodiscard]] virtual std::vector<Action> takeActions() = 0;
+    [[nodiscard]] virtual std::vector<Action> drainActions() = 0;
 };
 
 struct OwnerRequestsOptions {
--- a/src/requests/itokenminter.h
+++ b/src/requests/itokenissuer.h
@@ -35,10 +35,10 @@
 
 /// Issues idempotency tokens without storing state. All hosts of the deployment share the MAC key, so each of them can
 /// read which host issued a token; only the issuer dispatches requests with it. docs/REQUESTS.md
-class ITokenMinter {
+class ITokenIssuer {
 public:
-    virtual ~ITokenMinter() = default;
-    [[nodiscard]] virtual std::string mint(const ServiceName& service, Timestamp now) = 0;
+    virtual ~ITokenIssuer() = default;
+    [[nodiscard]] virtual std::string issue(const ServiceName& service, Timestamp now) = 0;
     /// Reads the token from an Idempotency-Key of the form TOKEN.SUFFIX. Expiry is checked only by the issuer.
     [[nodiscard]] virtual Result<TokenClaims, TokenError> read(
         std::string_view idempotencyKey, const ServiceName& service, Timestamp now) const = 0;
@@ -51,6 +51,6 @@
     Duration validFor = 10min;
 };
 
-[[nodiscard]] std::unique_ptr<ITokenMinter> makeTokenMinter(const TokenIssuerOptions& options);
+[[nodiscard]] std::unique_ptr<ITokenIssuer> makeTokenIssuer(const TokenIssuerOptions& options);
 
 } // namespace saltvane::requests
--- a/src/requests/requestsmodule.cpp
+++ b/src/requests/requestsmodule.cpp
@@ -13,7 +13,7 @@
     return std::make_unique<EntryRequests>(options);
 }
 
-std::unique_ptr<ITokenMinter> makeTokenMinter(const TokenIssuerOptions& options)
+std::unique_ptr<ITokenIssuer> makeTokenIssuer(const TokenIssuerOptions& options)
 {
     return std::make_unique<TokenIssuer>(options);
 }
--- a/src/requests/tests/entryfixture.cpp
+++ b/src/requests/tests/entryfixture.cpp
@@ -12,7 +12,7 @@
 EntryFixture::EntryFixture()
 {
     const std::string key = "a key of the deployment, long enough";
-    tokenIssuer_ = makeTokenMinter({.host = SelfHost, .incarnation = SelfIncarnation, .macKey = key});
+    tokenIssuer_ = makeTokenIssuer({.host = SelfHost, .incarnation = SelfIncarnation, .macKey = key});
     creditStore_.owners[LocalOwner] = {.zone = ZoneName("uio-carolina"), .free = 4};
     creditStore_.owners[RemoteOwner] = {.zone = ZoneName("gye-urdesa"), .free = 4};
     hostLiveness_.alive[OtherEntry] = OtherIncarnation;
@@ -42,7 +42,7 @@
     options.steering = &steering_;
     options.credits = &creditStore_;
     options.retryBudget = &budget_;
-    options.minter = tokenIssuer_.get();
+    options.tokenIssuer = tokenIssuer_.get();
     options.hosts = &hostLiveness_;
     options.counters = &counters_;
     options.maxCreditWait = 50ms;
@@ -80,8 +80,8 @@
 std::string EntryFixture::foreignKey(const HostId& host, Incarnation incarnation)
 {
     const auto other
-        = makeTokenMinter({.host = host, .incarnation = incarnation, .macKey = "a key of the deployment, long enough"});
-    return other->mint(Settlebox, now_) + ".1";
+        = makeTokenIssuer({.host = host, .incarnation = incarnation, .macKey = "a key of the deployment, long enough"});
+    return other->issue(Settlebox, now_) + ".1";
 }
 
 void EntryFixture::handleHttp(HttpEvent event)
@@ -105,7 +105,7 @@
 
 void EntryFixture::collect()
 {
-    for (Action& action : entry_->takeActions()) {
+    for (Action& action : entry_->drainActions()) {
         if (auto* respond = std::get_if<HttpRespond>(&action)) {
             EXPECT_FALSE(responses_.contains(respond->handle)) << "a second response";
             bodies_[respond->handle] = respond->bytes;
--- a/src/requests/tests/entryfixture.h
+++ b/src/requests/tests/entryfixture.h
@@ -47,7 +47,7 @@
     HttpHandle call(const Call& request);
     /// Starts a non-repeatable request with this key.
     HttpHandle post(const std::string& key, const std::string& body = "amount=1");
-    std::string ownKey(const std::string& suffix = "1") { return tokenIssuer_->mint(Settlebox, now_) + "." + suffix; }
+    std::string ownKey(const std::string& suffix = "1") { return tokenIssuer_->issue(Settlebox, now_) + "." + suffix; }
     /// A key with a token that another host issued.
     std::string foreignKey(const HostId& host = OtherEntry, Incarnation incarnation = OtherIncarnation);
 
@@ -85,7 +85,7 @@
     FakeCreditStore creditStore_;
     FakeHostLiveness hostLiveness_;
     FakeRetryBudget budget_;
-    std::unique_ptr<ITokenMinter> tokenIssuer_;
+    std::unique_ptr<ITokenIssuer> tokenIssuer_;
     std::unique_ptr<IEntryRequests> entry_;
     uint64_t lastHandle_ = 0;
 
--- a/src/requests/tests/entrystresstests.cpp
+++ b/src/requests/tests/entrystresstests.cpp
@@ -100,7 +100,7 @@
             return keys_[keys_.size() - 1
                 - static_cast<size_t>(pick(std::min<int>(10, static_cast<int>(keys_.size()))))];
         const std::string number = std::to_string(++lastKey_);
-        keys_.push_back(kind < 8 ? tokenIssuer_->mint(Settlebox, now_) + "." + number : "made-" + number);
+        keys_.push_back(kind < 8 ? tokenIssuer_->issue(Settlebox, now_) + "." + number : "made-" + number);
         return keys_.back();
     }
 
@@ -286,16 +286,16 @@
         if (chance(30)) {
             for (const uint64_t correlation : std::exchange(forwardedCalls_, {}))
                 checker_.recordDisconnect("l" + std::to_string(correlation));
-            return entry_->noteHostLost(OtherEntry, now_);
+            return entry_->onHostLost(OtherEntry, now_);
         }
         const HostId host = chance(50) ? LocalOwner : RemoteOwner;
         std::erase_if(peerForwards_, [&host](const auto& entry) { return entry.second.host == host; });
-        entry_->noteHostLost(host, now_);
+        entry_->onHostLost(host, now_);
     }
 
     void handleActions()
     {
-        for (Action& action : entry_->takeActions())
+        for (Action& action : entry_->drainActions())
             std::visit([this](auto& done) { handleAction(done); }, action);
     }
     static std::string nameOf(HttpHandle handle) { return "h" + std::to_string(handle.value); }
--- a/src/requests/tests/fakehostliveness.h
+++ b/src/requests/tests/fakehostliveness.h
@@ -12,7 +12,7 @@
 namespace saltvane::requests {
 
 /// Reports the hosts in `alive` as alive.
-class FakeHostLiveness final : public IHostFinder {
+class FakeHostLiveness final : public IHostLiveness {
 public:
     [[nodiscard]] bool isAlive(const HostId& host, Incarnation incarnation) const override
     {
--- a/src/requests/tests/forwardtests.cpp
+++ b/src/requests/tests/forwardtests.cpp
@@ -112,7 +112,7 @@
 {
     const HttpHandle wire = post(ownKey());
     const HttpHandle read = call({});
-    entry_->noteHostLost(LocalOwner, now_);
+    entry_->onHostLost(LocalOwner, now_);
     collect();
     expectRefusal(wire, Outcome::Unknown, Reason::PeerLost, 502);
     EXPECT_FALSE(hasResponse(read));
--- a/src/requests/tests/issuertests.cpp
+++ b/src/requests/tests/issuertests.cpp
@@ -94,7 +94,7 @@
 TEST_F(IssuerTest, IssuerIsRetriedAfterTheLinkBroke)
 {
     const HttpHandle handle = post(foreignKey());
-    entry_->noteHostLost(OtherEntry, now_);
+    entry_->onHostLost(OtherEntry, now_);
     collect();
     EXPECT_FALSE(hasResponse(handle));
     advanceTime(200ms);
@@ -105,7 +105,7 @@
 
     const HttpHandle orphaned = post(foreignKey());
     hostLiveness_.alive.erase(OtherEntry);
-    entry_->noteHostLost(OtherEntry, now_);
+    entry_->onHostLost(OtherEntry, now_);
     advanceTime(200ms);
     expectRefusal(orphaned, Outcome::Unknown, Reason::MinterGone, 409);
 }
@@ -114,7 +114,7 @@
 {
     const HttpHandle handle = post(foreignKey());
     for (int count = 0; count < 5; ++count) {
-        entry_->noteHostLost(OtherEntry, now_);
+        entry_->onHostLost(OtherEntry, now_);
         advanceTime(200ms);
     }
     expectRefusal(handle, Outcome::Unknown, Reason::PeerLost, 502);
@@ -172,7 +172,7 @@
 {
     const std::string key = ownKey();
     receiveForwarded(key, 11);
-    entry_->noteHostLost(OtherEntry, now_);
+    entry_->onHostLost(OtherEntry, now_);
     collect();
     sendResponse(forward(), "booked");
     EXPECT_TRUE(ends(11).empty());
--- a/src/requests/tests/keytests.cpp
+++ b/src/requests/tests/keytests.cpp
@@ -38,7 +38,7 @@
 
 TEST_F(KeyTest, SuffixesOfOneTokenAreDifferentKeys)
 {
-    const std::string token = tokenIssuer_->mint(Settlebox, now_);
+    const std::string token = tokenIssuer_->issue(Settlebox, now_);
     post(token + ".1");
     post(token + ".2");
     EXPECT_EQ(runs(), 2U);
--- a/src/requests/tests/ownerchecker.cpp
+++ b/src/requests/tests/ownerchecker.cpp
@@ -49,7 +49,7 @@
         report("number of access records differs from number of requests");
 }
 
-void OwnerChecker::noteHostLost(const HostId& host)
+void OwnerChecker::onHostLost(const HostId& host)
 {
     for (auto& [number, exchange] : exchanges_) {
         if (exchange.key.host == host && exchange.ends == 0)
--- a/src/requests/tests/ownerchecker.h
+++ b/src/requests/tests/ownerchecker.h
@@ -63,7 +63,7 @@
     void check(const std::vector<Action>& actions);
     /// Checks at the end of a run that every request has ended and no dispatch is active.
     void checkFinished();
-    void noteHostLost(const HostId& host);
+    void onHostLost(const HostId& host);
     void setState(uint64_t dispatch, DispatchState state) { dispatches_.at(dispatch).state = state; }
 
     [[nodiscard]] std::map<uint64_t, Exchange>& exchanges() { return exchanges_; }
--- a/src/requests/tests/ownerfixture.h
+++ b/src/requests/tests/ownerfixture.h
@@ -108,7 +108,7 @@
 private:
     void collect()
     {
-        for (Action& action : owner_->takeActions())
+        for (Action& action : owner_->drainActions())
             actions_.push_back(std::move(action));
     }
 };
--- a/src/requests/tests/ownerrequeststests.cpp
+++ b/src/requests/tests/ownerrequeststests.cpp
@@ -247,7 +247,7 @@
     deliver(request(1));
     deliver(request(2));
     deliver(request(1), 1, "other");
-    owner_->noteHostLost(HostId("entry"), now_);
+    owner_->onHostLost(HostId("entry"), now_);
     clearActions();
     advanceTime(10ms);
     EXPECT_TRUE(sent<model::ForwardEnd>().empty());
@@ -312,7 +312,7 @@
     pool_.add("a", 1);
     deliver(request(1));
     deliver(request(2));
-    EXPECT_EQ(owner_->cutAll(now_), 1U);
+    EXPECT_EQ(owner_->terminateAll(now_), 1U);
     advanceTime(0ms);
     const auto ends = sent<model::ForwardEnd>();
     ASSERT_EQ(ends.size(), 2U);
--- a/src/requests/tests/ownerstress.cpp
+++ b/src/requests/tests/ownerstress.cpp
@@ -230,10 +230,10 @@
 void OwnerStress::loseHost()
 {
     const HostId& host = hosts_.at(pick(hosts_.size()));
-    checker_.noteHostLost(host);
+    checker_.onHostLost(host);
     ++incarnations_[host];
     if (pick(2) == 0)
-        owner_->noteHostLost(host, now_);
+        owner_->onHostLost(host, now_);
     else
         owner_->handle(model::Delivery {.from = host,
                            .fromIncarnation = {incarnations_[host]},
@@ -271,7 +271,7 @@
 
 void OwnerStress::collect()
 {
-    checker_.check(owner_->takeActions());
+    checker_.check(owner_->drainActions());
     for (const TargetId& target : targets_) {
         if (checker_.activeOn(target) > pool_.inFlight(target.value()))
             checker_.report("more active dispatches on " + target.value() + " than acquired slots");
--- a/src/requests/tests/requestreceivertests.cpp
+++ b/src/requests/tests/requestreceivertests.cpp
@@ -182,7 +182,7 @@
     for (auto& [host, credit] : creditStore_.owners)
         credit.free = 0;
     const HttpHandle waiting = call({});
-    EXPECT_EQ(entry_->cutAll(now_), 2U);
+    EXPECT_EQ(entry_->terminateAll(now_), 2U);
     collect();
     expectRefusal(forwarded, Outcome::Unknown, Reason::StopTimeLimit, 502);
     expectRefusal(waiting, Outcome::NotRun, Reason::StopTimeLimit, 503);
--- a/src/saltvaned/internal/daemon.cpp
+++ b/src/saltvaned/internal/daemon.cpp
@@ -194,7 +194,7 @@
 
 void Daemon::carryOutActions()
 {
-    for (host::Action& action : core_->takeActions())
+    for (host::Action& action : core_->drainActions())
         std::visit([this](auto& item) { carryOut(std::move(item)); }, action);
 }
 
--- a/testing/fleet/fleet.cpp
+++ b/testing/fleet/fleet.cpp
@@ -324,7 +324,7 @@
 
 void Fleet::dispatchActions(Gateway& gateway)
 {
-    for (host::Action& action : gateway.core->takeActions()) {
+    for (host::Action& action : gateway.core->drainActions()) {
         auto* const request = std::get_if<requests::Action>(&action);
         if (request == nullptr)
             continue;
