--- a/src/control/ibundleholder.h
+++ b/src/control/ibundleholder.h
@@ -38,9 +38,9 @@
     /// to (on a control host the relays, on a relay the hosts of its zone).
     virtual void setPeers(std::span<const HostId> sources, std::span<const HostId> receivers, Timestamp now) = 0;
     /// A new link to this source is established; pulls sent over an earlier link will not be answered.
-    virtual void noteLinkUp(const HostId& source, Timestamp now) = 0;
+    virtual void onLinkUp(const HostId& source, Timestamp now) = 0;
     virtual void tick(Timestamp now) = 0;
-    [[nodiscard]] virtual std::vector<model::OutgoingMessage> takeOutgoing() = 0;
+    [[nodiscard]] virtual std::vector<model::OutgoingMessage> drainOutgoing() = 0;
 
     struct InForce {
         LogPosition position;
--- a/src/control/icontrolreplica.h
+++ b/src/control/icontrolreplica.h
@@ -28,14 +28,14 @@
     virtual void handle(const StorageFailed& failed, Timestamp now) = 0;
     virtual void tick(Timestamp now) = 0;
     /// A link to this incarnation of the host is established; messages of its earlier incarnations are dropped.
-    virtual void noteLinkUp(const HostId& host, Incarnation incarnation) = 0;
+    virtual void onLinkUp(const HostId& host, Incarnation incarnation) = 0;
 
     /// Submits an operator's request. takeAnswers returns the answer once the request is committed or refused. A resend
     /// of the same request gets the first answer.
     [[nodiscard]] virtual SubmissionId submit(Command command, Timestamp now) = 0;
     [[nodiscard]] virtual std::vector<SubmissionAnswer> takeAnswers() = 0;
 
-    [[nodiscard]] virtual std::vector<model::OutgoingMessage> takeOutgoing() = 0;
+    [[nodiscard]] virtual std::vector<model::OutgoingMessage> drainOutgoing() = 0;
     [[nodiscard]] virtual std::vector<StorageWrite> takeWrites() = 0;
 
     [[nodiscard]] virtual bool isLeader() const = 0;
--- a/src/control/internal/bundleholder.cpp
+++ b/src/control/internal/bundleholder.cpp
@@ -235,7 +235,7 @@
 }
 
 /// After an outage of all links, the first new one is used at once instead of at the next pull (half a second later).
-void BundleHolder::noteLinkUp(const HostId& source, Timestamp now)
+void BundleHolder::onLinkUp(const HostId& source, Timestamp now)
 {
     avoidedUntil_.erase(source);
     std::erase_if(pulls_, [&](const Pull& pull) { return pull.source == source; });
@@ -301,7 +301,7 @@
     return sources_[nextSource_++ % sources_.size()];
 }
 
-std::vector<model::OutgoingMessage> BundleHolder::takeOutgoing() { return std::exchange(outgoing_, {}); }
+std::vector<model::OutgoingMessage> BundleHolder::drainOutgoing() { return std::exchange(outgoing_, {}); }
 
 std::optional<IBundleHolder::InForce> BundleHolder::takeInstalled()
 {
--- a/src/control/internal/bundleholder.h
+++ b/src/control/internal/bundleholder.h
@@ -24,9 +24,9 @@
     void handle(const model::Delivery& delivery, Timestamp now) override;
     void setControlView(const std::optional<ControlView>& view, Timestamp now) override;
     void setPeers(std::span<const HostId> sources, std::span<const HostId> receivers, Timestamp now) override;
-    void noteLinkUp(const HostId& source, Timestamp now) override;
+    void onLinkUp(const HostId& source, Timestamp now) override;
     void tick(Timestamp now) override;
-    [[nodiscard]] std::vector<model::OutgoingMessage> takeOutgoing() override;
+    [[nodiscard]] std::vector<model::OutgoingMessage> drainOutgoing() override;
     [[nodiscard]] std::optional<InForce> takeInstalled() override;
     [[nodiscard]] bool isReady() const override { return isReady_; }
     [[nodiscard]] Duration age(Timestamp now) const override;
--- a/src/control/internal/consensus.cpp
+++ b/src/control/internal/consensus.cpp
@@ -297,7 +297,7 @@
 
 bool Consensus::isUnwritten() const { return isStartable_ && context_.storage.isUnused(); }
 
-std::vector<model::OutgoingMessage> Consensus::takeOutgoing()
+std::vector<model::OutgoingMessage> Consensus::drainOutgoing()
 {
     if (isLeader())
         replicator_.send();
--- a/src/control/internal/consensus.h
+++ b/src/control/internal/consensus.h
@@ -41,7 +41,7 @@
     /// Appends an entry to the leader's log. The entry may be lost until it is committed.
     LogPosition propose(std::string payload);
     void send(const HostId& to, model::Message message) { context_.send(to, std::move(message)); }
-    [[nodiscard]] std::vector<model::OutgoingMessage> takeOutgoing();
+    [[nodiscard]] std::vector<model::OutgoingMessage> drainOutgoing();
     [[nodiscard]] std::vector<StorageWrite> takeWrites();
 
     [[nodiscard]] bool isLeader() const { return context_.role == Role::Leader; }
--- a/src/control/internal/controlreplica.cpp
+++ b/src/control/internal/controlreplica.cpp
@@ -34,7 +34,7 @@
     options_.recovered.snapshot = {};
 }
 
-void ControlReplica::noteLinkUp(const HostId& host, Incarnation incarnation)
+void ControlReplica::onLinkUp(const HostId& host, Incarnation incarnation)
 {
     incarnations_.insert_or_assign(host, incarnation);
 }
@@ -113,7 +113,7 @@
 
 std::vector<SubmissionAnswer> ControlReplica::takeAnswers() { return operatorRequests_.takeAnswers(); }
 
-std::vector<model::OutgoingMessage> ControlReplica::takeOutgoing() { return consensus_.takeOutgoing(); }
+std::vector<model::OutgoingMessage> ControlReplica::drainOutgoing() { return consensus_.drainOutgoing(); }
 
 std::vector<StorageWrite> ControlReplica::takeWrites() { return consensus_.takeWrites(); }
 
--- a/src/control/internal/controlreplica.h
+++ b/src/control/internal/controlreplica.h
@@ -26,11 +26,11 @@
     void handle(const StorageDone& done, Timestamp now) override;
     void handle(const StorageFailed& failed, Timestamp now) override;
     void tick(Timestamp now) override;
-    void noteLinkUp(const HostId& host, Incarnation incarnation) override;
+    void onLinkUp(const HostId& host, Incarnation incarnation) override;
 
     [[nodiscard]] SubmissionId submit(Command command, Timestamp now) override;
     [[nodiscard]] std::vector<SubmissionAnswer> takeAnswers() override;
-    [[nodiscard]] std::vector<model::OutgoingMessage> takeOutgoing() override;
+    [[nodiscard]] std::vector<model::OutgoingMessage> drainOutgoing() override;
     [[nodiscard]] std::vector<StorageWrite> takeWrites() override;
 
     [[nodiscard]] bool isLeader() const override;
--- a/src/control/tests/bundleholdertests.cpp
+++ b/src/control/tests/bundleholdertests.cpp
@@ -76,7 +76,7 @@
                 holder(Control).setControlView(std::nullopt, now_);
             for (auto& [host, item] : holders_) {
                 item->tick(now_);
-                for (model::OutgoingMessage& outgoing : item->takeOutgoing())
+                for (model::OutgoingMessage& outgoing : item->drainOutgoing())
                     post(host, std::move(outgoing));
                 if (const auto installed = item->takeInstalled()) {
                     EXPECT_GT(installed->position, installed_[host]);
@@ -238,7 +238,7 @@
 TEST_F(BundleHolders, StartingSourceAnswersPullsWithoutAStateOrProof)
 {
     holder(Relay).handle({.from = First, .fromIncarnation = {}, .message = model::BundlePull {.pull = 7}}, now_);
-    const std::vector<model::OutgoingMessage> sent = holder(Relay).takeOutgoing();
+    const std::vector<model::OutgoingMessage> sent = holder(Relay).drainOutgoing();
     ASSERT_EQ(sent.size(), 1U);
     const auto* answer = std::get_if<model::BundleCurrent>(&sent.front().message);
     ASSERT_NE(answer, nullptr);
--- a/src/control/tests/fakecluster.cpp
+++ b/src/control/tests/fakecluster.cpp
@@ -129,7 +129,7 @@
     FakeHost& host = *hosts_[number];
     for (StorageWrite& write : host.replica->takeWrites())
         startWrite(number, std::move(write));
-    for (model::OutgoingMessage& outgoing : host.replica->takeOutgoing())
+    for (model::OutgoingMessage& outgoing : host.replica->drainOutgoing())
         post(number, std::move(outgoing));
     for (SubmissionAnswer& answer : host.replica->takeAnswers())
         host.answers.emplace(answer.submission, std::move(answer.result));
--- a/src/control/tests/pullingholdertests.cpp
+++ b/src/control/tests/pullingholdertests.cpp
@@ -32,7 +32,7 @@
         std::vector<HostId> pulledFrom;
         for (const Timestamp end = now_ + duration; now_ < end; now_ += Step) {
             holder_->tick(now_);
-            for (const model::OutgoingMessage& outgoing : holder_->takeOutgoing()) {
+            for (const model::OutgoingMessage& outgoing : holder_->drainOutgoing()) {
                 if (const auto* pull = std::get_if<model::BundlePull>(&outgoing.message)) {
                     pulledFrom.push_back(outgoing.to);
                     lastPull_ = pull->pull;
@@ -91,7 +91,7 @@
     answer(First, 1, 100ms);
     (void)run(2s); // Neither source answers.
     (void)run(400ms);
-    holder_->noteLinkUp(Second, now_);
+    holder_->onLinkUp(Second, now_);
     EXPECT_EQ(run(2 * Step), std::vector {Second});
 }
 
--- a/src/gateway/internal/gatewaycore.cpp
+++ b/src/gateway/internal/gatewaycore.cpp
@@ -224,8 +224,8 @@
 
 void GatewayCore::accept(const host::LinkUp& up, Timestamp now)
 {
-    roster_->noteLinkUp(up.host, up.incarnation);
-    replica_->noteLinkUp(up.host, now);
+    roster_->onLinkUp(up.host, up.incarnation);
+    replica_->onLinkUp(up.host, now);
     // If all registry hosts lost their power and their disks, they learn again from the gateways which requests to
     // refuse.
     if (model::SuspectReport report {.requests = quarantine_.blamedRequests(now)}; !report.requests.empty())
@@ -282,7 +282,7 @@
     const bool isTimeForOtherRegions = now >= nextOtherRegionLoadsAt_;
     if (isTimeForOtherRegions)
         nextOtherRegionLoadsAt_ = now + OtherRegionLoadInterval;
-    for (const HostId& host : isTimeForOtherRegions ? roster_->controlHosts() : roster_->nearControlHosts())
+    for (const HostId& host : isTimeForOtherRegions ? roster_->controlHosts() : roster_->sameRegionControlHosts())
         actions_.emplace_back(requests::Action(model::OutgoingMessage {.to = host, .message = loads}));
 }
 
@@ -307,7 +307,7 @@
 
 void GatewayCore::sendToRegionRegistries(const model::Message& message)
 {
-    for (const HostId& host : roster_->nearControlHosts())
+    for (const HostId& host : roster_->sameRegionControlHosts())
         actions_.emplace_back(requests::Action(model::OutgoingMessage {.to = host, .message = message}));
 }
 
@@ -341,11 +341,11 @@
     for (requests::Action& action : runner_.drainActions())
         actions_.emplace_back(std::move(action));
     sendBackpressure(now); // Before credits of these limits are requested.
-    for (model::OutgoingMessage& outgoing : credits_.takeOutgoing())
+    for (model::OutgoingMessage& outgoing : credits_.drainOutgoing())
         actions_.emplace_back(requests::Action(std::move(outgoing)));
-    for (model::OutgoingMessage& outgoing : roster_->takeOutgoing())
+    for (model::OutgoingMessage& outgoing : roster_->drainOutgoing())
         actions_.emplace_back(requests::Action(std::move(outgoing)));
-    for (model::OutgoingMessage& outgoing : replica_->takeOutgoing())
+    for (model::OutgoingMessage& outgoing : replica_->drainOutgoing())
         actions_.emplace_back(requests::Action(std::move(outgoing)));
     for (requests::Action& action : quarantine_.drainActions())
         actions_.emplace_back(std::move(action));
--- a/src/gateway/internal/gatewayplan.cpp
+++ b/src/gateway/internal/gatewayplan.cpp
@@ -81,7 +81,7 @@
 {
     // Registry hosts send heartbeats once per second within the region, less often from other regions.
     constexpr Duration ResponsiveTimeout = 1500ms;
-    std::vector<const membership::RosterEntry*> registries = roster_->heardWithin(ResponsiveTimeout, now);
+    std::vector<const membership::RosterEntry*> registries = roster_->receivedWithin(ResponsiveTimeout, now);
     std::erase_if(registries, [](const auto* entry) { return !entry->record.isControl; });
     return registries;
 }
--- a/src/gateway/internal/limitcredits.cpp
+++ b/src/gateway/internal/limitcredits.cpp
@@ -176,7 +176,7 @@
     expire(now);
 }
 
-std::vector<model::OutgoingMessage> LimitCredits::takeOutgoing()
+std::vector<model::OutgoingMessage> LimitCredits::drainOutgoing()
 {
     std::vector<model::OutgoingMessage> outgoing;
     for (auto& [host, request] : outgoing_)
--- a/src/gateway/internal/limitcredits.h
+++ b/src/gateway/internal/limitcredits.h
@@ -47,7 +47,7 @@
     void tick(Timestamp now);
 
     [[nodiscard]] std::vector<CreditResult> drainResults() { return std::exchange(results_, {}); }
-    [[nodiscard]] std::vector<model::OutgoingMessage> takeOutgoing();
+    [[nodiscard]] std::vector<model::OutgoingMessage> drainOutgoing();
 
 private:
     struct PendingRequest {
--- a/src/gateway/internal/quarantine.cpp
+++ b/src/gateway/internal/quarantine.cpp
@@ -33,21 +33,21 @@
 {
     if (!table_.isBlamed(digest))
         return std::nullopt;
-    const Duration untilTrial = table_.untilTrial(digest, now);
-    if (untilTrial <= Duration::zero()) {
-        table_.noteTrial(digest, now);
+    const Duration timeToTrial = table_.timeToTrial(digest, now);
+    if (timeToTrial <= Duration::zero()) {
+        table_.recordTrial(digest, now);
         outbox_.add(digest, table_);
         log(host::LogSeverity::Warning, LogText("request_trial").add("request", model::toString(digest)).text(), now);
         return std::nullopt;
     }
-    if (table_.noteAsked(digest, now))
+    if (table_.recordCallerRequest(digest, now))
         outbox_.add(digest, table_);
-    return untilTrial;
+    return timeToTrial;
 }
 
 bool Quarantine::mayRetry(const model::RequestDigest& digest) const
 {
-    return table_.endsInARow(digest) < MaxLostTargetsForRetry;
+    return table_.consecutiveFailures(digest) < MaxLostTargetsForRetry;
 }
 
 void Quarantine::onAnswered(const model::RequestDigest& digest, Timestamp now)
@@ -59,15 +59,15 @@
 
 void Quarantine::clearIfAnswered(const model::RequestDigest& digest, Timestamp now)
 {
-    const std::optional<Timestamp> firstEndAt = table_.firstEndAt(digest);
-    if (firstEndAt && recentAnswers_.wasAnsweredSince(digest, *firstEndAt - RecentAnswerWindow))
+    const std::optional<Timestamp> firstFailureAt = table_.firstFailureAt(digest);
+    if (firstFailureAt && recentAnswers_.wasAnsweredSince(digest, *firstFailureAt - RecentAnswerWindow))
         clearLosses(digest, now);
 }
 
 void Quarantine::clearLosses(const model::RequestDigest& digest, Timestamp now)
 {
     const bool wasBlamed = table_.isBlamed(digest);
-    if (!table_.noteAnswered(digest, now))
+    if (!table_.recordAnswer(digest, now))
         return;
     outbox_.add(digest, table_);
     if (wasBlamed)
@@ -96,13 +96,13 @@
 {
     const bool wasBlamed = table_.isBlamed(run.digest);
     const double expectedLossFraction = lossRate_.lossFraction(now);
-    const bool isNew = table_.noteEnd(run.digest,
+    const bool isNew = table_.recordFailure(run.digest,
         {.target = model::incarnationHash(run.target),
             .sentAt = run.sentAt,
-            .endedAt = run.lostAt,
+            .failedAt = run.lostAt,
             .usualShare = expectedLossFraction},
         now);
-    const size_t inARow = table_.endsInARow(run.digest);
+    const size_t inARow = table_.consecutiveFailures(run.digest);
     // Losses under a suspect request say nothing about other requests.
     if (inARow < MaxLostTargetsForRetry)
         lossRate_.recordLoss(now);
@@ -143,7 +143,7 @@
 
 void Quarantine::reportExplained(Timestamp now)
 {
-    for (const model::RequestDigest& digest : table_.takeExplained()) {
+    for (const model::RequestDigest& digest : table_.drainCleared()) {
         outbox_.add(digest, table_);
         log(host::LogSeverity::Warning, LogText("request_cleared").add("request", model::toString(digest)).text(), now);
     }
@@ -172,7 +172,7 @@
 {
     if (outbox_.isEmpty())
         return {};
-    return outbox_.take(table_, now);
+    return outbox_.drain(table_, now);
 }
 
 void Quarantine::log(host::LogSeverity severity, std::string text, Timestamp now)
--- a/src/host/internal/hostcore.cpp
+++ b/src/host/internal/hostcore.cpp
@@ -80,12 +80,12 @@
 void HostCore::accept(const LinkUp& up, Timestamp now)
 {
     if (recordIncarnation(up.host, up.incarnation, now))
-        modules_.hostTable->noteLinkUp(up.host, now);
+        modules_.hostTable->onLinkUp(up.host, now);
 }
 
 void HostCore::accept(const LinkDown& down, Timestamp now)
 {
-    modules_.hostTable->noteLinkDown(down.host, now);
+    modules_.hostTable->onLinkDown(down.host, now);
     onHostLost(down.host, now);
 }
 
@@ -156,17 +156,17 @@
     if (summaryTimer_.isTimeToRun(now)) {
         zones_.update(modules_);
         modules_.steering->update(zones_.rooms(), zones_.demands(), now);
-        noteServedElsewhere(now);
+        markServedElsewhere(now);
     }
     modules_.steering->tick(now);
 }
 
-void HostCore::noteServedElsewhere(Timestamp now)
+void HostCore::markServedElsewhere(Timestamp now)
 {
     if (!startup_.isServing())
         return;
     for (const ServiceIndex service : zones_.servedElsewhere())
-        modules_.steering->noteServedElsewhere(service, now);
+        modules_.steering->markServedElsewhere(service, now);
 }
 
 void HostCore::tickStartup(Timestamp now) { startup_.tick(now); }
@@ -201,17 +201,17 @@
 {
     collectEntryActions();
     outbox_.add(modules_.owner->drainActions());
-    outbox_.send(modules_.hostTable->takeOutgoing());
-    outbox_.send(modules_.directory->takeOutgoing());
-    outbox_.send(modules_.creditIssuer->takeOutgoing());
-    outbox_.send(modules_.creditStore->takeOutgoing());
-    outbox_.send(modules_.bundleReplica->takeOutgoing());
+    outbox_.send(modules_.hostTable->drainOutgoing());
+    outbox_.send(modules_.directory->drainOutgoing());
+    outbox_.send(modules_.creditIssuer->drainOutgoing());
+    outbox_.send(modules_.creditStore->drainOutgoing());
+    outbox_.send(modules_.bundleReplica->drainOutgoing());
     if (!modules_.replica)
         return;
     http_.answerSubmissions();
     for (control::StorageWrite& write : modules_.replica->takeWrites())
         outbox_.add(Action(std::move(write)));
-    outbox_.send(modules_.replica->takeOutgoing());
+    outbox_.send(modules_.replica->drainOutgoing());
 }
 
 void HostCore::collectEntryActions()
--- a/src/host/internal/hostcore.h
+++ b/src/host/internal/hostcore.h
@@ -54,7 +54,7 @@
     void tickTargets(Timestamp now);
     void tickCredits(Timestamp now);
     void tickSteering(Timestamp now);
-    void noteServedElsewhere(Timestamp now);
+    void markServedElsewhere(Timestamp now);
     void tickStartup(Timestamp now);
     void tickRequests(Timestamp now);
     void tickStop(Timestamp now);
--- a/src/host/internal/hostmodules.cpp
+++ b/src/host/internal/hostmodules.cpp
@@ -69,7 +69,7 @@
     , pool(steering::makeTargetPool({.seed = options.seed ^ PoolSeed, .counters = &counters}))
     , owner(requests::makeOwnerRequests({.self = self, .pool = pool.get(), .counters = &counters}))
     , creditIssuer(membership::makeCreditIssuer({.counters = &counters}))
-    , creditStore(membership::makeCreditWallet({.counters = &counters}))
+    , creditStore(membership::makeCreditStore({.counters = &counters}))
     , retryBudget(steering::makeRetryBudget({}))
     , tokenIssuer(requests::makeTokenIssuer(
           {.host = self.host, .incarnation = self.incarnation, .macKey = options.settings.tokenKey}))
@@ -107,7 +107,7 @@
 {
     owner->onHostLost(host, now);
     creditIssuer->onHostLost(host, now);
-    creditStore->noteOwnerLost(host, now);
+    creditStore->onOwnerLost(host, now);
     if (entry)
         entry->onHostLost(host, now);
 }
--- a/src/host/internal/hostmodules.h
+++ b/src/host/internal/hostmodules.h
@@ -46,7 +46,7 @@
     std::unique_ptr<steering::ITargetPool> pool;
     std::unique_ptr<requests::IOwnerRequests> owner;
     std::unique_ptr<membership::ICreditIssuer> creditIssuer;
-    std::unique_ptr<membership::ICreditWallet> creditStore;
+    std::unique_ptr<membership::ICreditStore> creditStore;
     std::unique_ptr<steering::IRetryBudget> retryBudget;
     std::unique_ptr<requests::ITokenIssuer> tokenIssuer;
     std::unique_ptr<HostLiveness> hostLiveness;
--- a/src/host/internal/ownersync.h
+++ b/src/host/internal/ownersync.h
@@ -28,7 +28,7 @@
     HostModules& modules_;
     std::set<ServiceName> servicesWithCapacity_;
     std::set<HostId> ownerHosts_;
-    std::vector<membership::ICreditWallet::Owner> owners_;
+    std::vector<membership::ICreditStore::Owner> owners_;
 };
 
 } // namespace saltvane::host
--- a/src/host/internal/plannedstop.cpp
+++ b/src/host/internal/plannedstop.cpp
@@ -69,7 +69,7 @@
     outbox_.add(Action(StopFinished {requestsCut}));
 }
 
-bool PlannedStop::hasHandedOver() const { return modules_.directory->hasHandedAllOver() || !hasZonePeer(); }
+bool PlannedStop::hasHandedOver() const { return modules_.directory->hasHandedOverAll() || !hasZonePeer(); }
 
 bool PlannedStop::hasZonePeer() const
 {
--- a/src/host/internal/targetsync.cpp
+++ b/src/host/internal/targetsync.cpp
@@ -19,7 +19,7 @@
 {
     std::set<TargetId> newlyIdle = std::exchange(busy_, {});
     for (const steering::PoolTargetStatus& status : modules_.pool->targets()) {
-        modules_.directory->noteUse(status.target, status.inFlight, status.concurrencyLimit);
+        modules_.directory->recordUse(status.target, status.inFlight, status.concurrencyLimit);
         newlyIdle.erase(status.target);
         if (status.inFlight > 0)
             busy_.insert(status.target);
@@ -27,12 +27,12 @@
             peak->second.current = std::max(peak->second.current, status.inFlight);
     }
     for (const TargetId& target : newlyIdle)
-        modules_.directory->noteUse(target, 0, 0);
+        modules_.directory->recordUse(target, 0, 0);
 }
 
 bool TargetSync::applyChanges(Timestamp now)
 {
-    const std::vector<membership::TargetChange> changes = modules_.directory->takeChanges();
+    const std::vector<membership::TargetChange> changes = modules_.directory->drainChanges();
     for (const membership::TargetChange& change : changes) {
         if (change.kind == membership::TargetChange::Kind::Owned) {
             applyOwned(change, now);
--- a/src/membership/icredits.h
+++ b/src/membership/icredits.h
@@ -27,14 +27,14 @@
     /// The host was lost. Its windows stay reserved until they expire, because it may still send requests.
     virtual void onHostLost(const HostId& host, Timestamp now) = 0;
     virtual void tick(Timestamp now) = 0;
-    [[nodiscard]] virtual std::vector<model::OutgoingMessage> takeOutgoing() = 0;
+    [[nodiscard]] virtual std::vector<model::OutgoingMessage> drainOutgoing() = 0;
     [[nodiscard]] virtual uint32_t outstanding(const ServiceName& service, Timestamp now) const = 0;
 };
 
 /// Credits at the entry host: its windows at the owner hosts, by service.
-class ICreditWallet {
+class ICreditStore {
 public:
-    virtual ~ICreditWallet() = default;
+    virtual ~ICreditStore() = default;
     struct Owner {
         HostId host;
         ServiceName service;
@@ -44,18 +44,18 @@
     /// Replaces the list of owners. Windows at owners that are not listed are dropped.
     virtual void setOwners(std::span<const Owner> owners, Timestamp now) = 0;
     virtual void handle(const HostId& from, const model::CreditGrant& grant, Timestamp now) = 0;
-    virtual void noteOwnerLost(const HostId& owner, Timestamp now) = 0;
+    virtual void onOwnerLost(const HostId& owner, Timestamp now) = 0;
     [[nodiscard]] virtual bool hasCredit(const ServiceName& service, const ZoneName& zone, Timestamp now) const = 0;
     /// Uses one credit at the owner in the zone that has the most free credit and is not in `excluded`.
     [[nodiscard]] virtual std::optional<HostId> take(
         const ServiceName& service, const ZoneName& zone, std::span<const HostId> excluded, Timestamp now)
         = 0;
     /// Returns the credit when the request at the owner has completed; exactly once per use.
-    virtual void giveBack(const HostId& owner, const ServiceName& service, Timestamp now) = 0;
+    virtual void returnCredit(const HostId& owner, const ServiceName& service, Timestamp now) = 0;
     /// Records that a request found no credit in the zone; requests more.
-    virtual void noteWanted(const ServiceName& service, const ZoneName& zone, Timestamp now) = 0;
+    virtual void recordUnmetDemand(const ServiceName& service, const ZoneName& zone, Timestamp now) = 0;
     virtual void tick(Timestamp now) = 0;
-    [[nodiscard]] virtual std::vector<model::OutgoingMessage> takeOutgoing() = 0;
+    [[nodiscard]] virtual std::vector<model::OutgoingMessage> drainOutgoing() = 0;
 };
 
 struct CreditOptions {
@@ -72,6 +72,6 @@
 };
 
 [[nodiscard]] std::unique_ptr<ICreditIssuer> makeCreditIssuer(const CreditOptions& options);
-[[nodiscard]] std::unique_ptr<ICreditWallet> makeCreditWallet(const CreditOptions& options);
+[[nodiscard]] std::unique_ptr<ICreditStore> makeCreditStore(const CreditOptions& options);
 
 } // namespace saltvane::membership
--- a/src/membership/ihostroster.h
+++ b/src/membership/ihostroster.h
@@ -15,7 +15,7 @@
 /// The last known state of another host.
 struct RosterEntry {
     model::HostRecord record;
-    Timestamp heardAt; ///< Time of its last heartbeat, as received here or reported by another host.
+    Timestamp lastReceivedAt; ///< Time of its last heartbeat, as received here or reported by another host.
 };
 
 /// The hosts of a deployment, which are configured nowhere: every host reports to all control hosts that it knows, at
@@ -27,20 +27,20 @@
     /// Handles Heartbeat and ZoneReport; ignores other messages.
     virtual void handle(const model::Delivery& delivery, Timestamp now) = 0;
     /// A link to this incarnation of the host is up: records of its other incarnations are void, even of higher ones.
-    virtual void noteLinkUp(const HostId& host, Incarnation incarnation) = 0;
+    virtual void onLinkUp(const HostId& host, Incarnation incarnation) = 0;
     virtual void setSeeds(std::vector<HostId> seeds) = 0;
     /// A change is reported to all known control hosts at once.
     virtual void setState(model::HostState state) = 0;
     virtual void tick(Timestamp now) = 0;
-    [[nodiscard]] virtual std::vector<model::OutgoingMessage> takeOutgoing() = 0;
+    [[nodiscard]] virtual std::vector<model::OutgoingMessage> drainOutgoing() = 0;
 
     /// Control hosts to keep links to, including the seeds; sorted.
     [[nodiscard]] virtual std::vector<HostId> controlHosts() const = 0;
     /// The control hosts that this host reports to at the short interval: those in its own region and those whose
     /// region is not known yet; all of them if its region has none.
-    [[nodiscard]] virtual std::vector<HostId> nearControlHosts() const = 0;
+    [[nodiscard]] virtual std::vector<HostId> sameRegionControlHosts() const = 0;
     /// Hosts with a heartbeat within `age`, sorted by id; never this host itself.
-    [[nodiscard]] virtual std::vector<const RosterEntry*> heardWithin(Duration age, Timestamp now) const = 0;
+    [[nodiscard]] virtual std::vector<const RosterEntry*> receivedWithin(Duration age, Timestamp now) const = 0;
     [[nodiscard]] virtual const RosterEntry* find(const HostId& host) const = 0;
 };
 
--- a/src/membership/ihosttable.h
+++ b/src/membership/ihosttable.h
@@ -27,12 +27,12 @@
     virtual bool handle(const HostId& from, const model::Heartbeat& heartbeat, Timestamp now) = 0;
     virtual bool handle(const HostId& from, const model::ZoneReport& report, Timestamp now) = 0;
     /// A link to the host is up. A host not known yet is sent a heartbeat, so that both sides learn of each other.
-    virtual void noteLinkUp(const HostId& /*host*/, Timestamp /*now*/) { }
+    virtual void onLinkUp(const HostId& /*host*/, Timestamp /*now*/) { }
     /// The link to a host is down: the host is suspected at once, but removed only after its timeout.
-    virtual void noteLinkDown(const HostId& host, Timestamp now) = 0;
+    virtual void onLinkDown(const HostId& host, Timestamp now) = 0;
     virtual void tick(Timestamp now) = 0;
     /// Returns the heartbeats and reports to send since the last call.
-    [[nodiscard]] virtual std::vector<model::OutgoingMessage> takeOutgoing() = 0;
+    [[nodiscard]] virtual std::vector<model::OutgoingMessage> drainOutgoing() = 0;
 
     [[nodiscard]] virtual const HostView* find(const HostId& host) const = 0;
     /// All known hosts except this one, by id; dead ones are removed after a timeout.
--- a/src/membership/internal/creditissuer.cpp
+++ b/src/membership/internal/creditissuer.cpp
@@ -110,7 +110,7 @@
     }
 }
 
-std::vector<model::OutgoingMessage> CreditIssuer::takeOutgoing() { return std::exchange(outgoing_, {}); }
+std::vector<model::OutgoingMessage> CreditIssuer::drainOutgoing() { return std::exchange(outgoing_, {}); }
 
 uint32_t CreditIssuer::reservedCredit(const Requester& requester, Timestamp now)
 {
--- a/src/membership/internal/creditissuer.h
+++ b/src/membership/internal/creditissuer.h
@@ -21,7 +21,7 @@
     void handle(const HostId& from, const model::CreditRequest& request, Timestamp now) override;
     void onHostLost(const HostId& host, Timestamp now) override;
     void tick(Timestamp now) override;
-    [[nodiscard]] std::vector<model::OutgoingMessage> takeOutgoing() override;
+    [[nodiscard]] std::vector<model::OutgoingMessage> drainOutgoing() override;
     [[nodiscard]] uint32_t outstanding(const ServiceName& service, Timestamp now) const override;
 
 private:
--- a/src/membership/internal/creditstore.cpp
+++ b/src/membership/internal/creditstore.cpp
@@ -71,7 +71,7 @@
         request(found->first, account, now);
 }
 
-void CreditStore::noteOwnerLost(const HostId& owner, Timestamp)
+void CreditStore::onOwnerLost(const HostId& owner, Timestamp)
 {
     for (auto& [key, account] : accounts_) {
         if (key.owner == owner)
@@ -129,14 +129,14 @@
     return chosen->first.owner;
 }
 
-void CreditStore::giveBack(const HostId& owner, const ServiceName& service, Timestamp)
+void CreditStore::returnCredit(const HostId& owner, const ServiceName& service, Timestamp)
 {
     const auto found = accounts_.find({service, owner});
     if (found != accounts_.end() && found->second.inUse > 0)
         --found->second.inUse;
 }
 
-void CreditStore::noteWanted(const ServiceName& service, const ZoneName& zone, Timestamp now)
+void CreditStore::recordUnmetDemand(const ServiceName& service, const ZoneName& zone, Timestamp now)
 {
     const auto [first, last] = accountsOf(service);
     for (auto it = first; it != last; ++it) {
@@ -198,7 +198,7 @@
     }
 }
 
-std::vector<model::OutgoingMessage> CreditStore::takeOutgoing() { return std::exchange(outgoing_, {}); }
+std::vector<model::OutgoingMessage> CreditStore::drainOutgoing() { return std::exchange(outgoing_, {}); }
 
 void CreditStore::count(model::Counter counter) const
 {
--- a/src/membership/internal/creditstore.h
+++ b/src/membership/internal/creditstore.h
@@ -14,20 +14,20 @@
 
 /// Windows at owner hosts. At most one request per owner is unanswered at a time. A window expires `validFor` after its
 /// request was first sent, so always before the issuer releases it, however long the messages take.
-class CreditStore final : public ICreditWallet {
+class CreditStore final : public ICreditStore {
 public:
     explicit CreditStore(const CreditOptions& options);
 
     void setOwners(std::span<const Owner> owners, Timestamp now) override;
     void handle(const HostId& from, const model::CreditGrant& grant, Timestamp now) override;
-    void noteOwnerLost(const HostId& owner, Timestamp now) override;
+    void onOwnerLost(const HostId& owner, Timestamp now) override;
     [[nodiscard]] bool hasCredit(const ServiceName& service, const ZoneName& zone, Timestamp now) const override;
     [[nodiscard]] std::optional<HostId> take(
         const ServiceName& service, const ZoneName& zone, std::span<const HostId> excluded, Timestamp now) override;
-    void giveBack(const HostId& owner, const ServiceName& service, Timestamp now) override;
-    void noteWanted(const ServiceName& service, const ZoneName& zone, Timestamp now) override;
+    void returnCredit(const HostId& owner, const ServiceName& service, Timestamp now) override;
+    void recordUnmetDemand(const ServiceName& service, const ZoneName& zone, Timestamp now) override;
     void tick(Timestamp now) override;
-    [[nodiscard]] std::vector<model::OutgoingMessage> takeOutgoing() override;
+    [[nodiscard]] std::vector<model::OutgoingMessage> drainOutgoing() override;
 
 private:
     struct Key {
--- a/src/membership/internal/hostroster.cpp
+++ b/src/membership/internal/hostroster.cpp
@@ -30,22 +30,23 @@
         updateEntry(report->hosts[i], now - std::min(report->ages[i], options_.memory));
 }
 
-void HostRoster::updateEntry(const model::HostRecord& record, Timestamp heardAt)
+void HostRoster::updateEntry(const model::HostRecord& record, Timestamp lastReceivedAt)
 {
     if (record.host == options_.self.host)
         return;
-    const auto [found, isNew] = entries_.try_emplace(record.host, RosterEntry {.record = record, .heardAt = heardAt});
+    const auto [found, isNew]
+        = entries_.try_emplace(record.host, RosterEntry {.record = record, .lastReceivedAt = lastReceivedAt});
     RosterEntry& known = found->second;
     const bool isNewer
         = std::tie(record.incarnation, record.sequence) > std::tie(known.record.incarnation, known.record.sequence);
     if (isNewer)
         known.record = record;
     if (record.incarnation == known.record.incarnation)
-        known.heardAt = std::max(known.heardAt, heardAt);
+        known.lastReceivedAt = std::max(known.lastReceivedAt, lastReceivedAt);
     hasNewControlHost_ = hasNewControlHost_ || (isNew && record.isControl);
 }
 
-void HostRoster::noteLinkUp(const HostId& host, Incarnation incarnation)
+void HostRoster::onLinkUp(const HostId& host, Incarnation incarnation)
 {
     const auto found = entries_.find(host);
     if (found != entries_.end() && found->second.record.incarnation != incarnation) {
@@ -82,7 +83,7 @@
         if (!entry.record.isControl)
             continue;
         report.hosts.push_back(entry.record);
-        report.ages.push_back(now - entry.heardAt);
+        report.ages.push_back(now - entry.lastReceivedAt);
     }
     for (const auto& [host, entry] : entries_) {
         if (isToAllRegions || entry.record.region == options_.self.region)
@@ -92,7 +93,7 @@
 
 void HostRoster::eraseExpired(Timestamp now)
 {
-    std::erase_if(entries_, [&](const auto& item) { return now - item.second.heardAt > options_.memory; });
+    std::erase_if(entries_, [&](const auto& item) { return now - item.second.lastReceivedAt > options_.memory; });
 }
 
 void HostRoster::tick(Timestamp now)
@@ -103,7 +104,7 @@
         const bool includesOtherRegions = options_.self.isControl || now >= nextOtherRegionHeartbeatAt_;
         if (includesOtherRegions)
             nextOtherRegionHeartbeatAt_ = now + options_.otherRegionHeartbeatInterval;
-        sendHeartbeats(includesOtherRegions ? controlHosts() : nearControlHosts());
+        sendHeartbeats(includesOtherRegions ? controlHosts() : sameRegionControlHosts());
     }
     const bool isToAllRegions = hasNewControlHost_ || now >= nextOtherRegionReportAt_;
     if (!options_.self.isControl || (now < nextReportAt_ && !isToAllRegions))
@@ -115,7 +116,7 @@
     sendReports(isToAllRegions, now);
 }
 
-std::vector<model::OutgoingMessage> HostRoster::takeOutgoing() { return std::exchange(outgoing_, {}); }
+std::vector<model::OutgoingMessage> HostRoster::drainOutgoing() { return std::exchange(outgoing_, {}); }
 
 std::vector<HostId> HostRoster::controlHosts() const
 {
@@ -134,7 +135,7 @@
     return entry != nullptr && entry->record.region != options_.self.region;
 }
 
-std::vector<HostId> HostRoster::nearControlHosts() const
+std::vector<HostId> HostRoster::sameRegionControlHosts() const
 {
     const std::vector<HostId> all = controlHosts();
     std::vector<HostId> sameRegion = all;
@@ -142,11 +143,11 @@
     return sameRegion.empty() ? all : sameRegion;
 }
 
-std::vector<const RosterEntry*> HostRoster::heardWithin(Duration age, Timestamp now) const
+std::vector<const RosterEntry*> HostRoster::receivedWithin(Duration age, Timestamp now) const
 {
     std::vector<const RosterEntry*> received;
     for (const auto& [host, entry] : entries_) {
-        if (now - entry.heardAt <= age)
+        if (now - entry.lastReceivedAt <= age)
             received.push_back(&entry);
     }
     return received;
--- a/src/membership/internal/hostroster.h
+++ b/src/membership/internal/hostroster.h
@@ -17,18 +17,18 @@
     explicit HostRoster(HostRosterOptions options);
 
     void handle(const model::Delivery& delivery, Timestamp now) override;
-    void noteLinkUp(const HostId& host, Incarnation incarnation) override;
+    void onLinkUp(const HostId& host, Incarnation incarnation) override;
     void setSeeds(std::vector<HostId> seeds) override { options_.seeds = std::move(seeds); }
     void setState(model::HostState state) override;
     void tick(Timestamp now) override;
-    [[nodiscard]] std::vector<model::OutgoingMessage> takeOutgoing() override;
+    [[nodiscard]] std::vector<model::OutgoingMessage> drainOutgoing() override;
     [[nodiscard]] std::vector<HostId> controlHosts() const override;
-    [[nodiscard]] std::vector<HostId> nearControlHosts() const override;
-    [[nodiscard]] std::vector<const RosterEntry*> heardWithin(Duration age, Timestamp now) const override;
+    [[nodiscard]] std::vector<HostId> sameRegionControlHosts() const override;
+    [[nodiscard]] std::vector<const RosterEntry*> receivedWithin(Duration age, Timestamp now) const override;
     [[nodiscard]] const RosterEntry* find(const HostId& host) const override;
 
 private:
-    void updateEntry(const model::HostRecord& record, Timestamp heardAt);
+    void updateEntry(const model::HostRecord& record, Timestamp lastReceivedAt);
     void sendHeartbeat(const HostId& to);
     void sendHeartbeats(const std::vector<HostId>& hosts);
     /// Sends the known control hosts to all other hosts or to those of its own region.
--- a/src/membership/internal/hosttable.cpp
+++ b/src/membership/internal/hosttable.cpp
@@ -132,7 +132,7 @@
     return true;
 }
 
-void HostTable::noteLinkUp(const HostId& host, Timestamp)
+void HostTable::onLinkUp(const HostId& host, Timestamp)
 {
     if (host == options_.self.host)
         return;
@@ -141,7 +141,7 @@
         send(host, model::Heartbeat {nextOwnRecord()});
 }
 
-void HostTable::noteLinkDown(const HostId& host, Timestamp now)
+void HostTable::onLinkDown(const HostId& host, Timestamp now)
 {
     linkedHosts_.erase(host);
     const auto found = entries_.find(host);
@@ -191,7 +191,7 @@
     std::erase_if(reporters_, [&](const auto& item) { return !entries_.contains(item.second); });
 }
 
-std::vector<model::OutgoingMessage> HostTable::takeOutgoing() { return std::exchange(outgoing_, {}); }
+std::vector<model::OutgoingMessage> HostTable::drainOutgoing() { return std::exchange(outgoing_, {}); }
 
 const HostView* HostTable::find(const HostId& host) const
 {
--- a/src/membership/internal/hosttable.h
+++ b/src/membership/internal/hosttable.h
@@ -20,10 +20,10 @@
     void setOwnRecord(model::HostRecord record) override;
     bool handle(const HostId& from, const model::Heartbeat& heartbeat, Timestamp now) override;
     bool handle(const HostId& from, const model::ZoneReport& report, Timestamp now) override;
-    void noteLinkUp(const HostId& host, Timestamp now) override;
-    void noteLinkDown(const HostId& host, Timestamp now) override;
+    void onLinkUp(const HostId& host, Timestamp now) override;
+    void onLinkDown(const HostId& host, Timestamp now) override;
     void tick(Timestamp now) override;
-    [[nodiscard]] std::vector<model::OutgoingMessage> takeOutgoing() override;
+    [[nodiscard]] std::vector<model::OutgoingMessage> drainOutgoing() override;
 
     [[nodiscard]] const HostView* find(const HostId& host) const override;
     [[nodiscard]] std::vector<const HostView*> hosts() const override;
--- a/src/membership/internal/suspectoutbox.cpp
+++ b/src/membership/internal/suspectoutbox.cpp
@@ -23,14 +23,14 @@
         queue_.push_back(digest);
 }
 
-std::vector<model::SuspectRequest> SuspectOutbox::take(const SuspectTable& table, Timestamp now)
+std::vector<model::SuspectRequest> SuspectOutbox::drain(const SuspectTable& table, Timestamp now)
 {
     availableTokens_ = std::min(options_.burst, availableTokens_ + toSeconds(now - refilledAt_) * options_.perSecond);
     refilledAt_ = now;
     std::vector<model::SuspectRequest> updates;
     for (; !queue_.empty() && availableTokens_ >= 1; queue_.pop_front()) {
         queued_.erase(queue_.front());
-        std::optional<model::SuspectRequest> update = table.wordOf(queue_.front(), now);
+        std::optional<model::SuspectRequest> update = table.updateFor(queue_.front(), now);
         if (!update)
             continue; // Removed from the table in the meantime.
         availableTokens_ -= 1;
--- a/src/membership/internal/suspecttable.cpp
+++ b/src/membership/internal/suspecttable.cpp
@@ -103,7 +103,7 @@
     if (std::ranges::find(entry.failures, failure.target, &TargetFailure::target) != entry.failures.end())
         return false;
     const auto isEarlier
-        = [](const TargetFailure& left, const TargetFailure& right) { return left.endedAt < right.endedAt; };
+        = [](const TargetFailure& left, const TargetFailure& right) { return left.failedAt < right.failedAt; };
     entry.failures.insert(std::ranges::upper_bound(entry.failures, failure, isEarlier), failure);
     if (entry.failures.size() > MaxFailures) {
         blamedRequestByTarget_.erase(entry.failures.front().target);
@@ -114,7 +114,7 @@
 
 /// The loss of a zone fails many runs of one request at once, which is no stronger evidence than a single failure. So a
 /// run counts only if it was sent after the previously counted one had failed.
-size_t SuspectTable::endsInARow(const Entry& entry) const
+size_t SuspectTable::consecutiveFailures(const Entry& entry) const
 {
     size_t count = 0;
     Timestamp last = Timestamp::min();
@@ -125,7 +125,7 @@
         if (!isAfter)
             continue;
         ++count;
-        last = failure.endedAt;
+        last = failure.failedAt;
     }
     return count;
 }
@@ -137,7 +137,7 @@
     double expectedShare = MinUsualShare;
     for (const TargetFailure& failure : entry.failures)
         expectedShare = std::max(expectedShare, std::min(failure.usualShare, MaxUsualShare));
-    const size_t failureCount = endsInARow(entry);
+    const size_t failureCount = consecutiveFailures(entry);
     if (failureCount < MinFailures
         || std::pow(expectedShare, static_cast<double>(failureCount)) > MaxWrongBlameProbability)
         return;
@@ -208,7 +208,7 @@
     }
 }
 
-bool SuspectTable::noteEnd(const model::RequestDigest& digest, const TargetFailure& failure, Timestamp now)
+bool SuspectTable::recordFailure(const model::RequestDigest& digest, const TargetFailure& failure, Timestamp now)
 {
     Entry* entry = add(digest, now);
     if (entry == nullptr || !addFailure(*entry, failure))
@@ -218,7 +218,7 @@
     return true;
 }
 
-bool SuspectTable::noteAnswered(const model::RequestDigest& digest, Timestamp now)
+bool SuspectTable::recordAnswer(const model::RequestDigest& digest, Timestamp now)
 {
     Entry* entry = find(digest);
     if (entry == nullptr || (entry->failures.empty() && !entry->isBlamed))
@@ -244,7 +244,7 @@
         isNew |= addFailure(*entry,
             {.target = failure.target,
                 .sentAt = now - failure.sentAgo,
-                .endedAt = now - failure.endedAgo,
+                .failedAt = now - failure.endedAgo,
                 .usualShare = failure.usualShare});
     }
     isNew |= now - update.askedAgo > entry->lastRequestedAt + UseReportInterval / 2;
@@ -262,18 +262,18 @@
     return isNew;
 }
 
-size_t SuspectTable::endsInARow(const model::RequestDigest& digest) const
+size_t SuspectTable::consecutiveFailures(const model::RequestDigest& digest) const
 {
     const Entry* entry = find(digest);
-    return entry == nullptr ? 0 : endsInARow(*entry);
+    return entry == nullptr ? 0 : consecutiveFailures(*entry);
 }
 
-std::optional<Timestamp> SuspectTable::firstEndAt(const model::RequestDigest& digest) const
+std::optional<Timestamp> SuspectTable::firstFailureAt(const model::RequestDigest& digest) const
 {
     const Entry* entry = find(digest);
     if (entry == nullptr || entry->failures.empty())
         return std::nullopt;
-    return entry->failures.front().endedAt;
+    return entry->failures.front().failedAt;
 }
 
 bool SuspectTable::isBlamed(const model::RequestDigest& digest) const
@@ -282,7 +282,7 @@
     return entry != nullptr && entry->isBlamed;
 }
 
-Duration SuspectTable::untilTrial(const model::RequestDigest& digest, Timestamp now) const
+Duration SuspectTable::timeToTrial(const model::RequestDigest& digest, Timestamp now) const
 {
     const Entry* entry = find(digest);
     if (entry == nullptr || !entry->isBlamed)
@@ -292,7 +292,7 @@
     return std::max(Duration::zero(), entry->backoffSince + TrialDelays.at(entry->trials) - now);
 }
 
-void SuspectTable::noteTrial(const model::RequestDigest& digest, Timestamp now)
+void SuspectTable::recordTrial(const model::RequestDigest& digest, Timestamp now)
 {
     Entry* entry = find(digest);
     if (entry == nullptr)
@@ -302,7 +302,7 @@
     touch(*entry, now);
 }
 
-bool SuspectTable::noteAsked(const model::RequestDigest& digest, Timestamp now)
+bool SuspectTable::recordCallerRequest(const model::RequestDigest& digest, Timestamp now)
 {
     Entry* entry = find(digest);
     if (entry == nullptr)
@@ -314,7 +314,7 @@
     return isTimeToReport;
 }
 
-model::SuspectRequest SuspectTable::wordOf(const Entry& entry, Timestamp now)
+model::SuspectRequest SuspectTable::updateFor(const Entry& entry, Timestamp now)
 {
     model::SuspectRequest update {.digest = entry.digest,
         .epoch = entry.epoch,
@@ -325,17 +325,17 @@
     for (const TargetFailure& failure : entry.failures)
         update.ends.push_back({.target = failure.target,
             .sentAgo = now - failure.sentAt,
-            .endedAgo = now - failure.endedAt,
+            .endedAgo = now - failure.failedAt,
             .usualShare = failure.usualShare});
     return update;
 }
 
-std::optional<model::SuspectRequest> SuspectTable::wordOf(const model::RequestDigest& digest, Timestamp now) const
+std::optional<model::SuspectRequest> SuspectTable::updateFor(const model::RequestDigest& digest, Timestamp now) const
 {
     const Entry* entry = find(digest);
     if (entry == nullptr)
         return std::nullopt;
-    return wordOf(*entry, now);
+    return updateFor(*entry, now);
 }
 
 std::vector<model::SuspectRequest> SuspectTable::blamed(Timestamp now) const
@@ -343,7 +343,7 @@
     std::vector<model::SuspectRequest> updates;
     for (const Entry& entry : repeatedFailures_) {
         if (entry.isBlamed)
-            updates.push_back(wordOf(entry, now));
+            updates.push_back(updateFor(entry, now));
     }
     return updates;
 }
--- a/src/membership/internal/targetdirectory.cpp
+++ b/src/membership/internal/targetdirectory.cpp
@@ -212,7 +212,7 @@
     return static_cast<uint32_t>(std::ranges::count_if(entries_, isOwn));
 }
 
-void TargetDirectory::noteUse(const TargetId& target, uint32_t inFlight, uint32_t concurrencyLimit)
+void TargetDirectory::recordUse(const TargetId& target, uint32_t inFlight, uint32_t concurrencyLimit)
 {
     const auto found = entries_.find(target);
     if (found == entries_.end())
@@ -239,7 +239,7 @@
     });
 }
 
-std::vector<TargetChange> TargetDirectory::takeChanges() { return std::exchange(changes_, {}); }
+std::vector<TargetChange> TargetDirectory::drainChanges() { return std::exchange(changes_, {}); }
 
 std::vector<TargetId> TargetDirectory::ownedTargets() const
 {
--- a/src/membership/internal/targetdirectory.h
+++ b/src/membership/internal/targetdirectory.h
@@ -20,12 +20,12 @@
     [[nodiscard]] AnnouncementAnswer announce(const Announcement& announcement, Timestamp now) override;
     void handle(const HostId& from, const model::OwnershipHandover& handover, Timestamp now) override;
     void handle(const HostId& from, const model::HandoverProgress& progress, Timestamp now) override;
-    void noteUse(const TargetId& target, uint32_t inFlight, uint32_t concurrencyLimit) override;
+    void recordUse(const TargetId& target, uint32_t inFlight, uint32_t concurrencyLimit) override;
     void startLeaving(Timestamp now) override;
-    [[nodiscard]] bool hasHandedAllOver() const override;
+    [[nodiscard]] bool hasHandedOverAll() const override;
     void tick(Timestamp now) override;
-    [[nodiscard]] std::vector<TargetChange> takeChanges() override;
-    [[nodiscard]] std::vector<model::OutgoingMessage> takeOutgoing() override;
+    [[nodiscard]] std::vector<TargetChange> drainChanges() override;
+    [[nodiscard]] std::vector<model::OutgoingMessage> drainOutgoing() override;
     [[nodiscard]] std::vector<TargetId> ownedTargets() const override;
 
 private:
--- a/src/membership/internal/targethandovers.cpp
+++ b/src/membership/internal/targethandovers.cpp
@@ -149,7 +149,7 @@
 
 void TargetDirectory::startLeaving(Timestamp) { isLeaving_ = true; }
 
-bool TargetDirectory::hasHandedAllOver() const
+bool TargetDirectory::hasHandedOverAll() const
 {
     if (!isLeaving_)
         return false;
@@ -201,7 +201,7 @@
         reportOwned(entry);
 }
 
-std::vector<model::OutgoingMessage> TargetDirectory::takeOutgoing()
+std::vector<model::OutgoingMessage> TargetDirectory::drainOutgoing()
 {
     for (auto& [target, entry] : entries_)
         sendPending(entry);
--- a/src/membership/itargetdirectory.h
+++ b/src/membership/itargetdirectory.h
@@ -25,16 +25,16 @@
     virtual void handle(const HostId& from, const model::HandoverProgress& progress, Timestamp now) = 0;
     /// Updates the requests in flight and the slow-start limit of a target, as counted by the pool, for hand-overs; for
     /// a lost target too, until its last request has completed. To be called after the changes were applied and before
-    /// takeOutgoing().
-    virtual void noteUse(const TargetId& target, uint32_t inFlight, uint32_t concurrencyLimit) = 0;
+    /// drainOutgoing().
+    virtual void recordUse(const TargetId& target, uint32_t inFlight, uint32_t concurrencyLimit) = 0;
     /// Planned stop: hands over all targets and takes no more.
     virtual void startLeaving(Timestamp now) = 0;
     /// True once all targets are handed over, except those that no other host can take.
-    [[nodiscard]] virtual bool hasHandedAllOver() const = 0;
+    [[nodiscard]] virtual bool hasHandedOverAll() const = 0;
     /// Expires leases; after a process stall it must run before the next dispatch.
     virtual void tick(Timestamp now) = 0;
-    [[nodiscard]] virtual std::vector<TargetChange> takeChanges() = 0;
-    [[nodiscard]] virtual std::vector<model::OutgoingMessage> takeOutgoing() = 0;
+    [[nodiscard]] virtual std::vector<TargetChange> drainChanges() = 0;
+    [[nodiscard]] virtual std::vector<model::OutgoingMessage> drainOutgoing() = 0;
     [[nodiscard]] virtual std::vector<TargetId> ownedTargets() const = 0;
 };
 
--- a/src/membership/membershipmodule.cpp
+++ b/src/membership/membershipmodule.cpp
@@ -29,7 +29,7 @@
     return std::make_unique<CreditIssuer>(options);
 }
 
-std::unique_ptr<ICreditWallet> makeCreditWallet(const CreditOptions& options)
+std::unique_ptr<ICreditStore> makeCreditStore(const CreditOptions& options)
 {
     return std::make_unique<CreditStore>(options);
 }
--- a/src/membership/suspectoutbox.h
+++ b/src/membership/suspectoutbox.h
@@ -30,7 +30,7 @@
     void add(const model::RequestDigest& digest, const SuspectTable& table);
     [[nodiscard]] bool isEmpty() const { return queue_.empty(); }
     /// Returns as many entries as may be sent now.
-    [[nodiscard]] std::vector<model::SuspectRequest> take(const SuspectTable& table, Timestamp now);
+    [[nodiscard]] std::vector<model::SuspectRequest> drain(const SuspectTable& table, Timestamp now);
 
 private:
     Options options_;
--- a/src/membership/suspecttable.h
+++ b/src/membership/suspecttable.h
@@ -44,36 +44,37 @@
     struct TargetFailure {
         uint64_t target = 0;
         Timestamp sentAt;
-        Timestamp endedAt;
+        Timestamp failedAt;
         double usualShare = 0; ///< Fraction of all runs that ended with a target failure at that time.
     };
     /// Returns false if the failure was known already or the table is full.
-    bool noteEnd(const model::RequestDigest& digest, const TargetFailure& failure, Timestamp now);
+    bool recordFailure(const model::RequestDigest& digest, const TargetFailure& failure, Timestamp now);
     /// A run was answered: discards all failures of the request. Returns false if there were none.
-    bool noteAnswered(const model::RequestDigest& digest, Timestamp now);
+    bool recordAnswer(const model::RequestDigest& digest, Timestamp now);
     /// Merges another host's update. Returns false if it contained nothing new.
     bool merge(const model::SuspectRequest& update, Timestamp now);
 
     /// Number of runs with a target failure, each sent after the one before had failed.
-    [[nodiscard]] size_t endsInARow(const model::RequestDigest& digest) const;
+    [[nodiscard]] size_t consecutiveFailures(const model::RequestDigest& digest) const;
     /// Time of the first failure on record; nullopt if there is none.
-    [[nodiscard]] std::optional<Timestamp> firstEndAt(const model::RequestDigest& digest) const;
+    [[nodiscard]] std::optional<Timestamp> firstFailureAt(const model::RequestDigest& digest) const;
     [[nodiscard]] bool isBlamed(const model::RequestDigest& digest) const;
     /// Time until a blamed request may be tried again. If no trial is left, the time until the entry expires unless
     /// callers send the request again.
-    [[nodiscard]] Duration untilTrial(const model::RequestDigest& digest, Timestamp now) const;
+    [[nodiscard]] Duration timeToTrial(const model::RequestDigest& digest, Timestamp now) const;
     /// Records that a blamed request is let through for one trial.
-    void noteTrial(const model::RequestDigest& digest, Timestamp now);
+    void recordTrial(const model::RequestDigest& digest, Timestamp now);
     /// Records that a caller sent a blamed request. Returns true if other hosts should be told that it is still in use.
-    bool noteAsked(const model::RequestDigest& digest, Timestamp now);
+    bool recordCallerRequest(const model::RequestDigest& digest, Timestamp now);
 
-    [[nodiscard]] std::optional<model::SuspectRequest> wordOf(const model::RequestDigest& digest, Timestamp now) const;
+    [[nodiscard]] std::optional<model::SuspectRequest> updateFor(
+        const model::RequestDigest& digest, Timestamp now) const;
     [[nodiscard]] std::vector<model::SuspectRequest> blamed(Timestamp now) const;
     [[nodiscard]] size_t size() const { return entries_.size(); }
     [[nodiscard]] size_t blamedCount() const;
     /// Returns the requests cleared since the last call because other requests were blamed for their failures. The
     /// other hosts are to be told of them.
-    [[nodiscard]] std::vector<model::RequestDigest> takeExplained() { return std::exchange(cleared_, {}); }
+    [[nodiscard]] std::vector<model::RequestDigest> drainCleared() { return std::exchange(cleared_, {}); }
     /// Incremented with each new verdict and each one withdrawn.
     [[nodiscard]] uint64_t verdictChanges() const { return verdictChanges_; }
     void expire(Timestamp now);
@@ -114,8 +115,8 @@
     void clearWronglyBlamed();
     void eraseAttributions(const Entry& entry);
     void startEpoch(Entry& entry, uint64_t epoch);
-    [[nodiscard]] size_t endsInARow(const Entry& entry) const;
-    [[nodiscard]] static model::SuspectRequest wordOf(const Entry& entry, Timestamp now);
+    [[nodiscard]] size_t consecutiveFailures(const Entry& entry) const;
+    [[nodiscard]] static model::SuspectRequest updateFor(const Entry& entry, Timestamp now);
 
     Limits limits_;
     std::unordered_map<model::RequestDigest, Entry> entries_;
--- a/src/membership/tests/hostrostertests.cpp
+++ b/src/membership/tests/hostrostertests.cpp
@@ -41,7 +41,7 @@
     const auto roster = makeHostRoster({.self = recordOf("g", false), .seeds = {HostId("c1")}});
     Timestamp now(10s);
     roster->tick(now);
-    EXPECT_TRUE(hasMessageTo(roster->takeOutgoing(), "c1"));
+    EXPECT_TRUE(hasMessageTo(roster->drainOutgoing(), "c1"));
     roster->handle({.from = HostId("c1"),
                        .fromIncarnation = {1},
                        .message = model::ZoneReport {.zone = ZoneName("a"),
@@ -52,7 +52,7 @@
     EXPECT_EQ(roster->controlHosts(), (std::vector {HostId("c1"), HostId("c2")}));
     now += 300ms;
     roster->tick(now);
-    EXPECT_TRUE(hasMessageTo(roster->takeOutgoing(), "c2"));
+    EXPECT_TRUE(hasMessageTo(roster->drainOutgoing(), "c2"));
 }
 
 TEST(HostRosterTest, AnOlderRecordChangesNothing)
@@ -74,9 +74,9 @@
     Timestamp now(10s);
     roster->handle(heartbeat(recordOf("g", false, 40, 9)), now);
     now += 3s;
-    roster->noteLinkUp(HostId("g"), {7});
+    roster->onLinkUp(HostId("g"), {7});
     roster->handle(heartbeat(recordOf("g", false, 1, 7)), now);
-    EXPECT_EQ(roster->heardWithin(1s, now).size(), 1U);
+    EXPECT_EQ(roster->receivedWithin(1s, now).size(), 1U);
 }
 
 TEST(HostRosterTest, AReportedRecordHasTheReportedAge)
@@ -90,8 +90,8 @@
                            .hosts = {recordOf("c2", true)},
                            .ages = {4s}}},
         now);
-    EXPECT_TRUE(roster->heardWithin(1s, now).empty());
-    EXPECT_EQ(roster->heardWithin(5s, now).size(), 1U);
+    EXPECT_TRUE(roster->receivedWithin(1s, now).empty());
+    EXPECT_EQ(roster->receivedWithin(5s, now).size(), 1U);
 }
 
 TEST(HostRosterTest, AnUnresponsiveControlHostIsRemovedButASeedIsNot)
@@ -112,9 +112,9 @@
     const auto roster = makeHostRoster({.self = recordOf("g", false), .seeds = {HostId("c1")}});
     const Timestamp now(10s);
     roster->tick(now);
-    (void)roster->takeOutgoing();
+    (void)roster->drainOutgoing();
     roster->setState(model::HostState::Leaving);
-    const std::vector<model::OutgoingMessage> outgoing = roster->takeOutgoing();
+    const std::vector<model::OutgoingMessage> outgoing = roster->drainOutgoing();
     ASSERT_EQ(outgoing.size(), 1U);
     EXPECT_EQ(std::get<model::Heartbeat>(outgoing[0].message).record.state, model::HostState::Leaving);
 }
@@ -146,7 +146,7 @@
                 roster.handle(heartbeat(record), now);
         }
         roster.tick(now);
-        for (model::OutgoingMessage& outgoing : roster.takeOutgoing())
+        for (model::OutgoingMessage& outgoing : roster.drainOutgoing())
             all.push_back(std::move(outgoing));
     }
     return all;
@@ -164,7 +164,7 @@
     EXPECT_GE(messagesTo(sent, "remote"), 9U);
     EXPECT_LE(messagesTo(sent, "remote"), 11U);
     roster->setState(model::HostState::Leaving);
-    EXPECT_TRUE(hasMessageTo(roster->takeOutgoing(), "remote")); // A change is sent to all hosts at once.
+    EXPECT_TRUE(hasMessageTo(roster->drainOutgoing(), "remote")); // A change is sent to all hosts at once.
 }
 
 TEST(HostRosterTest, WithoutAControlHostInTheRegionAllGetFrequentHeartbeats)
--- a/src/membership/tests/hosttabletests.cpp
+++ b/src/membership/tests/hosttabletests.cpp
@@ -63,7 +63,7 @@
     void dropLink(Member& member, const HostId& peer)
     {
         if (member.links.erase(peer) > 0 && member.isRunning)
-            member.table->noteLinkDown(peer, now_);
+            member.table->onLinkDown(peer, now_);
     }
     bool isCut(const HostId& left, const HostId& right) const { return cut_.contains(left) != cut_.contains(right); }
     void connect()
@@ -83,7 +83,7 @@
     void link(Member& member, const Member& other)
     {
         if (member.links.insert(other.identity.host).second)
-            member.table->noteLinkUp(other.identity.host, now_);
+            member.table->onLinkUp(other.identity.host, now_);
     }
     void collect()
     {
@@ -91,7 +91,7 @@
             if (!member.isRunning)
                 continue;
             member.table->tick(now_);
-            for (model::OutgoingMessage& outgoing : member.table->takeOutgoing()) {
+            for (model::OutgoingMessage& outgoing : member.table->drainOutgoing()) {
                 ++sent_;
                 if (member.links.contains(outgoing.to) && !isCut(id, outgoing.to))
                     inFlight_.push_back({now_ + delay_, id, std::move(outgoing)});
--- a/src/membership/tests/membershipfakes.h
+++ b/src/membership/tests/membershipfakes.h
@@ -43,9 +43,9 @@
     void setOwnRecord(model::HostRecord) override { }
     bool handle(const HostId&, const model::Heartbeat&, Timestamp) override { return false; }
     bool handle(const HostId&, const model::ZoneReport&, Timestamp) override { return false; }
-    void noteLinkDown(const HostId&, Timestamp) override { }
+    void onLinkDown(const HostId&, Timestamp) override { }
     void tick(Timestamp) override { }
-    std::vector<model::OutgoingMessage> takeOutgoing() override { return {}; }
+    std::vector<model::OutgoingMessage> drainOutgoing() override { return {}; }
     const HostView* find(const HostId& host) const override
     {
         const auto found = views_.find(host);
--- a/src/membership/tests/ownershipfuzztests.cpp
+++ b/src/membership/tests/ownershipfuzztests.cpp
@@ -201,17 +201,17 @@
     /// Applies changes and sends messages, as the host core does after each event.
     void applyChanges(Host& host)
     {
-        for (const TargetChange& change : host.directory->takeChanges()) {
+        for (const TargetChange& change : host.directory->drainChanges()) {
             TargetUse& use = host.pool[change.announcement.target];
             use.isOwned = change.kind == TargetChange::Kind::Owned;
             use.foreignInFlight = change.foreignInFlight;
             use.incarnation = change.announcement.incarnation;
         }
         for (const auto& [target, use] : host.pool)
-            host.directory->noteUse(target, use.inFlight, 0);
-        for (const model::OutgoingMessage& outgoing : host.directory->takeOutgoing())
+            host.directory->recordUse(target, use.inFlight, 0);
+        for (const model::OutgoingMessage& outgoing : host.directory->drainOutgoing())
             sendLink(host, outgoing);
-        if (host.directory->hasHandedAllOver() && host.stopAt == Timestamp {})
+        if (host.directory->hasHandedOverAll() && host.stopAt == Timestamp {})
             host.stopAt = now_ + 100ms;
     }
 
--- a/src/membership/tests/targetdirectorytests.cpp
+++ b/src/membership/tests/targetdirectorytests.cpp
@@ -32,7 +32,7 @@
     /// Delivers the pending messages of `from` to `to`; returns their number.
     static size_t deliver(ITargetDirectory& from, const HostIdentity& sender, ITargetDirectory& to, Timestamp now)
     {
-        const std::vector<model::OutgoingMessage> messages = from.takeOutgoing();
+        const std::vector<model::OutgoingMessage> messages = from.drainOutgoing();
         for (const model::OutgoingMessage& outgoing : messages) {
             if (const auto* handover = std::get_if<model::OwnershipHandover>(&outgoing.message))
                 to.handle(sender.host, *handover, now);
@@ -58,7 +58,7 @@
     EXPECT_FALSE(owns(*a));
     EXPECT_TRUE(target_.announceTo(*a, Start + 5ms).isOwner);
     EXPECT_TRUE(owns(*a));
-    EXPECT_EQ(a->takeChanges().back().kind, TargetChange::Kind::Owned);
+    EXPECT_EQ(a->drainChanges().back().kind, TargetChange::Kind::Owned);
 }
 
 TEST_F(TargetDirectoryTest, LeaseRunsFromTheEchoedOfferNotFromTheLastAnnouncement)
@@ -71,7 +71,7 @@
     EXPECT_TRUE(owns(*a));
     a->tick(Start + 2s + 5ms);
     EXPECT_FALSE(owns(*a));
-    EXPECT_EQ(a->takeChanges().back().kind, TargetChange::Kind::Lost);
+    EXPECT_EQ(a->drainChanges().back().kind, TargetChange::Kind::Lost);
 }
 
 TEST_F(TargetDirectoryTest, AnotherHostWaitsForTheLeaseAndItsGuardToExpire)
@@ -139,16 +139,16 @@
     target_.announcement().busySlots = 4;
     (void)target_.announceTo(*b, Start);
     (void)target_.announceTo(*b, Start + 5ms);
-    EXPECT_EQ(b->takeChanges().back().foreignInFlight, 4u);
+    EXPECT_EQ(b->drainChanges().back().foreignInFlight, 4u);
     target_.announcement().busySlots = 2;
     (void)target_.announceTo(*b, Start + 500ms);
-    EXPECT_EQ(b->takeChanges().back().foreignInFlight, 2u);
+    EXPECT_EQ(b->drainChanges().back().foreignInFlight, 2u);
     b->tick(Start + 2s);
     target_.announcement().busySlots = 9;
     for (Duration after = 1s; after < 6s; after += 500ms)
         (void)target_.announceTo(*b, Start + after);
     b->tick(Start + 6s);
-    EXPECT_EQ(b->takeChanges().back().foreignInFlight, 0u) << "a report must not block slots for ever";
+    EXPECT_EQ(b->drainChanges().back().foreignInFlight, 0u) << "a report must not block slots for ever";
 }
 
 TEST_F(TargetDirectoryTest, SendsNewTargetsToTheLeastLoadedHost)
@@ -186,9 +186,9 @@
     makeOwner(*a);
     target_.announcement().state = TargetState::Leaving;
     EXPECT_TRUE(target_.announceTo(*a, Start + 500ms).isOwner);
-    EXPECT_EQ(a->takeChanges().back().announcement.state, TargetState::Leaving);
+    EXPECT_EQ(a->drainChanges().back().announcement.state, TargetState::Leaving);
     a->tick(Start + 4s);
-    EXPECT_EQ(a->takeChanges().back().kind, TargetChange::Kind::Lost);
+    EXPECT_EQ(a->drainChanges().back().kind, TargetChange::Kind::Lost);
     EXPECT_TRUE(target_.announceTo(*a, Start + 5s).owner.isEmpty());
 }
 
@@ -197,32 +197,32 @@
     const auto a = make(a_);
     const auto b = make(b_);
     makeOwner(*a);
-    a->noteUse(TargetId {"t1"}, 3, 7);
+    a->recordUse(TargetId {"t1"}, 3, 7);
     a->startLeaving(Start);
-    EXPECT_FALSE(a->hasHandedAllOver());
+    EXPECT_FALSE(a->hasHandedOverAll());
     (void)target_.announceTo(*a, Start + 500ms);
     EXPECT_FALSE(owns(*a)) << "gets no new work from here on";
     EXPECT_EQ(deliver(*a, a_, *b, Start + 501ms), 1u);
     (void)deliver(*b, b_, *a, Start + 502ms);
     EXPECT_EQ(target_.announceTo(*a, Start + 510ms).owner, b_.host);
-    EXPECT_TRUE(a->hasHandedAllOver());
+    EXPECT_TRUE(a->hasHandedOverAll());
     (void)target_.announceTo(*b, Start + 511ms);
     EXPECT_TRUE(target_.announceTo(*b, Start + 516ms).isOwner);
-    TargetChange change = b->takeChanges().back();
+    TargetChange change = b->drainChanges().back();
     EXPECT_EQ(change.foreignInFlight, 3u);
     EXPECT_EQ(change.concurrencyLimit, 7u);
 
     // Every other query is lost: the new owner repeats it until it learns that no request is left.
-    a->noteUse(TargetId {"t1"}, 0, 7);
+    a->recordUse(TargetId {"t1"}, 0, 7);
     int rounds = 0;
     for (Timestamp now = Start + 540ms; change.foreignInFlight > 0 && rounds < 10; now += 20ms) {
         b->tick(now);
         if (++rounds % 2 == 0)
             (void)deliver(*b, b_, *a, now);
         else
-            (void)b->takeOutgoing();
+            (void)b->drainOutgoing();
         (void)deliver(*a, a_, *b, now + 1ms);
-        const std::vector<TargetChange> changes = b->takeChanges();
+        const std::vector<TargetChange> changes = b->drainChanges();
         if (!changes.empty())
             change = changes.back();
     }
@@ -266,14 +266,14 @@
     (void)target_.announceTo(*b, Start + 5ms);
     hosts_.view(a_.host).health = HostHealth::Dead;
     b->tick(Start + 100ms);
-    EXPECT_EQ(b->takeChanges().back().foreignInFlight, 5u);
+    EXPECT_EQ(b->drainChanges().back().foreignInFlight, 5u);
     target_.announcement().busySlots = 4;
     (void)target_.announceTo(*b, Start + 500ms);
-    EXPECT_EQ(b->takeChanges().back().foreignInFlight, 4u) << "the report of the target lowers the count";
+    EXPECT_EQ(b->drainChanges().back().foreignInFlight, 4u) << "the report of the target lowers the count";
     for (Duration after = 1s; after <= 5s; after += 500ms)
         (void)target_.announceTo(*b, Start + after);
     b->tick(Start + 5150ms);
-    EXPECT_EQ(b->takeChanges().back().foreignInFlight, 0u);
+    EXPECT_EQ(b->drainChanges().back().foreignInFlight, 0u);
 }
 
 TEST_F(TargetDirectoryTest, HandsOverToBalanceButNotBelowTheAllowedImbalance)
@@ -299,7 +299,7 @@
     makeOwner(*a);
     hosts_.set(zoneHost, 0);
     (void)target_.announceTo(*a, Start + 500ms);
-    const std::vector<model::OutgoingMessage> outgoing = a->takeOutgoing();
+    const std::vector<model::OutgoingMessage> outgoing = a->drainOutgoing();
     ASSERT_EQ(outgoing.size(), 1u);
     EXPECT_EQ(outgoing.front().to, zoneHost.host);
 }
--- a/src/registry/internal/creditpool.cpp
+++ b/src/registry/internal/creditpool.cpp
@@ -314,7 +314,7 @@
         limitStates_.erase(id);
 }
 
-std::vector<model::OutgoingMessage> CreditPool::takeOutgoing()
+std::vector<model::OutgoingMessage> CreditPool::drainOutgoing()
 {
     std::vector<model::OutgoingMessage> outgoing;
     for (auto& [host, request] : requests_)
--- a/src/registry/internal/creditpool.h
+++ b/src/registry/internal/creditpool.h
@@ -46,7 +46,7 @@
     void handle(const HostId& from, const model::LimitCreditReply& reply, Timestamp now);
     /// Refuses requests that have been pending for too long, and gives up transfers that are not answered.
     void tick(Timestamp now);
-    [[nodiscard]] std::vector<model::OutgoingMessage> takeOutgoing();
+    [[nodiscard]] std::vector<model::OutgoingMessage> drainOutgoing();
 
 private:
     enum class Reach { Nobody, Region, All };
--- a/src/registry/internal/loadtable.cpp
+++ b/src/registry/internal/loadtable.cpp
@@ -60,7 +60,7 @@
     }
 }
 
-model::TargetLoads LoadTable::takeChanges()
+model::TargetLoads LoadTable::drainChanges()
 {
     model::TargetLoads changes {.isChange = true};
     for (const uint64_t target : dirtyTargets_) {
--- a/src/registry/internal/loadtable.h
+++ b/src/registry/internal/loadtable.h
@@ -23,7 +23,7 @@
     void expire(Timestamp now);
     /// Sums that differ significantly from the published ones, which gateways use until they receive others. They count
     /// as published from now on.
-    [[nodiscard]] model::TargetLoads takeChanges();
+    [[nodiscard]] model::TargetLoads drainChanges();
     /// All published sums, for a gateway that has received none.
     [[nodiscard]] model::TargetLoads published() const;
 
@@ -35,7 +35,7 @@
     struct Sum {
         uint32_t inFlight = 0;
         uint32_t published = 0;
-        bool isDirty = false; ///< Since the last takeChanges().
+        bool isDirty = false; ///< Since the last drainChanges().
     };
     /// Adds a gateway's report to the sums, or subtracts it.
     void apply(const model::TargetLoads& loads, bool isAdded);
--- a/src/registry/internal/lookups.cpp
+++ b/src/registry/internal/lookups.cpp
@@ -29,12 +29,13 @@
 std::vector<const membership::RosterEntry*> servingGateways(
     const membership::IHostRoster& roster, const RegionName& ownRegion, Timestamp now)
 {
-    std::vector<const membership::RosterEntry*> entries = roster.heardWithin(OtherRegionTimeout, now);
+    std::vector<const membership::RosterEntry*> entries = roster.receivedWithin(OtherRegionTimeout, now);
     std::erase_if(entries, [](const membership::RosterEntry* entry) {
         return entry->record.isControl || entry->record.state != model::HostState::Serving;
     });
     const auto isFresh = [&](const membership::RosterEntry* entry) {
-        return now - entry->heardAt <= (entry->record.region == ownRegion ? SameRegionTimeout : OtherRegionTimeout);
+        return now - entry->lastReceivedAt
+            <= (entry->record.region == ownRegion ? SameRegionTimeout : OtherRegionTimeout);
     };
     if (std::ranges::any_of(entries, isFresh))
         std::erase_if(entries, [&](const membership::RosterEntry* entry) { return !isFresh(entry); });
--- a/src/registry/internal/registrycore.cpp
+++ b/src/registry/internal/registrycore.cpp
@@ -211,8 +211,8 @@
 {
     syncedGateways_.erase(up.host);
     loadSyncedGateways_.erase(up.host);
-    roster_->noteLinkUp(up.host, up.incarnation);
-    replica_->noteLinkUp(up.host, up.incarnation);
+    roster_->onLinkUp(up.host, up.incarnation);
+    replica_->onLinkUp(up.host, up.incarnation);
     recallVerdicts(now);
     sendVerdicts(up.host, now);
     sendLimits(up.host, now);
@@ -258,11 +258,11 @@
     reportLimits(now);
     for (control::StorageWrite& write : replica_->takeWrites())
         actions_.emplace_back(std::move(write));
-    send(replica_->takeOutgoing());
-    send(roster_->takeOutgoing());
-    send(bundleReplica_->takeOutgoing());
+    send(replica_->drainOutgoing());
+    send(roster_->drainOutgoing());
+    send(bundleReplica_->drainOutgoing());
     if (credits_)
-        send(credits_->takeOutgoing());
+        send(credits_->drainOutgoing());
 }
 
 void RegistryCore::updateLinks()
--- a/src/registry/internal/registryreports.cpp
+++ b/src/registry/internal/registryreports.cpp
@@ -110,7 +110,7 @@
 std::vector<HostLocation> RegistryCore::liveRegistryHosts(Timestamp now) const
 {
     std::vector<HostLocation> live;
-    for (const membership::RosterEntry* entry : roster_->heardWithin(LivenessTimeout, now)) {
+    for (const membership::RosterEntry* entry : roster_->receivedWithin(LivenessTimeout, now)) {
         const model::HostRecord& record = entry->record;
         if (record.isControl)
             live.push_back({.host = record.host, .zone = record.zone, .region = record.region});
@@ -125,7 +125,7 @@
     nextLoadsAt_ = now + LoadInterval;
     loads_.expire(now);
     const std::vector<HostId>& near = nearestGateways_.update(liveRegistryHosts(now), gateways(now));
-    const model::TargetLoads changes = loads_.takeChanges();
+    const model::TargetLoads changes = loads_.drainChanges();
     std::set<HostId> sent;
     for (const HostId& gateway : near) {
         const bool isNew = !loadSyncedGateways_.contains(gateway);
@@ -249,7 +249,7 @@
         return gateways_;
     gatewaysUpdatedAt_ = now;
     gateways_.clear();
-    for (const membership::RosterEntry* entry : roster_->heardWithin(GatewayTimeout, now)) {
+    for (const membership::RosterEntry* entry : roster_->receivedWithin(GatewayTimeout, now)) {
         const model::HostRecord& record = entry->record;
         if (!record.isControl)
             gateways_.push_back({.host = record.host, .zone = record.zone, .region = record.region});
--- a/src/registry/internal/suspectrelay.cpp
+++ b/src/registry/internal/suspectrelay.cpp
@@ -29,14 +29,14 @@
         if (!table_.merge(reportedRequest, now))
             continue;
         const bool isRepeated = table_.isBlamed(reportedRequest.digest)
-            || table_.endsInARow(reportedRequest.digest) >= MinFailuresToForward;
+            || table_.consecutiveFailures(reportedRequest.digest) >= MinFailuresToForward;
         if (isRepeated)
             forwarded_.insert(reportedRequest.digest);
         // Receivers of its failures must also learn that they are void.
         if (isRepeated || forwarded_.contains(reportedRequest.digest))
             outbox_.add(reportedRequest.digest, table_);
     }
-    for (const model::RequestDigest& digest : table_.takeExplained())
+    for (const model::RequestDigest& digest : table_.drainCleared())
         outbox_.add(digest, table_);
 }
 
@@ -44,7 +44,7 @@
 {
     table_.expire(now);
     if (forwarded_.size() > table_.size())
-        std::erase_if(forwarded_, [&](const model::RequestDigest& digest) { return !table_.wordOf(digest, now); });
+        std::erase_if(forwarded_, [&](const model::RequestDigest& digest) { return !table_.updateFor(digest, now); });
 }
 
 SuspectRelay::Updates SuspectRelay::drainUpdates(Timestamp now)
@@ -52,7 +52,7 @@
     Updates updates;
     if (outbox_.isEmpty())
         return updates;
-    for (model::SuspectRequest& request : outbox_.take(table_, now)) {
+    for (model::SuspectRequest& request : outbox_.drain(table_, now)) {
         model::SuspectReport& report = request.isBlamed ? updates.verdicts : updates.unconfirmed;
         report.requests.push_back(std::move(request));
     }
--- a/src/registry/tests/creditpoolfleet.h
+++ b/src/registry/tests/creditpoolfleet.h
@@ -182,7 +182,7 @@
     }
     void flush(size_t number)
     {
-        for (model::OutgoingMessage& outgoing : pools_[number]->takeOutgoing()) {
+        for (model::OutgoingMessage& outgoing : pools_[number]->drainOutgoing()) {
             transfers += outgoing.to.value().starts_with("registry") ? 1 : 0;
             send(registryHost(number), outgoing.to, std::move(outgoing.message));
         }
--- a/src/registry/tests/creditpooltests.cpp
+++ b/src/registry/tests/creditpooltests.cpp
@@ -86,7 +86,7 @@
         uint32_t granted = 0;
         for (uint64_t ask = 1; ask <= 100; ++ask)
             pool.handle(gatewayHost(0), {.asks = {{.ask = ask, .limit = AccountLimit, .credits = 1}}}, now);
-        for (const model::OutgoingMessage& outgoing : pool.takeOutgoing()) {
+        for (const model::OutgoingMessage& outgoing : pool.drainOutgoing()) {
             if (const auto* reply = std::get_if<model::LimitCreditReply>(&outgoing.message)) {
                 for (const model::LimitCreditAnswer& answer : reply->answers)
                     granted += answer.credits;
@@ -116,7 +116,7 @@
 {
     CreditPool pool(registryHost(0), Timestamp {1s});
     pool.handle(gatewayHost(0), {.asks = {{.ask = 3, .limit = AccountLimit, .credits = 1}}}, Timestamp {2s});
-    const std::vector<model::OutgoingMessage> outgoing = pool.takeOutgoing();
+    const std::vector<model::OutgoingMessage> outgoing = pool.drainOutgoing();
     ASSERT_EQ(outgoing.size(), 1U);
     const auto& reply = std::get<model::LimitCreditReply>(outgoing[0].message);
     ASSERT_EQ(reply.answers.size(), 1U);
--- a/src/registry/tests/loadtabletests.cpp
+++ b/src/registry/tests/loadtabletests.cpp
@@ -51,7 +51,7 @@
             }
             table.record(host, loads, now);
         }
-        const model::TargetLoads changes = table.takeChanges();
+        const model::TargetLoads changes = table.drainChanges();
         entries += changes.targets.size();
         for (const auto& [target, inFlight] : asMap(changes))
             received[target] = inFlight;
@@ -76,11 +76,11 @@
     const Timestamp now {100s};
     table.record(HostId("a"), {.targets = {1}, .inFlight = {5}}, now);
     table.record(HostId("b"), {.targets = {1}, .inFlight = {4}}, now + 3s);
-    EXPECT_EQ(asMap(table.takeChanges()).at(1), 9U);
+    EXPECT_EQ(asMap(table.drainChanges()).at(1), 9U);
     table.expire(now + 4s);
-    EXPECT_EQ(asMap(table.takeChanges()).at(1), 4U);
+    EXPECT_EQ(asMap(table.drainChanges()).at(1), 4U);
     table.expire(now + 8s);
-    EXPECT_EQ(asMap(table.takeChanges()).at(1), 0U);
+    EXPECT_EQ(asMap(table.drainChanges()).at(1), 0U);
     EXPECT_TRUE(table.published().targets.empty());
 }
 
@@ -88,7 +88,7 @@
 {
     LoadTable table;
     table.record(HostId("a"), {.targets = {1, 2}, .inFlight = {5, 7}}, Timestamp {100s});
-    (void)table.takeChanges();
+    (void)table.drainChanges();
     EXPECT_FALSE(table.published().isChange);
     EXPECT_EQ(asMap(table.published()), (std::map<uint64_t, uint32_t> {{1, 5}, {2, 7}}));
 }
--- a/src/requests/ientryrequests.h
+++ b/src/requests/ientryrequests.h
@@ -56,7 +56,7 @@
 struct EntryRequestsOptions {
     membership::HostIdentity self;
     steering::ISteering* steering = nullptr;
-    membership::ICreditWallet* credits = nullptr;
+    membership::ICreditStore* credits = nullptr;
     steering::IRetryBudget* retryBudget = nullptr;
     ITokenIssuer* tokenIssuer = nullptr;
     const IHostLiveness* hosts = nullptr;
--- a/src/requests/internal/creditview.h
+++ b/src/requests/internal/creditview.h
@@ -14,7 +14,7 @@
 /// Lets steering query the stored credits by the table indices of services and zones.
 class CreditView final : public steering::ICreditView {
 public:
-    CreditView(const model::Deployment& deployment, const membership::ICreditWallet& creditStore, Timestamp now)
+    CreditView(const model::Deployment& deployment, const membership::ICreditStore& creditStore, Timestamp now)
         : deployment_(deployment)
         , creditStore_(creditStore)
         , now_(now)
@@ -28,7 +28,7 @@
 
 private:
     const model::Deployment& deployment_;
-    const membership::ICreditWallet& creditStore_;
+    const membership::ICreditStore& creditStore_;
     Timestamp now_;
 };
 
--- a/src/requests/internal/finalizer.cpp
+++ b/src/requests/internal/finalizer.cpp
@@ -34,7 +34,7 @@
 void Finalizer::finishAnswered(Exchange& exchange, Timestamp now)
 {
     if (exchange.hasReachedZoneChoice)
-        context_.options.retryBudget->noteAnswered(now);
+        context_.options.retryBudget->recordAnswer(now);
     exchange.isHeadSent = false; // The exchange stays until the caller has received all bytes.
     finish(exchange, {.outcome = model::Outcome::Answered}, now);
 }
@@ -99,7 +99,7 @@
         const auto service = context_.deployment->findService(exchange.service);
         const auto region = context_.deployment->findRegion(exchange.clientRegion);
         if (service && region)
-            context_.options.steering->noteRequestEnded(*service, *region, now - exchange.arrival, now);
+            context_.options.steering->recordRequestCompletion(*service, *region, now - exchange.arrival, now);
     }
     if (exchange.phase == Phase::WaitingForRun)
         context_.keyed->removeWaiter(exchange);
--- a/src/requests/internal/forwarder.cpp
+++ b/src/requests/internal/forwarder.cpp
@@ -70,7 +70,7 @@
         refusal = {.reason = model::Reason::UnknownService};
         return std::nullopt;
     }
-    membership::ICreditWallet& credits = *context_.options.credits;
+    membership::ICreditStore& credits = *context_.options.credits;
     const CreditView view(deployment, credits, now);
     std::vector<ZoneIndex> excludedZones;
     while (true) {
@@ -108,11 +108,11 @@
     const auto region = deployment.findRegion(exchange.clientRegion);
     if (!service || !region)
         return;
-    membership::ICreditWallet& credits = *context_.options.credits;
+    membership::ICreditStore& credits = *context_.options.credits;
     for (const ZoneIndex zone : context_.options.steering->entryZones(*service, *region)) {
         const ZoneName& name = deployment.zone(zone).name;
         if (!credits.hasCredit(exchange.service, name, now))
-            credits.noteWanted(exchange.service, name, now);
+            credits.recordUnmetDemand(exchange.service, name, now);
     }
 }
 
@@ -294,7 +294,7 @@
     exchange.attempt.reset();
     if (!attempt.holdsCredit)
         return;
-    context_.options.credits->giveBack(attempt.host, exchange.service, now);
+    context_.options.credits->returnCredit(attempt.host, exchange.service, now);
     context_.isCreditFreed = true;
 }
 
--- a/src/requests/internal/ownerdispatcher.cpp
+++ b/src/requests/internal/ownerdispatcher.cpp
@@ -156,7 +156,7 @@
 
 void OwnerDispatcher::finishDropped(Timestamp now)
 {
-    for (const steering::Dropped& dropped : queues_.takeDropped()) {
+    for (const steering::DroppedWaiter& dropped : queues_.drainDroppedWaiters()) {
         OwnerExchange* exchange = table_.find(dropped.waiter);
         if (!exchange)
             continue;
--- a/src/requests/internal/ownerqueues.cpp
+++ b/src/requests/internal/ownerqueues.cpp
@@ -58,11 +58,11 @@
         queue.waiters->tick(queue.serviceTime, now);
 }
 
-std::vector<steering::Dropped> OwnerQueues::takeDropped()
+std::vector<steering::DroppedWaiter> OwnerQueues::drainDroppedWaiters()
 {
-    std::vector<steering::Dropped> dropped;
+    std::vector<steering::DroppedWaiter> dropped;
     for (auto& [service, queue] : queues_) {
-        const std::vector<steering::Dropped> more = queue.waiters->takeDropped();
+        const std::vector<steering::DroppedWaiter> more = queue.waiters->drainDroppedWaiters();
         dropped.insert(dropped.end(), more.begin(), more.end());
     }
     return dropped;
--- a/src/requests/internal/ownerqueues.h
+++ b/src/requests/internal/ownerqueues.h
@@ -30,7 +30,7 @@
     [[nodiscard]] std::optional<OwnerExchangeId> pop(const ServiceName& service, Timestamp now);
     void erase(const OwnerExchange& exchange);
     void tick(Timestamp now);
-    [[nodiscard]] std::vector<steering::Dropped> takeDropped();
+    [[nodiscard]] std::vector<steering::DroppedWaiter> drainDroppedWaiters();
 
     void recordServiceTime(const ServiceName& service, Duration time);
     /// Expected time until a request that arrives now gets a slot.
--- a/src/requests/tests/fakecreditstore.h
+++ b/src/requests/tests/fakecreditstore.h
@@ -14,7 +14,7 @@
 namespace saltvane::requests {
 
 /// Stores a fixed number of credits for each owner and counts the credits taken and returned.
-class FakeCreditStore final : public membership::ICreditWallet {
+class FakeCreditStore final : public membership::ICreditStore {
 public:
     struct OwnerCredit {
         ZoneName zone;
@@ -24,7 +24,7 @@
 
     void setOwners(std::span<const Owner>, Timestamp) override { }
     void handle(const HostId&, const model::CreditGrant&, Timestamp) override { }
-    void noteOwnerLost(const HostId&, Timestamp) override { }
+    void onOwnerLost(const HostId&, Timestamp) override { }
     [[nodiscard]] bool hasCredit(const ServiceName&, const ZoneName& zone, Timestamp) const override
     {
         return std::any_of(owners.begin(), owners.end(),
@@ -43,16 +43,16 @@
         }
         return std::nullopt;
     }
-    void giveBack(const HostId& owner, const ServiceName&, Timestamp) override
+    void returnCredit(const HostId& owner, const ServiceName&, Timestamp) override
     {
         OwnerCredit& credit = owners[owner];
         ++credit.free;
         --credit.taken;
         hasExcessReturn = hasExcessReturn || credit.taken < 0;
     }
-    void noteWanted(const ServiceName&, const ZoneName&, Timestamp) override { ++requested; }
+    void recordUnmetDemand(const ServiceName&, const ZoneName&, Timestamp) override { ++requested; }
     void tick(Timestamp) override { }
-    [[nodiscard]] std::vector<model::OutgoingMessage> takeOutgoing() override { return {}; }
+    [[nodiscard]] std::vector<model::OutgoingMessage> drainOutgoing() override { return {}; }
 
     [[nodiscard]] int taken() const
     {
--- a/src/requests/tests/fakeretrybudget.h
+++ b/src/requests/tests/fakeretrybudget.h
@@ -12,7 +12,7 @@
 /// A budget with a fixed number of retries.
 class FakeRetryBudget final : public steering::IRetryBudget {
 public:
-    void noteAnswered(Timestamp) override { ++answered; }
+    void recordAnswer(Timestamp) override { ++answered; }
     [[nodiscard]] bool trySpend(Timestamp) override
     {
         if (remaining == 0)
--- a/src/requests/tests/fakesteering.h
+++ b/src/requests/tests/fakesteering.h
@@ -44,7 +44,7 @@
     [[nodiscard]] std::vector<model::RouteRow> rows() const override { return {}; }
     [[nodiscard]] double shiftProgress(ServiceIndex) const override { return 1; }
     [[nodiscard]] std::vector<steering::RegionDemand> ownDemand() const override { return {}; }
-    void noteRequestEnded(ServiceIndex, RegionIndex, Duration, Timestamp) override { ++requestsEnded; }
+    void recordRequestCompletion(ServiceIndex, RegionIndex, Duration, Timestamp) override { ++requestsEnded; }
 
     std::optional<steering::Refusal> refusal;
     bool lastIsRetry = false;
--- a/src/steering/internal/ejection.cpp
+++ b/src/steering/internal/ejection.cpp
@@ -23,7 +23,7 @@
     return consecutiveFailures_ >= failuresToEject;
 }
 
-void Ejection::noteAnswered(uint32_t failuresToEject)
+void Ejection::recordAnswer(uint32_t failuresToEject)
 {
     consecutiveFailures_ = 0;
     ++consecutiveAnswers_;
--- a/src/steering/internal/ejection.h
+++ b/src/steering/internal/ejection.h
@@ -17,7 +17,7 @@
 public:
     /// Counts a failure; returns true if there were enough consecutive failures to eject the target.
     [[nodiscard]] bool recordFailure(uint32_t failuresToEject);
-    void noteAnswered(uint32_t failuresToEject);
+    void recordAnswer(uint32_t failuresToEject);
     /// Ejects the target for `base`, doubled for each consecutive ejection. A failed trial ejects it again.
     void eject(Duration base, Timestamp now);
     /// Ends a trial without a result; another one may start.
--- a/src/steering/internal/ownedtarget.cpp
+++ b/src/steering/internal/ownedtarget.cpp
@@ -101,7 +101,7 @@
 {
     switch (result) {
     case DispatchResult::Answered:
-        noteAnswered(latency, isInTime, inFlightBeforeRelease);
+        recordAnswer(latency, isInTime, inFlightBeforeRelease);
         return;
     case DispatchResult::Shed:
         recordShed(inFlightBeforeRelease, now);
@@ -115,7 +115,7 @@
     }
 }
 
-void OwnedTarget::noteAnswered(Duration latency, bool isInTime, uint32_t inFlightBeforeRelease)
+void OwnedTarget::recordAnswer(Duration latency, bool isInTime, uint32_t inFlightBeforeRelease)
 {
     latency_ = latency_ == Duration::zero() ? latency : latency_ + (latency - latency_) / LatencyWeightDivisor;
     hasShedRecently_ = false;
@@ -125,8 +125,8 @@
         slowStart_ = SlowStart(options_.initialConcurrencyLimit, announced_.slots);
         return;
     }
-    ejection_.noteAnswered(options_.failuresToEject);
-    slowStart_.noteAnswered(isInTime, inFlightBeforeRelease);
+    ejection_.recordAnswer(options_.failuresToEject);
+    slowStart_.recordAnswer(isInTime, inFlightBeforeRelease);
 }
 
 void OwnedTarget::recordShed(uint32_t inFlightBeforeRelease, Timestamp now)
--- a/src/steering/internal/ownedtarget.h
+++ b/src/steering/internal/ownedtarget.h
@@ -55,7 +55,7 @@
     };
 
     void startCold();
-    void noteAnswered(Duration latency, bool isInTime, uint32_t inFlightBeforeRelease);
+    void recordAnswer(Duration latency, bool isInTime, uint32_t inFlightBeforeRelease);
     void recordShed(uint32_t inFlightBeforeRelease, Timestamp now);
     void recordFailure(Timestamp now);
     IncarnationLoad& load(Incarnation incarnation);
--- a/src/steering/internal/slowstart.cpp
+++ b/src/steering/internal/slowstart.cpp
@@ -35,7 +35,7 @@
     limit_ = std::clamp<double>(limit_, MinLimit, std::max<double>(maxLimit, MinLimit));
 }
 
-void SlowStart::noteAnswered(bool isInTime, uint32_t inFlight)
+void SlowStart::recordAnswer(bool isInTime, uint32_t inFlight)
 {
     if (inFlight * UsedLimitDivisor < limit())
         return;
--- a/src/steering/internal/slowstart.h
+++ b/src/steering/internal/slowstart.h
@@ -19,7 +19,7 @@
     void setMaxLimit(uint32_t maxLimit);
     /// Records an answer that came while `inFlight` requests ran, itself included. Grows the limit only if it is in
     /// use.
-    void noteAnswered(bool isInTime, uint32_t inFlight);
+    void recordAnswer(bool isInTime, uint32_t inFlight);
     void recordShed(uint32_t inFlight);
     void recordFailure();
     [[nodiscard]] uint32_t limit() const { return static_cast<uint32_t>(limit_); }
--- a/src/steering/internal/steering.cpp
+++ b/src/steering/internal/steering.cpp
@@ -106,7 +106,7 @@
     replan(true, now);
 }
 
-void Steering::noteServedElsewhere(ServiceIndex service, Timestamp now)
+void Steering::markServedElsewhere(ServiceIndex service, Timestamp now)
 {
     if (service.value >= services_.size())
         return;
@@ -341,7 +341,7 @@
     return result;
 }
 
-void Steering::noteRequestEnded(ServiceIndex service, RegionIndex clientRegion, Duration inFlight, Timestamp now)
+void Steering::recordRequestCompletion(ServiceIndex service, RegionIndex clientRegion, Duration inFlight, Timestamp now)
 {
     (void)now;
     if (!deployment_ || !isKnown(service, clientRegion))
--- a/src/steering/internal/steering.h
+++ b/src/steering/internal/steering.h
@@ -22,7 +22,7 @@
 
     void install(model::DeploymentPtr deployment, Timestamp now) override;
     void adoptRows(std::span<const model::RouteRow> rows, Timestamp now) override;
-    void noteServedElsewhere(ServiceIndex service, Timestamp now) override;
+    void markServedElsewhere(ServiceIndex service, Timestamp now) override;
     void update(std::span<const ZoneRoom> rooms, std::span<const RegionDemand> demands, Timestamp now) override;
     void setFrozen(bool isFrozen, Timestamp now) override;
     void tick(Timestamp now) override;
@@ -34,7 +34,8 @@
     [[nodiscard]] std::vector<model::RouteRow> servedRows() const override;
     [[nodiscard]] double shiftProgress(ServiceIndex service) const override;
     [[nodiscard]] std::vector<RegionDemand> ownDemand() const override;
-    void noteRequestEnded(ServiceIndex service, RegionIndex clientRegion, Duration inFlight, Timestamp now) override;
+    void recordRequestCompletion(
+        ServiceIndex service, RegionIndex clientRegion, Duration inFlight, Timestamp now) override;
 
 private:
     /// Routes of a service that is not in the bundle in force, retained while their movement counts against the cap.
--- a/src/steering/internal/tokenretrybudget.cpp
+++ b/src/steering/internal/tokenretrybudget.cpp
@@ -25,7 +25,7 @@
 {
 }
 
-void TokenRetryBudget::noteAnswered(Timestamp /*now*/) { balance_ = std::min(maxBalance_, balance_ + unitsPerAnswer_); }
+void TokenRetryBudget::recordAnswer(Timestamp /*now*/) { balance_ = std::min(maxBalance_, balance_ + unitsPerAnswer_); }
 
 bool TokenRetryBudget::trySpend(Timestamp /*now*/)
 {
--- a/src/steering/internal/tokenretrybudget.h
+++ b/src/steering/internal/tokenretrybudget.h
@@ -17,7 +17,7 @@
 public:
     explicit TokenRetryBudget(const RetryBudgetOptions& options);
 
-    void noteAnswered(Timestamp now) override;
+    void recordAnswer(Timestamp now) override;
     [[nodiscard]] bool trySpend(Timestamp now) override;
 
 private:
--- a/src/steering/internal/waitqueue.cpp
+++ b/src/steering/internal/waitqueue.cpp
@@ -78,7 +78,7 @@
     return true;
 }
 
-std::vector<Dropped> WaitQueue::takeDropped() { return std::exchange(dropped_, {}); }
+std::vector<DroppedWaiter> WaitQueue::drainDroppedWaiters() { return std::exchange(dropped_, {}); }
 
 void WaitQueue::tick(Duration expectedServiceTime, Timestamp now) { dropLateWaiters(expectedServiceTime, now); }
 
--- a/src/steering/internal/waitqueue.h
+++ b/src/steering/internal/waitqueue.h
@@ -23,7 +23,7 @@
     [[nodiscard]] bool push(WaiterId waiter, Timestamp deadline, Timestamp now) override;
     [[nodiscard]] std::optional<WaiterId> pop(Duration expectedServiceTime, Timestamp now) override;
     bool erase(WaiterId waiter) override;
-    [[nodiscard]] std::vector<Dropped> takeDropped() override;
+    [[nodiscard]] std::vector<DroppedWaiter> drainDroppedWaiters() override;
     void tick(Duration expectedServiceTime, Timestamp now) override;
     [[nodiscard]] size_t size() const override { return waiters_.size(); }
     [[nodiscard]] Duration oldestWait(Timestamp now) const override;
@@ -67,7 +67,7 @@
     std::unordered_map<WaiterId, Waiter> waiters_; ///< For look-up by id; the lists below hold the order.
     ByArrival byArrival_;
     ByDeadline byDeadline_;
-    std::vector<Dropped> dropped_;
+    std::vector<DroppedWaiter> dropped_;
 };
 
 } // namespace saltvane::steering
--- a/src/steering/iretrybudget.h
+++ b/src/steering/iretrybudget.h
@@ -15,7 +15,7 @@
 class IRetryBudget {
 public:
     virtual ~IRetryBudget() = default;
-    virtual void noteAnswered(Timestamp now) = 0;
+    virtual void recordAnswer(Timestamp now) = 0;
     /// Spends one retry; returns false if the balance is less than one.
     [[nodiscard]] virtual bool trySpend(Timestamp now) = 0;
 };
--- a/src/steering/isteering.h
+++ b/src/steering/isteering.h
@@ -38,7 +38,7 @@
     virtual void adoptRows(std::span<const model::RouteRow> rows, Timestamp now) = 0;
     /// Marks the service as steered by other hosts: from now on its rows move only within the cap, as after a first
     /// request at this host. Has no effect while no open zone has capacity.
-    virtual void noteServedElsewhere(ServiceIndex /*service*/, Timestamp /*now*/) { }
+    virtual void markServedElsewhere(ServiceIndex /*service*/, Timestamp /*now*/) { }
     /// Replaces the known capacity of all zones and the known demand of all client regions.
     virtual void update(std::span<const ZoneRoom> rooms, std::span<const RegionDemand> demands, Timestamp now) = 0;
     /// While frozen (the host is cut off from control) planned shifts are paused; rows move only out of failed zones.
@@ -62,7 +62,9 @@
     /// Recent concurrency offered at this host by each client region, for the heartbeat.
     [[nodiscard]] virtual std::vector<RegionDemand> ownDemand() const = 0;
     /// Records a completed request of the client region and its time in flight, for ownDemand().
-    virtual void noteRequestEnded(ServiceIndex service, RegionIndex clientRegion, Duration inFlight, Timestamp now) = 0;
+    virtual void recordRequestCompletion(
+        ServiceIndex service, RegionIndex clientRegion, Duration inFlight, Timestamp now)
+        = 0;
 };
 
 struct SteeringOptions {
--- a/src/steering/iwaitqueue.h
+++ b/src/steering/iwaitqueue.h
@@ -22,7 +22,7 @@
 /// Order in which waiting requests get free slots.
 enum class QueueOrder { Fifo, LifoUnderOverload, EarliestDeadline };
 
-struct Dropped {
+struct DroppedWaiter {
     WaiterId waiter = 0;
     model::Reason reason = model::Reason::QueueTimeout;
 };
@@ -38,7 +38,7 @@
     [[nodiscard]] virtual std::optional<WaiterId> pop(Duration expectedServiceTime, Timestamp now) = 0;
     virtual bool erase(WaiterId waiter) = 0;
     /// Returns the waiters dropped since the last call, in order.
-    [[nodiscard]] virtual std::vector<Dropped> takeDropped() = 0;
+    [[nodiscard]] virtual std::vector<DroppedWaiter> drainDroppedWaiters() = 0;
     virtual void tick(Duration expectedServiceTime, Timestamp now) = 0;
     [[nodiscard]] virtual size_t size() const = 0;
     [[nodiscard]] virtual Duration oldestWait(Timestamp now) const = 0;
--- a/src/steering/tests/planningtests.cpp
+++ b/src/steering/tests/planningtests.cpp
@@ -144,7 +144,7 @@
     start(bundle);
     for (int step = 0; step < 2000; ++step) { // 50 requests a second, each 20 ms of service and 70 ms of network delay.
         tick();
-        steering_->noteRequestEnded(Pricing, RegionA, 90ms, now_);
+        steering_->recordRequestCompletion(Pricing, RegionA, 90ms, now_);
     }
     EXPECT_NEAR(steering_->ownDemand()[0].concurrency, 50 * 0.020, 0.05);
     runFor(30s);
--- a/src/steering/tests/retrybudgettests.cpp
+++ b/src/steering/tests/retrybudgettests.cpp
@@ -30,9 +30,9 @@
 {
     const auto budget = makeRetryBudget({.retriesPerAnswer = 0.1, .initialBalance = 0});
     for (int answer = 0; answer < 9; ++answer)
-        budget->noteAnswered(Now);
+        budget->recordAnswer(Now);
     EXPECT_EQ(spendAll(*budget), 0);
-    budget->noteAnswered(Now);
+    budget->recordAnswer(Now);
     EXPECT_EQ(spendAll(*budget), 1);
 }
 
@@ -40,7 +40,7 @@
 {
     const auto budget = makeRetryBudget({.retriesPerAnswer = 0.5, .maxBalance = 5, .initialBalance = 0});
     for (int answer = 0; answer < 1000; ++answer)
-        budget->noteAnswered(Now);
+        budget->recordAnswer(Now);
     EXPECT_EQ(spendAll(*budget), 5);
 }
 
--- a/src/steering/tests/shiftcaptests.cpp
+++ b/src/steering/tests/shiftcaptests.cpp
@@ -251,7 +251,7 @@
     start();
     const double before = share(RegionA, "a1");
     ASSERT_GT(before, 0.2);
-    steering_->noteServedElsewhere(Pricing, now_);
+    steering_->markServedElsewhere(Pricing, now_);
     EXPECT_FALSE(steering_->servedRows().empty());
     install(bundleWithDrain("a1", 2));
     EXPECT_GE(share(RegionA, "a1"), before - 0.0105);
--- a/src/steering/tests/waitqueuetests.cpp
+++ b/src/steering/tests/waitqueuetests.cpp
@@ -61,11 +61,11 @@
     ASSERT_TRUE(push(2, 1s));
     now_ += 95ms;
     EXPECT_EQ(pop(10ms), 2u);
-    const auto dropped = queue_->takeDropped();
+    const auto dropped = queue_->drainDroppedWaiters();
     ASSERT_EQ(dropped.size(), 1u);
     EXPECT_EQ(dropped[0].waiter, 1u);
     EXPECT_EQ(dropped[0].reason, model::Reason::QueueTimeout);
-    EXPECT_TRUE(queue_->takeDropped().empty());
+    EXPECT_TRUE(queue_->drainDroppedWaiters().empty());
 }
 
 TEST_F(WaitQueueTest, TickDropsLateWaiters)
@@ -73,7 +73,7 @@
     make(QueueOrder::EarliestDeadline);
     ASSERT_TRUE(push(1, 100ms));
     queue_->tick(10ms, now_ + 91ms);
-    EXPECT_EQ(queue_->takeDropped().size(), 1u);
+    EXPECT_EQ(queue_->drainDroppedWaiters().size(), 1u);
     EXPECT_EQ(queue_->size(), 0u);
 }
 
@@ -93,7 +93,7 @@
     make(QueueOrder::LifoUnderOverload, 1);
     ASSERT_TRUE(push(1, 1s));
     ASSERT_TRUE(push(2, 1s));
-    const auto dropped = queue_->takeDropped();
+    const auto dropped = queue_->drainDroppedWaiters();
     ASSERT_EQ(dropped.size(), 1u);
     EXPECT_EQ(dropped[0].waiter, 1u);
     EXPECT_EQ(dropped[0].reason, model::Reason::QueueFull);
@@ -115,7 +115,7 @@
     EXPECT_TRUE(queue_->erase(1));
     EXPECT_FALSE(queue_->erase(1));
     EXPECT_EQ(pop(), std::nullopt);
-    EXPECT_TRUE(queue_->takeDropped().empty());
+    EXPECT_TRUE(queue_->drainDroppedWaiters().empty());
 }
 
 TEST_F(WaitQueueTest, AWaiterIsQueuedOnlyOnce)
