--- a/src/host/tests/fakes/fakedeployment.cpp
+++ b/src/host/tests/fakes/fakedeployment.cpp
@@ -50,7 +50,7 @@
         .network = network_.get(),
         .http = http_.get(),
         .toTarget = [this](const HostId& id, Incarnation incarnation,
-                        requests::Action action) { carryOut(id, incarnation, std::move(action)); },
+                        requests::Action action) { execute(id, incarnation, std::move(action)); },
         .onAccess = [this](const HostId& id, const requests::AccessRecord& record) { recordAccess(id, record); },
     };
     Duration phase {};
@@ -296,7 +296,7 @@
     return zoneCut_ && first != second && (zoneCut_(first, second) || zoneCut_(second, first));
 }
 
-void FakeDeployment::carryOut(const HostId& host, Incarnation incarnation, requests::Action action)
+void FakeDeployment::execute(const HostId& host, Incarnation incarnation, requests::Action action)
 {
     const auto dispatch = [&](auto&& typed) {
         using Type = std::decay_t<decltype(typed)>;
--- a/src/host/tests/fakes/fakedeployment.h
+++ b/src/host/tests/fakes/fakedeployment.h
@@ -105,7 +105,7 @@
     void applyCuts();
     void recordAccess(const HostId& id, const requests::AccessRecord& record);
     [[nodiscard]] uint64_t sumOver(std::map<std::string, uint32_t> TargetRecord::*runs, const std::string& name) const;
-    void carryOut(const HostId& host, Incarnation incarnation, requests::Action action);
+    void execute(const HostId& host, Incarnation incarnation, requests::Action action);
     [[nodiscard]] bool proposeAndApprove(const std::string& content, BundleVersion version);
     void sendOperatorRequest(HttpCall call, std::function<void()> refused, std::function<void()> accepted);
     [[nodiscard]] std::string proposalJson(const std::string& content, BundleVersion version) const;
--- a/src/host/tests/fakes/fakehost.cpp
+++ b/src/host/tests/fakes/fakehost.cpp
@@ -100,16 +100,16 @@
     for (Action& action : core_->drainActions()) {
         if (!core_)
             return;
-        carryOut(std::move(action));
+        execute(std::move(action));
     }
 }
 
-void FakeHost::carryOut(Action action)
+void FakeHost::execute(Action action)
 {
-    const auto execute = [this](auto&& typed) {
+    const auto executeAction = [this](auto&& typed) {
         using Type = std::decay_t<decltype(typed)>;
         if constexpr (std::is_same_v<Type, requests::Action> || std::is_same_v<Type, control::StorageWrite>) {
-            carryOut(std::move(typed));
+            execute(std::move(typed));
         } else if constexpr (std::is_same_v<Type, SoftStateWrite>) {
             return; // This kind of host writes no soft state.
         } else if constexpr (std::is_same_v<Type, LinksWanted>) {
@@ -127,12 +127,12 @@
             });
         }
     };
-    std::visit(execute, std::move(action));
+    std::visit(executeAction, std::move(action));
 }
 
-void FakeHost::carryOut(requests::Action action)
+void FakeHost::execute(requests::Action action)
 {
-    const auto execute = [this](auto&& typed) {
+    const auto executeAction = [this](auto&& typed) {
         using Type = std::decay_t<decltype(typed)>;
         constexpr bool IsTargets
             = std::is_same_v<Type,
@@ -145,12 +145,12 @@
         else if constexpr (std::is_same_v<Type, requests::AccessRecord>)
             environment_.onAccess(settings_.host, typed);
         else
-            environment_.http->carryOut(settings_.host, std::move(typed));
+            environment_.http->execute(settings_.host, std::move(typed));
     };
-    std::visit(execute, std::move(action));
+    std::visit(executeAction, std::move(action));
 }
 
-void FakeHost::carryOut(control::StorageWrite write)
+void FakeHost::execute(control::StorageWrite write)
 {
     environment_.time->after(DiskSyncTime, [this, generation = generation_, carried = std::move(write)] {
         if (generation != generation_)
--- a/src/host/tests/fakes/fakehost.h
+++ b/src/host/tests/fakes/fakehost.h
@@ -61,9 +61,9 @@
 private:
     void scheduleTick(uint64_t generation);
     void carryOutAll();
-    void carryOut(Action action);
-    void carryOut(requests::Action action);
-    void carryOut(control::StorageWrite write);
+    void execute(Action action);
+    void execute(requests::Action action);
+    void execute(control::StorageWrite write);
     [[nodiscard]] Timestamp hostNow() const { return environment_.time->now() + clockOffset_; }
 
     settings::HostSettings settings_;
--- a/src/host/tests/fakes/fakehttp.cpp
+++ b/src/host/tests/fakes/fakehttp.cpp
@@ -100,7 +100,7 @@
     }
 }
 
-void FakeHttp::carryOut(const HostId& host, requests::HttpRespond action)
+void FakeHttp::execute(const HostId& host, requests::HttpRespond action)
 {
     Exchange* exchange = find(action.handle.value);
     if (exchange == nullptr || exchange->call.host != host)
@@ -111,21 +111,21 @@
     receive(action.handle.value, std::move(action.bytes), action.isLast);
 }
 
-void FakeHttp::carryOut(const HostId& host, requests::HttpResponseBody action)
+void FakeHttp::execute(const HostId& host, requests::HttpResponseBody action)
 {
     const Exchange* exchange = find(action.handle.value);
     if (exchange != nullptr && exchange->call.host == host)
         receive(action.handle.value, std::move(action.bytes), action.isLast);
 }
 
-void FakeHttp::carryOut(const HostId& host, const requests::HttpAbort& action)
+void FakeHttp::execute(const HostId& host, const requests::HttpAbort& action)
 {
     const Exchange* exchange = find(action.handle.value);
     if (exchange != nullptr && exchange->call.host == host)
         scheduleBreak(action.handle.value, exchange->call.oneWayDelay);
 }
 
-void FakeHttp::carryOut(const HostId& host, const requests::HttpRequestWindow& action)
+void FakeHttp::execute(const HostId& host, const requests::HttpRequestWindow& action)
 {
     Exchange* exchange = find(action.handle.value);
     if (exchange == nullptr || exchange->call.host != host)
--- a/src/host/tests/fakes/fakehttp.h
+++ b/src/host/tests/fakes/fakehttp.h
@@ -63,10 +63,10 @@
     [[nodiscard]] size_t openCalls() const { return exchanges_.size(); }
 
     // Actions of hosts.
-    void carryOut(const HostId& host, requests::HttpRespond action);
-    void carryOut(const HostId& host, requests::HttpResponseBody action);
-    void carryOut(const HostId& host, const requests::HttpAbort& action);
-    void carryOut(const HostId& host, const requests::HttpRequestWindow& action);
+    void execute(const HostId& host, requests::HttpRespond action);
+    void execute(const HostId& host, requests::HttpResponseBody action);
+    void execute(const HostId& host, const requests::HttpAbort& action);
+    void execute(const HostId& host, const requests::HttpRequestWindow& action);
 
 private:
     struct Exchange {
--- a/src/net/inetadapters.h
+++ b/src/net/inetadapters.h
@@ -31,10 +31,10 @@
 class IHttpServer {
 public:
     virtual ~IHttpServer() = default;
-    virtual void carryOut(requests::HttpRespond action) = 0;
-    virtual void carryOut(requests::HttpResponseBody action) = 0;
-    virtual void carryOut(const requests::HttpAbort& action) = 0;
-    virtual void carryOut(const requests::HttpRequestWindow& action) = 0;
+    virtual void execute(requests::HttpRespond action) = 0;
+    virtual void execute(requests::HttpResponseBody action) = 0;
+    virtual void execute(const requests::HttpAbort& action) = 0;
+    virtual void execute(const requests::HttpRequestWindow& action) = 0;
     /// Applies new limits at once, also to open connections. The core limits bodies.
     virtual void setCallerLimits(const model::CallerLimits& limits) = 0;
     /// Accepts no new connections; open ones continue.
@@ -50,7 +50,7 @@
     EventSink sink;
     model::Counters* counters = nullptr;
     uint8_t listener = 0; ///< Part of each exchange's handle (requests::listenerOf).
-    int sendBuffer = 0; ///< SO_SNDBUF of each connection, in bytes; 0: the system's default.
+    int sendBufferBytes = 0; ///< SO_SNDBUF of each connection, in bytes; 0: the system's default.
     bool isMetricsServed = true; ///< False: GET /metrics is passed to the core as any other request.
     /// Body of the response to GET /metrics, which the server sends without the core.
     std::function<std::string()> metricsText;
@@ -61,16 +61,16 @@
 class ITargetClient {
 public:
     virtual ~ITargetClient() = default;
-    virtual void carryOut(requests::TargetStart action) = 0;
-    virtual void carryOut(requests::TargetRequestBody action) = 0;
-    virtual void carryOut(const requests::TargetResponseWindow& action) = 0;
-    virtual void carryOut(const requests::TargetCancel& action) = 0;
+    virtual void execute(requests::TargetStart action) = 0;
+    virtual void execute(requests::TargetRequestBody action) = 0;
+    virtual void execute(const requests::TargetResponseWindow& action) = 0;
+    virtual void execute(const requests::TargetCancel& action) = 0;
 };
 struct TargetClientOptions {
     struct ev_loop* loop = nullptr;
     EventSink sink;
     Duration connectTimeout = 1s;
-    int receiveBuffer = 0; ///< SO_RCVBUF of each connection, in bytes; 0: the system's default.
+    int receiveBufferBytes = 0; ///< SO_RCVBUF of each connection, in bytes; 0: the system's default.
 };
 [[nodiscard]] Result<std::unique_ptr<ITargetClient>, IoError> makeTargetClient(TargetClientOptions options);
 
@@ -86,7 +86,7 @@
 class ILinkHub {
 public:
     virtual ~ILinkHub() = default;
-    virtual void carryOut(const host::LinksWanted& action) = 0;
+    virtual void execute(const host::LinksWanted& action) = 0;
     virtual void send(const model::OutgoingMessage& outgoing) = 0;
     [[nodiscard]] virtual LinkBacklog backlog() const = 0;
     /// The address that the hub listens on; its port differs from the options' if that is 0.
--- a/src/net/internal/httpserver.cpp
+++ b/src/net/internal/httpserver.cpp
@@ -83,8 +83,9 @@
     if (!listening)
         return listening.error();
     boundAddress_ = boundAddressOf(listening.value().get());
-    if (options_.sendBuffer > 0) // Inherited by accepted connections.
-        ::setsockopt(listening.value().get(), SOL_SOCKET, SO_SNDBUF, &options_.sendBuffer, sizeof(options_.sendBuffer));
+    if (options_.sendBufferBytes > 0) // Inherited by accepted connections.
+        ::setsockopt(listening.value().get(), SOL_SOCKET, SO_SNDBUF, &options_.sendBufferBytes,
+            sizeof(options_.sendBufferBytes));
     const auto& limits = options_.limits;
     const size_t pool = limits.requestHeaderBytes + ExtraPoolBytes;
     const unsigned int flags = MHD_USE_EPOLL | MHD_ALLOW_SUSPEND_RESUME;
@@ -151,7 +152,7 @@
     runTask_.schedule();
 }
 
-void HttpServer::carryOut(requests::HttpRespond action)
+void HttpServer::execute(requests::HttpRespond action)
 {
     HttpExchange* exchange = find(action.handle);
     if (exchange == nullptr)
@@ -161,7 +162,7 @@
     resume(*exchange);
 }
 
-void HttpServer::carryOut(requests::HttpResponseBody action)
+void HttpServer::execute(requests::HttpResponseBody action)
 {
     HttpExchange* exchange = find(action.handle);
     if (exchange == nullptr)
@@ -172,14 +173,14 @@
         resume(*exchange);
 }
 
-void HttpServer::carryOut(const requests::HttpAbort& action)
+void HttpServer::execute(const requests::HttpAbort& action)
 {
     HttpExchange* exchange = find(action.handle);
     if (exchange != nullptr)
         abort(*exchange);
 }
 
-void HttpServer::carryOut(const requests::HttpRequestWindow& action)
+void HttpServer::execute(const requests::HttpRequestWindow& action)
 {
     HttpExchange* exchange = find(action.handle);
     if (exchange == nullptr)
--- a/src/net/internal/httpserver.h
+++ b/src/net/internal/httpserver.h
@@ -33,10 +33,10 @@
     /// Binds and listens.
     [[nodiscard]] Result<Success, IoError> start();
 
-    void carryOut(requests::HttpRespond action) override;
-    void carryOut(requests::HttpResponseBody action) override;
-    void carryOut(const requests::HttpAbort& action) override;
-    void carryOut(const requests::HttpRequestWindow& action) override;
+    void execute(requests::HttpRespond action) override;
+    void execute(requests::HttpResponseBody action) override;
+    void execute(const requests::HttpAbort& action) override;
+    void execute(const requests::HttpRequestWindow& action) override;
     void setCallerLimits(const model::CallerLimits& limits) override;
     void stopAccepting() override;
     [[nodiscard]] size_t openConnections() const override { return connections_.size(); }
--- a/src/net/internal/linkdialling.cpp
+++ b/src/net/internal/linkdialling.cpp
@@ -62,7 +62,7 @@
     return isNeeded;
 }
 
-void LinkHub::carryOut(const host::LinksWanted& action)
+void LinkHub::execute(const host::LinksWanted& action)
 {
     std::vector<std::unique_ptr<DesiredLink>> before = std::exchange(desiredLinks_, {});
     for (const host::LinksWanted::Peer& peer : action.peers) {
--- a/src/net/internal/targetclient.cpp
+++ b/src/net/internal/targetclient.cpp
@@ -59,14 +59,14 @@
     deliverTask_.schedule();
 }
 
-void TargetClient::carryOut(requests::TargetStart action)
+void TargetClient::execute(requests::TargetStart action)
 {
     const requests::DispatchId dispatch = action.dispatch;
     auto exchange
         = std::make_unique<TargetExchange>(TargetExchange::Options {.curl = curl_,
                                                .start = std::move(action),
                                                .connectTimeout = options_.connectTimeout,
-                                               .receiveBuffer = options_.receiveBuffer,
+                                               .receiveBufferBytes = options_.receiveBufferBytes,
                                                .emit = [this](requests::TargetEvent event) { emit(std::move(event)); }},
             acquireTransfer());
     const bool isStarted = exchange->start();
@@ -77,19 +77,19 @@
         .dispatch = dispatch, .mayHaveReachedTarget = false, .message = "request is not valid HTTP"});
 }
 
-void TargetClient::carryOut(requests::TargetRequestBody action)
+void TargetClient::execute(requests::TargetRequestBody action)
 {
     if (TargetExchange* exchange = find(action.dispatch))
         exchange->addRequestBody(action.bytes, action.isLast);
 }
 
-void TargetClient::carryOut(const requests::TargetResponseWindow& action)
+void TargetClient::execute(const requests::TargetResponseWindow& action)
 {
     if (TargetExchange* exchange = find(action.dispatch))
         exchange->widenWindow(action.bytes);
 }
 
-void TargetClient::carryOut(const requests::TargetCancel& action) { removeExchange(action.dispatch); }
+void TargetClient::execute(const requests::TargetCancel& action) { removeExchange(action.dispatch); }
 
 void TargetClient::removeExchange(requests::DispatchId dispatch)
 {
--- a/src/net/internal/targetclient.h
+++ b/src/net/internal/targetclient.h
@@ -26,10 +26,10 @@
     TargetClient(const TargetClient&) = delete;
     TargetClient& operator=(const TargetClient&) = delete;
 
-    void carryOut(requests::TargetStart action) override;
-    void carryOut(requests::TargetRequestBody action) override;
-    void carryOut(const requests::TargetResponseWindow& action) override;
-    void carryOut(const requests::TargetCancel& action) override;
+    void execute(requests::TargetStart action) override;
+    void execute(requests::TargetRequestBody action) override;
+    void execute(const requests::TargetResponseWindow& action) override;
+    void execute(const requests::TargetCancel& action) override;
 
 private:
     [[nodiscard]] TargetExchange* find(requests::DispatchId dispatch) const;
--- a/src/net/internal/targetexchange.cpp
+++ b/src/net/internal/targetexchange.cpp
@@ -143,9 +143,9 @@
     const linger reset {.l_onoff = 1, .l_linger = 0};
     if (self.needsExclusiveConnection())
         ::setsockopt(fd, SOL_SOCKET, SO_LINGER, &reset, sizeof(reset));
-    const int receiveBuffer = self.options_.receiveBuffer;
-    if (receiveBuffer > 0)
-        ::setsockopt(fd, SOL_SOCKET, SO_RCVBUF, &receiveBuffer, sizeof(receiveBuffer));
+    const int receiveBufferBytes = self.options_.receiveBufferBytes;
+    if (receiveBufferBytes > 0)
+        ::setsockopt(fd, SOL_SOCKET, SO_RCVBUF, &receiveBufferBytes, sizeof(receiveBufferBytes));
     return CURL_SOCKOPT_OK;
 }
 
--- a/src/net/internal/targetexchange.h
+++ b/src/net/internal/targetexchange.h
@@ -24,7 +24,7 @@
         CurlLoop& curl;
         requests::TargetStart start;
         Duration connectTimeout {};
-        int receiveBuffer = 0;
+        int receiveBufferBytes = 0;
         /// Must not call back into this exchange synchronously.
         std::function<void(requests::TargetEvent)> emit;
     };
--- a/src/net/tests/httprequesttests.cpp
+++ b/src/net/tests/httprequesttests.cpp
@@ -60,11 +60,11 @@
         runner.runTurns(1);
     }
     EXPECT_EQ(bodyReceived().size(), InitialBodyWindow);
-    server->carryOut(HttpRequestWindow {.handle = handleOf(0), .bytes = 1000});
+    server->execute(HttpRequestWindow {.handle = handleOf(0), .bytes = 1000});
     ASSERT_TRUE(pumped(InitialBodyWindow + 1000));
     runner.runTurns(5);
     EXPECT_EQ(bodyReceived().size(), InitialBodyWindow + 1000);
-    server->carryOut(HttpRequestWindow {.handle = handleOf(0), .bytes = body.size()});
+    server->execute(HttpRequestWindow {.handle = handleOf(0), .bytes = body.size()});
     ASSERT_TRUE(pumped(body.size()));
     EXPECT_TRUE(log.http<HttpRequestBody>().back().isLast);
 }
--- a/src/net/tests/httpserverfixture.h
+++ b/src/net/tests/httpserverfixture.h
@@ -61,7 +61,7 @@
                 return;
             HttpRespond respond = pattern;
             respond.handle = started->handle;
-            server->carryOut(std::move(respond));
+            server->execute(std::move(respond));
         };
     }
     [[nodiscard]] bool exchange(RawSocket& client, std::string_view request, std::string_view expected)
--- a/src/net/tests/httpservertests.cpp
+++ b/src/net/tests/httpservertests.cpp
@@ -43,7 +43,7 @@
     auto client = connect();
     client.send(PlainGet);
     ASSERT_TRUE(waitStarted(1));
-    server->carryOut(HttpRespond {.handle = handleOf(0), .status = 404, .bodyLength = 4, .bytes = "none"});
+    server->execute(HttpRespond {.handle = handleOf(0), .status = 404, .bodyLength = 4, .bytes = "none"});
     ASSERT_TRUE(runner.runUntil([&] { return client.hasReceived("\r\n\r\nnone"); }));
     EXPECT_TRUE(client.hasReceived("HTTP/1.1 404"));
     EXPECT_TRUE(runner.runUntil([&] { return log.http<HttpResponseDone>().size() == 1; }));
@@ -54,12 +54,12 @@
     auto client = connect();
     client.send(PlainGet);
     ASSERT_TRUE(waitStarted(1));
-    server->carryOut(HttpRespond {.handle = handleOf(0), .bodyLength = 6, .bytes = "ab", .isLast = false});
+    server->execute(HttpRespond {.handle = handleOf(0), .bodyLength = 6, .bytes = "ab", .isLast = false});
     ASSERT_TRUE(runner.runUntil([&] { return client.hasReceived("\r\n\r\nab"); }));
-    server->carryOut(HttpResponseBody {.handle = handleOf(0), .bytes = "cd"});
+    server->execute(HttpResponseBody {.handle = handleOf(0), .bytes = "cd"});
     ASSERT_TRUE(runner.runUntil([&] { return client.hasReceived("abcd"); }));
     EXPECT_TRUE(log.http<HttpResponseDone>().empty());
-    server->carryOut(HttpResponseBody {.handle = handleOf(0), .bytes = "ef", .isLast = true});
+    server->execute(HttpResponseBody {.handle = handleOf(0), .bytes = "ef", .isLast = true});
     ASSERT_TRUE(runner.runUntil([&] { return client.hasReceived("abcdef"); }));
     ASSERT_TRUE(runner.runUntil([&] { return log.http<HttpResponseDone>().size() == 1; }));
     uint64_t progress = 0;
@@ -73,9 +73,9 @@
     auto client = connect();
     client.send(PlainGet);
     ASSERT_TRUE(waitStarted(1));
-    server->carryOut(HttpRespond {.handle = handleOf(0), .bytes = "abc", .isLast = false});
+    server->execute(HttpRespond {.handle = handleOf(0), .bytes = "abc", .isLast = false});
     ASSERT_TRUE(runner.runUntil([&] { return client.hasReceived("3\r\nabc\r\n"); }));
-    server->carryOut(HttpResponseBody {.handle = handleOf(0), .isLast = true});
+    server->execute(HttpResponseBody {.handle = handleOf(0), .isLast = true});
     ASSERT_TRUE(runner.runUntil([&] { return client.hasReceived("0\r\n\r\n"); }));
     EXPECT_TRUE(client.hasReceived("Transfer-Encoding: chunked"));
     EXPECT_FALSE(client.isPeerDisconnected());
@@ -89,10 +89,9 @@
         const size_t index = isChunked ? 0 : 1;
         ASSERT_TRUE(waitStarted(index + 1));
         const auto length = isChunked ? std::nullopt : std::optional<uint64_t>(10);
-        server->carryOut(
-            HttpRespond {.handle = handleOf(index), .bodyLength = length, .bytes = "abc", .isLast = false});
+        server->execute(HttpRespond {.handle = handleOf(index), .bodyLength = length, .bytes = "abc", .isLast = false});
         ASSERT_TRUE(runner.runUntil([&] { return client.hasReceived("abc"); }));
-        server->carryOut(HttpAbort {.handle = handleOf(index)});
+        server->execute(HttpAbort {.handle = handleOf(index)});
         ASSERT_TRUE(runner.runUntil([&] { return client.isPeerDisconnected(); }));
         EXPECT_FALSE(client.hasReceived("\r\n0\r\n"));
     }
@@ -105,7 +104,7 @@
     auto client = connect();
     client.send(PlainGet);
     ASSERT_TRUE(waitStarted(1));
-    server->carryOut(HttpRespond {.handle = handleOf(0), .bodyLength = 10, .bytes = "abc", .isLast = true});
+    server->execute(HttpRespond {.handle = handleOf(0), .bodyLength = 10, .bytes = "abc", .isLast = true});
     ASSERT_TRUE(runner.runUntil([&] { return client.isPeerDisconnected(); }));
     ASSERT_TRUE(runner.runUntil([&] { return log.http<HttpRequestAborted>().size() == 1; }));
     EXPECT_TRUE(log.http<HttpResponseDone>().empty());
@@ -116,9 +115,9 @@
     auto client = connect();
     client.send(PlainGet);
     ASSERT_TRUE(waitStarted(1));
-    server->carryOut(HttpRespond {.handle = handleOf(0), .bodyLength = 4, .bytes = "abc", .isLast = false});
+    server->execute(HttpRespond {.handle = handleOf(0), .bodyLength = 4, .bytes = "abc", .isLast = false});
     ASSERT_TRUE(runner.runUntil([&] { return client.hasReceived("abc"); }));
-    server->carryOut(HttpResponseBody {.handle = handleOf(0), .bytes = "de", .isLast = true});
+    server->execute(HttpResponseBody {.handle = handleOf(0), .bytes = "de", .isLast = true});
     EXPECT_TRUE(runner.runUntil([&] { return client.isPeerDisconnected(); }));
 }
 
@@ -127,7 +126,7 @@
     auto client = connect();
     client.send("GET / HTTP/1.0\r\n\r\n");
     ASSERT_TRUE(waitStarted(1));
-    server->carryOut(HttpRespond {.handle = handleOf(0), .bytes = "abc", .isLast = false});
+    server->execute(HttpRespond {.handle = handleOf(0), .bytes = "abc", .isLast = false});
     ASSERT_TRUE(runner.runUntil([&] { return client.isPeerDisconnected(); }));
     EXPECT_EQ(client.received, "");
     EXPECT_EQ(log.http<HttpRequestAborted>().size(), 1u);
@@ -170,7 +169,7 @@
     resetting.closeWithReset();
     EXPECT_TRUE(runner.runUntil([&] { return log.http<HttpRequestAborted>().size() == 2; }));
     // A response after the disconnect is ignored.
-    server->carryOut(HttpRespond {.handle = handleOf(0), .bodyLength = 0});
+    server->execute(HttpRespond {.handle = handleOf(0), .bodyLength = 0});
     ASSERT_TRUE(runner.runUntil([&] { return server->openConnections() == 0; }));
     EXPECT_EQ(log.http<HttpRequestAborted>().size(), 2u);
     EXPECT_TRUE(log.http<HttpResponseDone>().empty());
@@ -187,7 +186,7 @@
     auto receiving = connect();
     receiving.send(PlainGet);
     ASSERT_TRUE(waitStarted(2));
-    server->carryOut(HttpRespond {.handle = handleOf(1), .bytes = "abc", .isLast = false});
+    server->execute(HttpRespond {.handle = handleOf(1), .bytes = "abc", .isLast = false});
     ASSERT_TRUE(runner.runUntil([&] { return receiving.hasReceived("abc"); }));
     receiving.close();
     ASSERT_TRUE(runner.runUntil([&] { return log.http<HttpRequestAborted>().size() == 2; }));
@@ -201,7 +200,7 @@
     client.send(PlainGet);
     ASSERT_TRUE(waitStarted(1));
     const std::string part(1024 * 1024, 'y');
-    server->carryOut(
+    server->execute(
         HttpRespond {.handle = handleOf(0), .bodyLength = 64 * part.size(), .bytes = part, .isLast = false});
     const auto progress = [&] {
         uint64_t sum = 0;
@@ -210,7 +209,7 @@
         return sum;
     };
     for (int i = 1; i < 64; ++i)
-        server->carryOut(HttpResponseBody {.handle = handleOf(0), .bytes = part, .isLast = i == 63});
+        server->execute(HttpResponseBody {.handle = handleOf(0), .bytes = part, .isLast = i == 63});
     runner.runTurns(50);
     EXPECT_LT(progress(), 32 * part.size());
     client.isReading = true;
@@ -237,14 +236,14 @@
     auto forBody = connect();
     forBody.send(PlainGet);
     ASSERT_TRUE(waitStarted(3));
-    server->carryOut(HttpRespond {.handle = handleOf(2), .bytes = "abc", .isLast = false});
+    server->execute(HttpRespond {.handle = handleOf(2), .bytes = "abc", .isLast = false});
     ASSERT_TRUE(runner.runUntil([&] { return forBody.hasReceived("abc"); }));
     EXPECT_LT(runner.turnsPerTick(), 3);
     auto forReader = connect();
     forReader.isReading = false;
     forReader.send(PlainGet);
     ASSERT_TRUE(waitStarted(4));
-    server->carryOut(HttpRespond {.handle = handleOf(3), .bytes = std::string(30'000'000, 'y'), .isLast = false});
+    server->execute(HttpRespond {.handle = handleOf(3), .bytes = std::string(30'000'000, 'y'), .isLast = false});
     (void)runner.turnsPerTick(); // Fills the socket's buffers.
     EXPECT_LT(runner.turnsPerTick(), 3);
     auto idle = connect();
@@ -266,7 +265,7 @@
     server->stopAccepting();
     auto late = connect();
     EXPECT_TRUE(runner.runUntil([&] { return late.isPeerDisconnected(); }));
-    server->carryOut(HttpRespond {.handle = handleOf(0), .bodyLength = 2, .bytes = "ok"});
+    server->execute(HttpRespond {.handle = handleOf(0), .bodyLength = 2, .bytes = "ok"});
     EXPECT_TRUE(runner.runUntil([&] { return client.hasReceived("\r\n\r\nok"); }));
     EXPECT_EQ(server->openConnections(), 1u);
 }
@@ -294,9 +293,9 @@
     ASSERT_TRUE(waitStarted(1));
     runner.runTurns(5);
     EXPECT_EQ(log.http<HttpRequestStarted>().size(), 1u);
-    server->carryOut(HttpRespond {.handle = handleOf(0), .bodyLength = 5, .bytes = "first"});
+    server->execute(HttpRespond {.handle = handleOf(0), .bodyLength = 5, .bytes = "first"});
     ASSERT_TRUE(waitStarted(2));
-    server->carryOut(HttpRespond {.handle = handleOf(1), .bodyLength = 6, .bytes = "second"});
+    server->execute(HttpRespond {.handle = handleOf(1), .bodyLength = 6, .bytes = "second"});
     ASSERT_TRUE(runner.runUntil([&] { return client.hasReceived("second"); }));
     EXPECT_LT(client.received.find("first"), client.received.find("second"));
 }
@@ -308,7 +307,7 @@
     auto streaming = connect();
     streaming.send(PlainGet);
     ASSERT_TRUE(waitStarted(2));
-    server->carryOut(HttpRespond {.handle = handleOf(1), .bytes = "abc", .isLast = false});
+    server->execute(HttpRespond {.handle = handleOf(1), .bytes = "abc", .isLast = false});
     runner.runTurns(3);
     const size_t events = log.events.size();
     server.reset();
--- a/src/net/tests/linkhubfixture.h
+++ b/src/net/tests/linkhubfixture.h
@@ -42,7 +42,7 @@
     }
     void requestLinks(std::vector<host::LinksWanted::Peer> peers) const
     {
-        hub->carryOut(host::LinksWanted {std::move(peers)});
+        hub->execute(host::LinksWanted {std::move(peers)});
     }
     [[nodiscard]] host::LinksWanted::Peer known() const
     {
--- a/src/net/tests/targetclientfixture.h
+++ b/src/net/tests/targetclientfixture.h
@@ -62,7 +62,7 @@
     [[nodiscard]] std::optional<TargetFailed> failureOf(std::string_view response)
     {
         log.events.clear();
-        client->carryOut(request(++lastDispatch));
+        client->execute(request(++lastDispatch));
         RawSocket target;
         if (!acceptRequest(target))
             return std::nullopt;
--- a/src/net/tests/targetclienttests.cpp
+++ b/src/net/tests/targetclienttests.cpp
@@ -10,7 +10,7 @@
 
 TEST_F(TargetClientTest, SendsTheRequestUnchanged)
 {
-    client->carryOut(request(1));
+    client->execute(request(1));
     EXPECT_TRUE(log.events.empty());
     RawSocket target;
     ASSERT_TRUE(acceptRequest(target));
@@ -31,7 +31,7 @@
 
 TEST_F(TargetClientTest, FollowsNoRedirect)
 {
-    client->carryOut(request(1));
+    client->execute(request(1));
     RawSocket target;
     ASSERT_TRUE(acceptRequest(target));
     target.send("HTTP/1.1 302 Found\r\nLocation: /other\r\nContent-Length: 0\r\n\r\n");
@@ -47,14 +47,14 @@
         TargetStart start = request(isChunked ? 2 : 1, false);
         start.method = "PATCH";
         start.bodyLength = isChunked ? std::nullopt : std::optional<uint64_t>(6);
-        client->carryOut(start);
+        client->execute(start);
         RawSocket target;
         ASSERT_TRUE(acceptRequest(target));
         EXPECT_FALSE(target.hasReceived("Expect"));
         EXPECT_TRUE(target.hasReceived(isChunked ? "Transfer-Encoding: chunked" : "Content-Length: 6"));
-        client->carryOut(TargetRequestBody {.dispatch = start.dispatch, .bytes = "abc"});
+        client->execute(TargetRequestBody {.dispatch = start.dispatch, .bytes = "abc"});
         ASSERT_TRUE(runner.runUntil([&] { return target.hasReceived("abc"); }));
-        client->carryOut(TargetRequestBody {.dispatch = start.dispatch, .bytes = "def", .isLast = true});
+        client->execute(TargetRequestBody {.dispatch = start.dispatch, .bytes = "def", .isLast = true});
         ASSERT_TRUE(runner.runUntil([&] { return target.hasReceived("def"); }));
         ASSERT_TRUE(runner.runUntil([&] { return !isChunked || target.hasReceived("\r\n0\r\n\r\n"); }));
         target.send(Response);
@@ -74,10 +74,10 @@
         TargetStart start = request(++lastDispatch, false);
         start.method = "POST";
         start.bodyLength = 3;
-        client->carryOut(start);
+        client->execute(start);
         RawSocket target;
         ASSERT_TRUE(acceptRequest(target));
-        client->carryOut(TargetRequestBody {.dispatch = start.dispatch, .bytes = std::string(bytes), .isLast = true});
+        client->execute(TargetRequestBody {.dispatch = start.dispatch, .bytes = std::string(bytes), .isLast = true});
         ASSERT_TRUE(waitForCompletion());
         ASSERT_EQ(log.target<TargetFailed>().size(), 1u);
         EXPECT_TRUE(log.target<TargetFailed>().front().mayHaveReachedTarget);
@@ -89,7 +89,7 @@
 {
     TargetStart start = request(1);
     start.method = "POST";
-    client->carryOut(start);
+    client->execute(start);
     RawSocket target;
     ASSERT_TRUE(acceptRequest(target));
     EXPECT_TRUE(target.hasReceived("POST /p?q=%20 HTTP/1.1\r\n"));
@@ -100,7 +100,7 @@
 {
     TargetStart start = request(1);
     start.method = "HEAD";
-    client->carryOut(start);
+    client->execute(start);
     RawSocket target;
     ASSERT_TRUE(acceptRequest(target));
     target.send("HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n");
@@ -108,7 +108,7 @@
     EXPECT_EQ(log.target<TargetResponseHead>().front().bodyLength, 0u);
     EXPECT_EQ(log.target<TargetResponseDone>().size(), 1u);
     target.received.clear();
-    client->carryOut(request(2));
+    client->execute(request(2));
     ASSERT_TRUE(acceptRequest(target));
     target.send("HTTP/1.1 204 No\r\n\r\n");
     ASSERT_TRUE(waitForCompletion(2));
@@ -118,7 +118,7 @@
 TEST_F(TargetClientTest, ResponseWaitsForTheWindow)
 {
     const std::string large(InitialBodyWindow * 8, 'x');
-    client->carryOut(request(1));
+    client->execute(request(1));
     RawSocket target;
     ASSERT_TRUE(acceptRequest(target));
     target.send("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(large.size()) + "\r\n\r\n" + large);
@@ -131,16 +131,16 @@
     ASSERT_TRUE(received(InitialBodyWindow));
     runner.runTurns(20);
     EXPECT_EQ(body().size(), InitialBodyWindow);
-    client->carryOut(TargetResponseWindow {.dispatch = {1}, .bytes = 1000});
+    client->execute(TargetResponseWindow {.dispatch = {1}, .bytes = 1000});
     ASSERT_TRUE(received(InitialBodyWindow + 1000));
     runner.runTurns(5);
     EXPECT_EQ(body().size(), InitialBodyWindow + 1000);
     EXPECT_TRUE(log.target<TargetResponseDone>().empty());
-    client->carryOut(TargetResponseWindow {.dispatch = {1}, .bytes = large.size() - InitialBodyWindow - 1001});
+    client->execute(TargetResponseWindow {.dispatch = {1}, .bytes = large.size() - InitialBodyWindow - 1001});
     ASSERT_TRUE(received(large.size() - 1));
     runner.runTurns(5);
     EXPECT_TRUE(log.target<TargetResponseDone>().empty());
-    client->carryOut(TargetResponseWindow {.dispatch = {1}, .bytes = 1});
+    client->execute(TargetResponseWindow {.dispatch = {1}, .bytes = 1});
     ASSERT_TRUE(waitForCompletion());
     EXPECT_EQ(body(), large);
     EXPECT_TRUE(std::holds_alternative<TargetEvent>(log.events.back()));
@@ -152,11 +152,11 @@
     TargetStart start = request(1);
     start.method = "POST";
     start.bodyLength = std::nullopt;
-    client->carryOut(start);
+    client->execute(start);
     RawSocket forBody;
     ASSERT_TRUE(acceptRequest(forBody));
     EXPECT_LT(runner.turnsPerTick(), 3);
-    client->carryOut(request(2));
+    client->execute(request(2));
     RawSocket forWindow;
     ASSERT_TRUE(acceptRequest(forWindow));
     const std::string large(InitialBodyWindow * 4, 'x');
@@ -203,13 +203,13 @@
 {
     TargetStart start = request(1);
     start.headers.push_back({"X", "a\r\nEvil: 1"});
-    client->carryOut(start);
+    client->execute(start);
     start = request(2);
     start.path = "/a b";
-    client->carryOut(start);
+    client->execute(start);
     start = request(3);
     start.address.ip = "localhost";
-    client->carryOut(start);
+    client->execute(start);
     EXPECT_TRUE(log.events.empty()); // Actions must not emit events synchronously.
     ASSERT_TRUE(waitForCompletion(3));
     for (const auto& failure : log.target<TargetFailed>())
@@ -220,23 +220,23 @@
 
 TEST_F(TargetClientTest, CancelClosesTheConnection)
 {
-    client->carryOut(request(1));
+    client->execute(request(1));
     RawSocket target;
     ASSERT_TRUE(acceptRequest(target));
-    client->carryOut(TargetCancel {.dispatch = {1}});
+    client->execute(TargetCancel {.dispatch = {1}});
     EXPECT_TRUE(runner.runUntil([&] { return target.isPeerDisconnected(); }));
     EXPECT_TRUE(log.events.empty());
 }
 
 TEST_F(TargetClientTest, CancelDropsPendingEvents)
 {
-    client->carryOut(request(1));
+    client->execute(request(1));
     RawSocket target;
     ASSERT_TRUE(acceptRequest(target));
     target.send("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc");
     ASSERT_TRUE(runner.runUntil([&] { return body() == "abc"; }));
     target.send("def");
-    client->carryOut(TargetCancel {.dispatch = {1}});
+    client->execute(TargetCancel {.dispatch = {1}});
     const size_t events = log.events.size();
     ASSERT_TRUE(runner.runUntil([&] { return target.isPeerDisconnected(); }));
     EXPECT_EQ(log.events.size(), events);
@@ -247,7 +247,7 @@
     TargetStart start = request(1, false);
     start.method = "POST";
     start.bodyLength = 1000;
-    client->carryOut(start);
+    client->execute(start);
     RawSocket target;
     ASSERT_TRUE(acceptRequest(target));
     target.send("HTTP/1.1 503 Busy\r\nContent-Length: 4\r\n\r\nbusy");
--- a/src/net/tests/targetconnectiontests.cpp
+++ b/src/net/tests/targetconnectiontests.cpp
@@ -15,7 +15,7 @@
 {
     TargetStart start = request(1);
     listener.close();
-    client->carryOut(start);
+    client->execute(start);
     ASSERT_TRUE(waitForCompletion());
     ASSERT_EQ(log.target<TargetFailed>().size(), 1u);
     EXPECT_FALSE(log.target<TargetFailed>().front().mayHaveReachedTarget);
@@ -27,14 +27,14 @@
     RawSocket target;
     for (const uint64_t dispatch : {1, 2}) {
         target.received.clear();
-        client->carryOut(request(dispatch, true));
+        client->execute(request(dispatch, true));
         ASSERT_TRUE(acceptRequest(target));
         target.send(Response);
         ASSERT_TRUE(waitForCompletion(dispatch));
     }
     EXPECT_EQ(listener.accepted, 1);
     RawSocket fresh;
-    client->carryOut(request(3, false));
+    client->execute(request(3, false));
     ASSERT_TRUE(acceptRequest(fresh));
     EXPECT_EQ(listener.accepted, 2);
     EXPECT_TRUE(fresh.hasReceived("Connection: close\r\n"));
@@ -48,14 +48,14 @@
 TEST_F(TargetConnectionTest, NewConnectionIsUsedIfRequested)
 {
     RawSocket before;
-    client->carryOut(request(1, true));
+    client->execute(request(1, true));
     ASSERT_TRUE(acceptRequest(before));
     before.send(Response);
     ASSERT_TRUE(waitForCompletion(1));
     RawSocket now;
     auto second = request(2, true);
     second.needsNewConnection = true;
-    client->carryOut(second);
+    client->execute(second);
     ASSERT_TRUE(acceptRequest(now));
     EXPECT_EQ(listener.accepted, 2);
     now.send(Response);
@@ -71,12 +71,12 @@
     const bool isRepeatable = GetParam();
     int runs = 0;
     RawSocket target;
-    client->carryOut(request(1, isRepeatable));
+    client->execute(request(1, isRepeatable));
     ASSERT_TRUE(acceptRequest(target));
     target.send(Response);
     ASSERT_TRUE(waitForCompletion(1));
     target.received.clear();
-    client->carryOut(request(2, isRepeatable));
+    client->execute(request(2, isRepeatable));
     if (!isRepeatable)
         target = RawSocket();
     ASSERT_TRUE(acceptRequest(target));
@@ -110,20 +110,20 @@
     };
     const auto responseFor
         = [](int id) { return "HTTP/1.1 200 OK\r\nX-Id: " + std::to_string(id) + "\r\nContent-Length: 2\r\n\r\nok"; };
-    client->carryOut(named(1));
+    client->execute(named(1));
     RawSocket target;
     ASSERT_TRUE(acceptRequest(target));
     target.send(responseFor(1));
     ASSERT_TRUE(waitForCompletion());
     target.received.clear();
-    client->carryOut(named(2));
+    client->execute(named(2));
     ASSERT_TRUE(acceptRequest(target));
     target.send(responseFor(1)); // The first response again, while the second request waits.
     ASSERT_TRUE(waitForCompletion(2));
     ASSERT_EQ(log.target<TargetFailed>().size(), 1U);
     EXPECT_TRUE(log.target<TargetFailed>().front().mayHaveReachedTarget);
     target.send(responseFor(2));
-    client->carryOut(named(3));
+    client->execute(named(3));
     RawSocket next;
     ASSERT_TRUE(acceptRequest(next)); // On a new connection.
     next.send(responseFor(3));
@@ -134,12 +134,12 @@
 TEST_F(TargetConnectionTest, RefusedReconnectAfterABrokenConnectionIsReported)
 {
     RawSocket target;
-    client->carryOut(request(1, true));
+    client->execute(request(1, true));
     ASSERT_TRUE(acceptRequest(target));
     target.send(Response);
     ASSERT_TRUE(waitForCompletion(1));
     target.received.clear();
-    client->carryOut(request(2, true));
+    client->execute(request(2, true));
     ASSERT_TRUE(acceptRequest(target));
     listener.close();
     target.close();
--- a/src/saltvaned/internal/daemon.cpp
+++ b/src/saltvaned/internal/daemon.cpp
@@ -150,7 +150,7 @@
         LOG_TAGGED(WARNING, "saltvaned") << "event=stood_still ms="
                                          << std::chrono::duration_cast<std::chrono::milliseconds>(*stall).count();
     daemon->core_->tick(now);
-    daemon->carryOutActions();
+    daemon->executeActions();
     daemon->drainEvents();
     daemon->logWriter_.tick(now);
 }
@@ -187,44 +187,44 @@
         host::Event event = std::move(events_.front());
         events_.pop_front();
         core_->handle(std::move(event), monotonicNow());
-        carryOutActions();
+        executeActions();
     }
     isDraining_ = false;
 }
 
-void Daemon::carryOutActions()
+void Daemon::executeActions()
 {
     for (host::Action& action : core_->drainActions())
-        std::visit([this](auto& item) { carryOut(std::move(item)); }, action);
+        std::visit([this](auto& item) { execute(std::move(item)); }, action);
 }
 
-void Daemon::carryOut(requests::Action action)
+void Daemon::execute(requests::Action action)
 {
     struct Visitor {
         Daemon& daemon;
         void operator()(requests::HttpRespond& item)
         {
             net::IHttpServer& server = daemon.serverFor(item.handle);
-            server.carryOut(std::move(item));
+            server.execute(std::move(item));
         }
         void operator()(requests::HttpResponseBody& item)
         {
             net::IHttpServer& server = daemon.serverFor(item.handle);
-            server.carryOut(std::move(item));
+            server.execute(std::move(item));
         }
-        void operator()(requests::HttpAbort& item) { daemon.serverFor(item.handle).carryOut(item); }
-        void operator()(requests::HttpRequestWindow& item) { daemon.serverFor(item.handle).carryOut(item); }
-        void operator()(requests::TargetStart& item) { daemon.targetClient_->carryOut(std::move(item)); }
-        void operator()(requests::TargetRequestBody& item) { daemon.targetClient_->carryOut(std::move(item)); }
-        void operator()(requests::TargetResponseWindow& item) { daemon.targetClient_->carryOut(item); }
-        void operator()(requests::TargetCancel& item) { daemon.targetClient_->carryOut(item); }
+        void operator()(requests::HttpAbort& item) { daemon.serverFor(item.handle).execute(item); }
+        void operator()(requests::HttpRequestWindow& item) { daemon.serverFor(item.handle).execute(item); }
+        void operator()(requests::TargetStart& item) { daemon.targetClient_->execute(std::move(item)); }
+        void operator()(requests::TargetRequestBody& item) { daemon.targetClient_->execute(std::move(item)); }
+        void operator()(requests::TargetResponseWindow& item) { daemon.targetClient_->execute(item); }
+        void operator()(requests::TargetCancel& item) { daemon.targetClient_->execute(item); }
         void operator()(model::OutgoingMessage& item) { daemon.linkHub_->send(item); }
         void operator()(requests::AccessRecord& item) { logAccess(item); }
     };
     std::visit(Visitor {*this}, action);
 }
 
-void Daemon::carryOut(const control::StorageWrite& write)
+void Daemon::execute(const control::StorageWrite& write)
 {
     const Result<Success, IoError> result = dataFolder_->write(write);
     if (result) {
@@ -236,22 +236,22 @@
     events_.emplace_back(control::StorageFailed {.sequence = write.sequence, .message = result.error().message});
 }
 
-void Daemon::carryOut(const host::SoftStateWrite& write)
+void Daemon::execute(const host::SoftStateWrite& write)
 {
     if (const Result<Success, IoError> result = dataFolder_->writeSoftState(write.state); !result)
         LOG_TAGGED(WARNING, "net") << "event=soft_state_kept_old place=" << result.error().location << " error=\""
                                    << result.error().message << "\"";
 }
 
-void Daemon::carryOut(const host::LinksWanted& links) { linkHub_->carryOut(links); }
+void Daemon::execute(const host::LinksWanted& links) { linkHub_->execute(links); }
 
-void Daemon::carryOut(const host::CallerLimitsChanged& changed)
+void Daemon::execute(const host::CallerLimitsChanged& changed)
 {
     constexpr size_t FrontListener = 0; // On hosts of every kind.
     httpServers_.at(FrontListener)->setCallerLimits(changed.limits);
 }
 
-void Daemon::carryOut(const host::LogLine& line)
+void Daemon::execute(const host::LogLine& line)
 {
     switch (line.severity) {
     case host::LogSeverity::Info:
@@ -266,7 +266,7 @@
     }
 }
 
-void Daemon::carryOut(const host::StopFinished& finished)
+void Daemon::execute(const host::StopFinished& finished)
 {
     if (isFinished_)
         return;
--- a/src/saltvaned/internal/daemon.h
+++ b/src/saltvaned/internal/daemon.h
@@ -64,15 +64,15 @@
     void drainEvents();
     void reloadSettings();
     void watchSettings(const std::string& path);
-    void carryOutActions();
+    void executeActions();
 
-    void carryOut(requests::Action action);
-    void carryOut(const control::StorageWrite& write);
-    void carryOut(const host::SoftStateWrite& write);
-    void carryOut(const host::LinksWanted& links);
-    void carryOut(const host::CallerLimitsChanged& changed);
-    void carryOut(const host::LogLine& line);
-    void carryOut(const host::StopFinished& finished);
+    void execute(requests::Action action);
+    void execute(const control::StorageWrite& write);
+    void execute(const host::SoftStateWrite& write);
+    void execute(const host::LinksWanted& links);
+    void execute(const host::CallerLimitsChanged& changed);
+    void execute(const host::LogLine& line);
+    void execute(const host::StopFinished& finished);
 
     static void onTick(struct ev_loop* loop, ev_timer* watcher, int events);
     static void onSignal(struct ev_loop* loop, ev_signal* watcher, int events);
--- a/src/saltvaned/internal/daemonadapters.cpp
+++ b/src/saltvaned/internal/daemonadapters.cpp
@@ -177,7 +177,7 @@
     Result<std::unique_ptr<net::ITargetClient>, IoError> targetClient = net::makeTargetClient({.loop = loop_,
         .sink = [this](host::Event event) { deliver(std::move(event)); },
         .connectTimeout = connectTimeout,
-        .receiveBuffer = receiveBufferBytes});
+        .receiveBufferBytes = receiveBufferBytes});
     if (!targetClient)
         return targetClient.error();
     targetClient_ = std::move(targetClient.value());
@@ -193,7 +193,7 @@
         .sink = [this](host::Event event) { deliver(std::move(event)); },
         .counters = &adapterCounters_,
         .listener = static_cast<uint8_t>(httpServers_.size()),
-        .sendBuffer = sendBufferBytes,
+        .sendBufferBytes = sendBufferBytes,
         .isMetricsServed = isMetricsServed,
         .metricsText =
             [this] {
--- a/testing/standin/announcer.cpp
+++ b/testing/standin/announcer.cpp
@@ -81,7 +81,7 @@
             for (const auto& [dispatch, owner] : exchanges_) {
                 if (owner != index)
                     continue;
-                client_->carryOut(requests::TargetCancel {.dispatch = dispatch});
+                client_->execute(requests::TargetCancel {.dispatch = dispatch});
                 exchanges_.erase(dispatch);
                 break;
             }
@@ -114,7 +114,7 @@
     entry.status = 0;
     entry.response.clear();
     exchanges_[dispatch] = index;
-    client_->carryOut(requests::TargetStart {.dispatch = dispatch,
+    client_->execute(requests::TargetStart {.dispatch = dispatch,
         .target = spec.target,
         .address = entry.announceTo,
         .method = "POST",
@@ -122,7 +122,7 @@
         .headers = {{"Content-Type", "application/json"}, {"Saltvane-Announce-Key", entry.secret}},
         .bodyLength = text.size(),
         .isRepeatable = true});
-    client_->carryOut(requests::TargetRequestBody {.dispatch = dispatch, .bytes = text, .isLast = true});
+    client_->execute(requests::TargetRequestBody {.dispatch = dispatch, .bytes = text, .isLast = true});
 }
 
 void Announcer::handle(const host::Event& event)
--- a/testing/standin/standintarget.cpp
+++ b/testing/standin/standintarget.cpp
@@ -100,7 +100,7 @@
         if (found == exchanges_.end())
             return;
         found->second->received += body->bytes.size();
-        server_->carryOut(requests::HttpRequestWindow {.handle = body->handle, .bytes = body->bytes.size()});
+        server_->execute(requests::HttpRequestWindow {.handle = body->handle, .bytes = body->bytes.size()});
         if (body->isLast)
             serve(*found->second);
         return;
@@ -127,7 +127,7 @@
     if (inFlight_ >= options_.spec.slots) {
         ++counts_.overfills;
         ++counts_.shed;
-        server_->carryOut(requests::HttpRespond {.handle = started.handle,
+        server_->execute(requests::HttpRespond {.handle = started.handle,
             .status = StatusTooMany,
             .headers = {{"Retry-After", "1"}},
             .bodyLength = 0,
@@ -188,14 +188,14 @@
         response.headers.front().value = "application/octet-stream";
         response.bodyLength = exchange.bodyLength;
         response.isLast = exchange.bodyLength == 0;
-        server_->carryOut(std::move(response));
+        server_->execute(std::move(response));
         return sendMore(exchange);
     }
     const nlohmann::json body {{"service", options_.spec.service.value()}, {"path", path},
         {"method", exchange.request.method}, {"received_bytes", exchange.received}};
     response.bytes = body.dump() + "\n";
     response.bodyLength = response.bytes.size();
-    server_->carryOut(std::move(response));
+    server_->execute(std::move(response));
 }
 
 void StandInTarget::sendMore(Exchange& exchange)
@@ -206,7 +206,7 @@
             .handle = exchange.request.handle, .bytes = patternBytes(exchange.sent, length)};
         exchange.sent += length;
         body.isLast = exchange.sent == exchange.bodyLength;
-        server_->carryOut(std::move(body));
+        server_->execute(std::move(body));
     }
 }
 
@@ -235,7 +235,7 @@
     response.headers = {{"Content-Type", "application/json"}};
     response.bytes = body.dump() + "\n";
     response.bodyLength = response.bytes.size();
-    server_->carryOut(std::move(response));
+    server_->execute(std::move(response));
 }
 
 } // namespace saltvane::standin
