--- a/src/control/controlmodule.cpp
+++ b/src/control/controlmodule.cpp
@@ -3,9 +3,9 @@
  * saltvane: global traffic steering
  * Copyright (c) 2026 the saltvane authors
  */
-#include "control/ibundleholder.h"
+#include "control/ibundlereplica.h"
 #include "control/icontrolreplica.h"
-#include "control/internal/bundleholder.h"
+#include "control/internal/bundlereplica.h"
 #include "control/internal/commandcodec.h"
 #include "control/internal/controlreplica.h"
 
@@ -34,9 +34,9 @@
     return std::make_unique<ControlReplica>(options);
 }
 
-std::unique_ptr<IBundleHolder> makeBundleHolder(const BundleHolderOptions& options)
+std::unique_ptr<IBundleReplica> makeBundleReplica(const BundleReplicaOptions& options)
 {
-    return std::make_unique<BundleHolder>(options);
+    return std::make_unique<BundleReplica>(options);
 }
 
 } // namespace saltvane::control
--- a/src/control/controltypes.h
+++ b/src/control/controltypes.h
@@ -106,13 +106,13 @@
 /// Replicated route plan and operator's orders for zones and targets.
 struct RoutingState {
     /// Far more than the number of targets that can leave while a host is cut off.
-    static constexpr size_t KeptRetiredTargets = 8192;
+    static constexpr size_t MaxRetiredTargets = 8192;
 
     BundleVersion planVersion; ///< 0: no plan yet.
     std::string planContent;
     LogPosition planPosition; ///< Log position at which the plan came into force.
     std::set<ZoneName> evacuatedZones;
-    membership::RetiredTargets retiredTargets {KeptRetiredTargets};
+    membership::RetiredTargets retiredTargets {MaxRetiredTargets};
     LogPosition ordersPosition; ///< Log position of the latest change to zones or targets.
 };
 
--- a/src/control/ibundleholder.h
+++ b/src/control/ibundlereplica.h
@@ -19,9 +19,9 @@
 /// Replica of the state in force (bundle or route plan) on an entry host. Control pushes new states to a relay in each
 /// zone, which pushes them to the hosts of its zone; periodic pulls recover lost pushes. The log position of the state
 /// never decreases. docs/design/0007-distribution.md
-class IBundleHolder {
+class IBundleReplica {
 public:
-    virtual ~IBundleHolder() = default;
+    virtual ~IBundleReplica() = default;
 
     /// Handles BundlePush, BundlePart, BundlePull and BundleCurrent.
     virtual void handle(const model::Delivery& delivery, Timestamp now) = 0;
@@ -48,7 +48,7 @@
         std::shared_ptr<const std::string> content; ///< Never null; empty if nothing is in force.
     };
     /// The state in force, if it has changed since the last call.
-    [[nodiscard]] virtual std::optional<InForce> takeInstalled() = 0;
+    [[nodiscard]] virtual std::optional<InForce> popInstalled() = 0;
     /// The host may serve requests: its state was confirmed as current, or came from a peer that was ready before
     /// control became unreachable.
     [[nodiscard]] virtual bool isReady() const = 0;
@@ -65,16 +65,16 @@
     [[nodiscard]] virtual bool isFetching() const = 0;
 };
 
-struct BundleHolderOptions {
+struct BundleReplicaOptions {
     HostId self;
-    Duration pullPeriod = 1s;
+    Duration pullInterval = 1s;
     Duration startPullInterval = 100ms;
     /// After this time without an answer, the next pull goes to another source.
-    Duration unansweredAfter = 1s;
+    Duration answerTimeout = 1s;
     Duration cutOffTimeout = 3s;
     /// A source with a proof of this age may lack the state in force: it is avoided, and a starting host waits up to
     /// peerStateDelay for a source with a newer proof. Longer than a proof normally takes to reach a source.
-    Duration staleAfter = 3s;
+    Duration maxProofAge = 3s;
     /// After this time without a confirmation from control, a starting host accepts the state of a peer.
     Duration peerStateDelay = 1s;
     /// Wait for a part of a large state before it is requested from another source: fifteen times its transfer time on
@@ -84,6 +84,6 @@
     model::Counters* counters = nullptr;
 };
 
-[[nodiscard]] std::unique_ptr<IBundleHolder> makeBundleHolder(const BundleHolderOptions& options);
+[[nodiscard]] std::unique_ptr<IBundleReplica> makeBundleReplica(const BundleReplicaOptions& options);
 
 } // namespace saltvane::control
--- a/src/control/icontrolreplica.h
+++ b/src/control/icontrolreplica.h
@@ -30,13 +30,13 @@
     /// A link to this incarnation of the host is established; messages of its earlier incarnations are dropped.
     virtual void onLinkUp(const HostId& host, Incarnation incarnation) = 0;
 
-    /// Submits an operator's request. takeAnswers returns the answer once the request is committed or refused. A resend
-    /// of the same request gets the first answer.
+    /// Submits an operator's request. drainAnswers returns the answer once the request is committed or refused. A
+    /// resend of the same request gets the first answer.
     [[nodiscard]] virtual SubmissionId submit(Command command, Timestamp now) = 0;
-    [[nodiscard]] virtual std::vector<SubmissionAnswer> takeAnswers() = 0;
+    [[nodiscard]] virtual std::vector<SubmissionAnswer> drainAnswers() = 0;
 
     [[nodiscard]] virtual std::vector<model::OutgoingMessage> drainOutgoing() = 0;
-    [[nodiscard]] virtual std::vector<StorageWrite> takeWrites() = 0;
+    [[nodiscard]] virtual std::vector<StorageWrite> drainWrites() = 0;
 
     [[nodiscard]] virtual bool isLeader() const = 0;
     /// Whether the latest proof from a quorum is within the lease. A leader obtains the proof by its append rounds, a
@@ -74,12 +74,12 @@
     BundleParser parseBundle;
     PlanChecker checkPlan;
     /// False: never writes the initial configuration; a replica with an empty disk only joins.
-    bool mayFound = true;
+    bool mayBootstrap = true;
     /// Control hosts outside of the settings may join, and unresponsive replicas are removed.
     bool isMembershipOpen = false;
     std::function<int64_t()> wallClockUnixMs; ///< Only read by a leader when it appends a claim.
     Duration electionTimeout = 600ms; ///< Randomized up to twice this value.
-    Duration leaderHeartbeat = 100ms;
+    Duration heartbeatInterval = 100ms;
     Duration lease = 500ms; ///< Must be shorter than the election timeout.
     uint32_t entriesPerSnapshot = 4096;
     uint32_t snapshotChunkBytes = 64 * 1024;
--- a/src/control/internal/bundleparts.cpp
+++ b/src/control/internal/bundleparts.cpp
@@ -21,7 +21,7 @@
 
 } // namespace
 
-void BundleParts::setInForce(const IBundleHolder::InForce& state) { previous_ = std::exchange(inForce_, state); }
+void BundleParts::setInForce(const IBundleReplica::InForce& state) { previous_ = std::exchange(inForce_, state); }
 
 const BundleParts::CompressedState* BundleParts::find(const LogPosition& position, const LogPosition& base)
 {
--- a/src/control/internal/bundleparts.h
+++ b/src/control/internal/bundleparts.h
@@ -5,7 +5,7 @@
  */
 #pragma once
 
-#include "control/ibundleholder.h"
+#include "control/ibundlereplica.h"
 
 #include <deque>
 #include <optional>
@@ -28,7 +28,7 @@
         Duration age {};
     };
 
-    void setInForce(const IBundleHolder::InForce& state);
+    void setInForce(const IBundleReplica::InForce& state);
     /// First message of the state in force, for a host that has the state at `hostPosition`.
     [[nodiscard]] model::Message firstMessage(const LogPosition& hostPosition, const Answer& answer);
     /// As firstMessage, for a host that presumably holds the previous state.
@@ -52,8 +52,8 @@
     [[nodiscard]] const CompressedState& compressedFor(const LogPosition& hostPosition);
     [[nodiscard]] static model::BundlePart partOf(const CompressedState& cached, uint64_t offset, const Answer& answer);
 
-    IBundleHolder::InForce inForce_;
-    IBundleHolder::InForce previous_;
+    IBundleReplica::InForce inForce_;
+    IBundleReplica::InForce previous_;
     std::deque<CompressedState> cached_; ///< Least recently requested first.
 };
 
--- a/src/control/internal/bundleholder.cpp
+++ b/src/control/internal/bundlereplica.cpp
@@ -3,7 +3,7 @@
  * saltvane: global traffic steering
  * Copyright (c) 2026 the saltvane authors
  */
-#include "control/internal/bundleholder.h"
+#include "control/internal/bundlereplica.h"
 
 #include <algorithm>
 #include <utility>
@@ -18,24 +18,24 @@
 
 } // namespace
 
-BundleHolder::BundleHolder(const BundleHolderOptions& options)
+BundleReplica::BundleReplica(const BundleReplicaOptions& options)
     : options_(options)
 {
 }
 
-void BundleHolder::count(model::Counter counter) const
+void BundleReplica::count(model::Counter counter) const
 {
     if (options_.counters)
         options_.counters->add(counter);
 }
 
-void BundleHolder::begin(Timestamp now)
+void BundleReplica::begin(Timestamp now)
 {
     if (!startedAt_)
         startedAt_ = now;
 }
 
-void BundleHolder::handle(const model::Delivery& delivery, Timestamp now)
+void BundleReplica::handle(const model::Delivery& delivery, Timestamp now)
 {
     begin(now);
     if (const auto* push = std::get_if<model::BundlePush>(&delivery.message))
@@ -48,7 +48,7 @@
         answerPull(delivery.from, *pull, now);
 }
 
-void BundleHolder::handlePush(const HostId& from, const model::BundlePush& push, Timestamp now)
+void BundleReplica::handlePush(const HostId& from, const model::BundlePush& push, Timestamp now)
 {
     if (inForce_ && push.position < inForce_->position)
         return count(model::Counter::StaleMessages);
@@ -60,7 +60,7 @@
 /// Requests each part only after the previous one has arrived, so that at most one part is queued on a slow link to
 /// this host, whatever the size of the state and the rate of changes. Sending complete states for each pull filled
 /// links of 4 Mbit/s for over 20 s and delayed all other messages to the host by as much.
-void BundleHolder::handlePart(const HostId& from, const model::BundlePart& part, Timestamp now)
+void BundleReplica::handlePart(const HostId& from, const model::BundlePart& part, Timestamp now)
 {
     const LogPosition ownPosition = inForce_ ? inForce_->position : LogPosition {};
     const bool isSelfContained = part.base == LogPosition {};
@@ -84,7 +84,7 @@
         requestPart(from, now);
 }
 
-void BundleHolder::finishTransfer(
+void BundleReplica::finishTransfer(
     BundleTransfer& transfer, const HostId& from, const model::BundlePart& last, Timestamp now)
 {
     std::optional<std::string> content
@@ -98,7 +98,7 @@
     handleAnswer(from, last.pull, last.position, last.age, now);
 }
 
-void BundleHolder::requestPart(const HostId& source, Timestamp now)
+void BundleReplica::requestPart(const HostId& source, Timestamp now)
 {
     partSource_ = source;
     partTimeoutAt_ = now + options_.partTimeout;
@@ -113,24 +113,24 @@
             .wantsWhole = needsFullState_}});
 }
 
-void BundleHolder::continueTransfer(Timestamp now)
+void BundleReplica::continueTransfer(Timestamp now)
 {
     if (now < partTimeoutAt_)
         return;
-    avoidedUntil_[partSource_] = now + AvoidancePulls * options_.pullPeriod;
+    avoidedUntil_[partSource_] = now + AvoidancePulls * options_.pullInterval;
     const HostId source = chooseSource(now);
     if (!source.isEmpty())
         requestPart(source, now);
 }
 
-void BundleHolder::handleCurrent(const HostId& from, const model::BundleCurrent& current, Timestamp now)
+void BundleReplica::handleCurrent(const HostId& from, const model::BundleCurrent& current, Timestamp now)
 {
     if (transfer_.isInProgress() && current.pull == partPull_)
         partTimeoutAt_ = now; // The source no longer has the state of this transfer.
     handleAnswer(from, current.pull, current.position, current.age, now);
 }
 
-void BundleHolder::install(LogPosition position, BundleVersion version, std::string content, Timestamp now)
+void BundleReplica::install(LogPosition position, BundleVersion version, std::string content, Timestamp now)
 {
     inForce_ = InForce {
         .position = position, .version = version, .content = std::make_shared<const std::string>(std::move(content))};
@@ -145,7 +145,7 @@
         outgoing_.push_back({.to = receiver, .message = parts_.firstMessageAfterPrevious({.age = age(now)})});
 }
 
-std::optional<Timestamp> BundleHolder::popPullTime(const HostId& from, uint64_t number, Duration answerAge)
+std::optional<Timestamp> BundleReplica::popPullTime(const HostId& from, uint64_t number, Duration answerAge)
 {
     const auto pull = std::ranges::find(pulls_, number, &Pull::number);
     if (pull == pulls_.end() || pull->source != from)
@@ -158,15 +158,15 @@
     return sentAt;
 }
 
-void BundleHolder::handleAnswer(
+void BundleReplica::handleAnswer(
     const HostId& from, uint64_t number, LogPosition position, Duration answerAge, Timestamp now)
 {
     const std::optional<Timestamp> requestedAt = popPullTime(from, number, answerAge);
     if (!requestedAt)
         return;
     avoidedUntil_.erase(from);
-    if (answerAge >= options_.staleAfter)
-        avoidedUntil_[from] = now + AvoidancePulls * options_.pullPeriod;
+    if (answerAge >= options_.maxProofAge)
+        avoidedUntil_[from] = now + AvoidancePulls * options_.pullInterval;
     // An answer for an older position says nothing about the state in force here.
     if (!inForce_ || position != inForce_->position)
         return;
@@ -176,22 +176,22 @@
     becomeReady(now);
 }
 
-void BundleHolder::confirm(Timestamp provenAt, Timestamp now)
+void BundleReplica::confirm(Timestamp provenAt, Timestamp now)
 {
     confirmedAt_ = confirmedAt_ ? std::max(*confirmedAt_, provenAt) : provenAt;
     becomeReady(now);
 }
 
-void BundleHolder::becomeReady(Timestamp now)
+void BundleReplica::becomeReady(Timestamp now)
 {
     if (isReady_ || !inForce_)
         return;
-    const bool isConfirmed = age(now) < options_.staleAfter;
+    const bool isConfirmed = age(now) < options_.maxProofAge;
     const bool mayAcceptPeerState = hasPeerState_ && now - *startedAt_ >= options_.peerStateDelay;
     isReady_ = isConfirmed || mayAcceptPeerState;
 }
 
-void BundleHolder::answerPull(const HostId& from, const model::BundlePull& pull, Timestamp now)
+void BundleReplica::answerPull(const HostId& from, const model::BundlePull& pull, Timestamp now)
 {
     if (!options_.isSource)
         return;
@@ -214,7 +214,7 @@
             .message = model::BundleCurrent {.position = inForce_->position, .age = age(now), .pull = pull.pull}});
 }
 
-void BundleHolder::setControlView(const std::optional<ControlView>& view, Timestamp now)
+void BundleReplica::setControlView(const std::optional<ControlView>& view, Timestamp now)
 {
     begin(now);
     if (!view || view->content.empty())
@@ -225,7 +225,7 @@
         confirm(now - view->proofAge, now);
 }
 
-void BundleHolder::setPeers(std::span<const HostId> sources, std::span<const HostId> receivers, Timestamp now)
+void BundleReplica::setPeers(std::span<const HostId> sources, std::span<const HostId> receivers, Timestamp now)
 {
     begin(now);
     sources_.assign(sources.begin(), sources.end());
@@ -235,25 +235,25 @@
 }
 
 /// After an outage of all links, the first new one is used at once instead of at the next pull (half a second later).
-void BundleHolder::onLinkUp(const HostId& source, Timestamp now)
+void BundleReplica::onLinkUp(const HostId& source, Timestamp now)
 {
     avoidedUntil_.erase(source);
     std::erase_if(pulls_, [&](const Pull& pull) { return pull.source == source; });
-    if (isReady_ && !transfer_.isInProgress() && age(now) > options_.pullPeriod)
+    if (isReady_ && !transfer_.isInProgress() && age(now) > options_.pullInterval)
         sendPull(source, now);
 }
 
-void BundleHolder::tick(Timestamp now)
+void BundleReplica::tick(Timestamp now)
 {
     begin(now);
     becomeReady(now);
     if (transfer_.isInProgress())
         return continueTransfer(now);
     const bool isUnanswered = isReady_ && !pulls_.empty() && !pulls_.back().isOverdue
-        && now - pulls_.back().sentAt >= options_.unansweredAfter;
+        && now - pulls_.back().sentAt >= options_.answerTimeout;
     if (nextPullAt_ && now < *nextPullAt_ && !isUnanswered)
         return;
-    nextPullAt_ = now + (isReady_ ? options_.pullPeriod : options_.startPullInterval);
+    nextPullAt_ = now + (isReady_ ? options_.pullInterval : options_.startPullInterval);
     if (isReady_)
         avoidUnresponsiveSources(now);
     if (const HostId source = chooseSource(now); !source.isEmpty())
@@ -261,15 +261,15 @@
 }
 
 /// The pulls stay pending: late answers to them still count.
-void BundleHolder::avoidUnresponsiveSources(Timestamp now)
+void BundleReplica::avoidUnresponsiveSources(Timestamp now)
 {
     for (Pull& pull : pulls_) {
         if (!std::exchange(pull.isOverdue, true))
-            avoidedUntil_[pull.source] = now + AvoidancePulls * options_.pullPeriod;
+            avoidedUntil_[pull.source] = now + AvoidancePulls * options_.pullInterval;
     }
 }
 
-void BundleHolder::sendPull(const HostId& source, Timestamp now)
+void BundleReplica::sendPull(const HostId& source, Timestamp now)
 {
     outgoing_.push_back({.to = source,
         .message = model::BundlePull {.have = inForce_ ? inForce_->position : LogPosition {},
@@ -278,7 +278,7 @@
             .wantsWhole = needsFullState_}});
 }
 
-uint64_t BundleHolder::recordPull(const HostId& source, Timestamp now)
+uint64_t BundleReplica::recordPull(const HostId& source, Timestamp now)
 {
     if (pulls_.size() >= MaxPendingPulls)
         pulls_.erase(pulls_.begin());
@@ -287,7 +287,7 @@
     return lastPull_;
 }
 
-HostId BundleHolder::chooseSource(Timestamp now)
+HostId BundleReplica::chooseSource(Timestamp now)
 {
     if (sources_.empty())
         return {};
@@ -301,22 +301,22 @@
     return sources_[nextSource_++ % sources_.size()];
 }
 
-std::vector<model::OutgoingMessage> BundleHolder::drainOutgoing() { return std::exchange(outgoing_, {}); }
+std::vector<model::OutgoingMessage> BundleReplica::drainOutgoing() { return std::exchange(outgoing_, {}); }
 
-std::optional<IBundleHolder::InForce> BundleHolder::takeInstalled()
+std::optional<IBundleReplica::InForce> BundleReplica::popInstalled()
 {
     if (!std::exchange(hasNewState_, false))
         return std::nullopt;
     return inForce_;
 }
 
-Duration BundleHolder::ageOf(const std::optional<Timestamp>& at, Timestamp now)
+Duration BundleReplica::ageOf(const std::optional<Timestamp>& at, Timestamp now)
 {
     return at ? std::max(now - *at, Duration {}) : Duration::max();
 }
 
-Duration BundleHolder::age(Timestamp now) const { return ageOf(confirmedAt_, now); }
+Duration BundleReplica::age(Timestamp now) const { return ageOf(confirmedAt_, now); }
 
-bool BundleHolder::isCutOff(Timestamp now) const { return age(now) >= options_.cutOffTimeout; }
+bool BundleReplica::isCutOff(Timestamp now) const { return age(now) >= options_.cutOffTimeout; }
 
 } // namespace saltvane::control
--- a/src/control/internal/bundleholder.h
+++ b/src/control/internal/bundlereplica.h
@@ -5,7 +5,7 @@
  */
 #pragma once
 
-#include "control/ibundleholder.h"
+#include "control/ibundlereplica.h"
 #include "control/internal/bundleparts.h"
 #include "control/internal/bundletransfer.h"
 
@@ -17,9 +17,9 @@
 
 /// Only an answer to an own pull confirms the state as current. A push that was not requested may have been delayed, so
 /// it can install a newer state but proves nothing.
-class BundleHolder final : public IBundleHolder {
+class BundleReplica final : public IBundleReplica {
 public:
-    explicit BundleHolder(const BundleHolderOptions& options);
+    explicit BundleReplica(const BundleReplicaOptions& options);
 
     void handle(const model::Delivery& delivery, Timestamp now) override;
     void setControlView(const std::optional<ControlView>& view, Timestamp now) override;
@@ -27,7 +27,7 @@
     void onLinkUp(const HostId& source, Timestamp now) override;
     void tick(Timestamp now) override;
     [[nodiscard]] std::vector<model::OutgoingMessage> drainOutgoing() override;
-    [[nodiscard]] std::optional<InForce> takeInstalled() override;
+    [[nodiscard]] std::optional<InForce> popInstalled() override;
     [[nodiscard]] bool isReady() const override { return isReady_; }
     [[nodiscard]] Duration age(Timestamp now) const override;
     [[nodiscard]] bool isCutOff(Timestamp now) const override;
@@ -65,7 +65,7 @@
     [[nodiscard]] HostId chooseSource(Timestamp now);
     void count(model::Counter counter) const;
 
-    const BundleHolderOptions options_;
+    const BundleReplicaOptions options_;
     std::optional<Timestamp> startedAt_;
     std::optional<InForce> inForce_;
     bool hasNewState_ = false;
--- a/src/control/internal/consensus.cpp
+++ b/src/control/internal/consensus.cpp
@@ -251,7 +251,7 @@
 
 void Consensus::installSnapshot()
 {
-    const std::shared_ptr<const Snapshot> installed = snapshotReceiver_.takeInstalled();
+    const std::shared_ptr<const Snapshot> installed = snapshotReceiver_.popInstalled();
     if (!installed)
         return;
     context_.count(model::Counter::SnapshotsReceived);
@@ -304,6 +304,6 @@
     return std::exchange(context_.outgoing, {});
 }
 
-std::vector<StorageWrite> Consensus::takeWrites() { return context_.storage.takeWrites(context_.now); }
+std::vector<StorageWrite> Consensus::drainWrites() { return context_.storage.drainWrites(context_.now); }
 
 } // namespace saltvane::control
--- a/src/control/internal/consensus.h
+++ b/src/control/internal/consensus.h
@@ -42,7 +42,7 @@
     LogPosition propose(std::string payload);
     void send(const HostId& to, model::Message message) { context_.send(to, std::move(message)); }
     [[nodiscard]] std::vector<model::OutgoingMessage> drainOutgoing();
-    [[nodiscard]] std::vector<StorageWrite> takeWrites();
+    [[nodiscard]] std::vector<StorageWrite> drainWrites();
 
     [[nodiscard]] bool isLeader() const { return context_.role == Role::Leader; }
     /// A leader that has committed the first entry of its term.
--- a/src/control/internal/controlreplica.cpp
+++ b/src/control/internal/controlreplica.cpp
@@ -111,11 +111,11 @@
     return operatorRequests_.submit(std::move(command), now);
 }
 
-std::vector<SubmissionAnswer> ControlReplica::takeAnswers() { return operatorRequests_.takeAnswers(); }
+std::vector<SubmissionAnswer> ControlReplica::drainAnswers() { return operatorRequests_.drainAnswers(); }
 
 std::vector<model::OutgoingMessage> ControlReplica::drainOutgoing() { return consensus_.drainOutgoing(); }
 
-std::vector<StorageWrite> ControlReplica::takeWrites() { return consensus_.takeWrites(); }
+std::vector<StorageWrite> ControlReplica::drainWrites() { return consensus_.drainWrites(); }
 
 bool ControlReplica::isLeader() const { return consensus_.isLeader(); }
 
--- a/src/control/internal/controlreplica.h
+++ b/src/control/internal/controlreplica.h
@@ -29,9 +29,9 @@
     void onLinkUp(const HostId& host, Incarnation incarnation) override;
 
     [[nodiscard]] SubmissionId submit(Command command, Timestamp now) override;
-    [[nodiscard]] std::vector<SubmissionAnswer> takeAnswers() override;
+    [[nodiscard]] std::vector<SubmissionAnswer> drainAnswers() override;
     [[nodiscard]] std::vector<model::OutgoingMessage> drainOutgoing() override;
-    [[nodiscard]] std::vector<StorageWrite> takeWrites() override;
+    [[nodiscard]] std::vector<StorageWrite> drainWrites() override;
 
     [[nodiscard]] bool isLeader() const override;
     [[nodiscard]] bool isCurrent(Timestamp now) const override;
--- a/src/control/internal/joining.cpp
+++ b/src/control/internal/joining.cpp
@@ -77,7 +77,7 @@
 
 void Joining::startDeployment(Timestamp now)
 {
-    if (!options_.mayFound || !consensus_.isUnwritten() || coordinator() != options_.self)
+    if (!options_.mayBootstrap || !consensus_.isUnwritten() || coordinator() != options_.self)
         return;
     const std::set<HostId> hosts(options_.bootstrapHosts.begin(), options_.bootstrapHosts.end());
     ChangeReplicas first;
--- a/src/control/internal/operatorrequests.cpp
+++ b/src/control/internal/operatorrequests.cpp
@@ -225,6 +225,6 @@
     answers_.push_back({.submission = submission, .result = std::move(outcome)});
 }
 
-std::vector<SubmissionAnswer> OperatorRequests::takeAnswers() { return std::exchange(answers_, {}); }
+std::vector<SubmissionAnswer> OperatorRequests::drainAnswers() { return std::exchange(answers_, {}); }
 
 } // namespace saltvane::control
--- a/src/control/internal/operatorrequests.h
+++ b/src/control/internal/operatorrequests.h
@@ -27,7 +27,7 @@
     void onApplied(const AppliedEntry& applied);
     /// Answers requests whose outcome can no longer be determined, and processes the queue.
     void advance(Timestamp now);
-    [[nodiscard]] std::vector<SubmissionAnswer> takeAnswers();
+    [[nodiscard]] std::vector<SubmissionAnswer> drainAnswers();
 
 private:
     struct Waiting {
--- a/src/control/internal/replicator.cpp
+++ b/src/control/internal/replicator.cpp
@@ -84,7 +84,7 @@
 
 void Replicator::sendTo(const ReplicaInfo& info, FollowerProgress& progress)
 {
-    const bool isHeartbeatDue = context_.now - progress.lastSentAt >= context_.options.leaderHeartbeat;
+    const bool isHeartbeatDue = context_.now - progress.lastSentAt >= context_.options.heartbeatInterval;
     progress.expire(context_.options.electionTimeout, context_.now);
     const bool needsSnapshot = !context_.log.termAt(indexBefore(progress.next()));
     if (needsSnapshot && !progress.transfer() && context_.snapshot)
--- a/src/control/internal/snapshotreceiver.cpp
+++ b/src/control/internal/snapshotreceiver.cpp
@@ -91,7 +91,7 @@
     installSequence_ = context_.storage.putSnapshot(installing_->bytes, installing_->index, installing_->term);
 }
 
-std::shared_ptr<const Snapshot> SnapshotReceiver::takeInstalled()
+std::shared_ptr<const Snapshot> SnapshotReceiver::popInstalled()
 {
     if (!isInstalling() || installSequence_ > context_.storage.completed())
         return nullptr;
--- a/src/control/internal/snapshotreceiver.h
+++ b/src/control/internal/snapshotreceiver.h
@@ -25,7 +25,7 @@
     /// A complete snapshot is being written to disk; no entries are appended to the log meanwhile.
     [[nodiscard]] bool isInstalling() const { return installing_ != nullptr; }
     /// The received snapshot once it is durable, returned only once.
-    [[nodiscard]] std::shared_ptr<const Snapshot> takeInstalled();
+    [[nodiscard]] std::shared_ptr<const Snapshot> popInstalled();
 
 private:
     void reply(const model::SnapshotChunk& chunk, uint64_t received);
--- a/src/control/internal/storagequeue.cpp
+++ b/src/control/internal/storagequeue.cpp
@@ -68,7 +68,7 @@
     return pending.write.sequence;
 }
 
-std::vector<StorageWrite> StorageQueue::takeWrites(Timestamp now)
+std::vector<StorageWrite> StorageQueue::drainWrites(Timestamp now)
 {
     if (isOutstanding_ || pending_.empty())
         return {};
--- a/src/control/internal/storagequeue.h
+++ b/src/control/internal/storagequeue.h
@@ -29,7 +29,7 @@
     uint64_t putSnapshot(std::string bytes, LogIndex index, LogTerm term);
 
     /// The next write, if none is outstanding.
-    [[nodiscard]] std::vector<StorageWrite> takeWrites(Timestamp now);
+    [[nodiscard]] std::vector<StorageWrite> drainWrites(Timestamp now);
     /// False if no write with this sequence is outstanding.
     bool complete(uint64_t sequence);
     void fail(uint64_t sequence, Timestamp now);
--- a/src/control/tests/bundleholdertests.cpp
+++ b/src/control/tests/bundlereplicatests.cpp
@@ -3,7 +3,7 @@
  * saltvane: global traffic steering
  * Copyright (c) 2026 the saltvane authors
  */
-#include "control/ibundleholder.h"
+#include "control/ibundlereplica.h"
 
 #include <gtest/gtest.h>
 
@@ -35,7 +35,7 @@
 
     void start(const HostId& host)
     {
-        holders_[host] = makeBundleHolder({.self = host});
+        holders_[host] = makeBundleReplica({.self = host});
         std::vector<HostId> sources {Control};
         std::vector<HostId> receivers;
         if (host == First || host == Second)
@@ -49,7 +49,7 @@
         holders_[host]->setPeers(sources, receivers, now_);
     }
 
-    IBundleHolder& holder(const HostId& host) { return *holders_.at(host); }
+    IBundleReplica& holder(const HostId& host) { return *holders_.at(host); }
 
     /// `size`: minimum length, reached with random bytes, which differ in each state and do not compress.
     void setInForce(uint64_t index, size_t size = 0)
@@ -67,7 +67,7 @@
         for (const Timestamp end = now_ + duration; now_ < end; now_ += Step) {
             deliver();
             if (index_ != 0 && isControlCurrent_)
-                holder(Control).setControlView(IBundleHolder::ControlView {.position = positionOf(index_),
+                holder(Control).setControlView(IBundleReplica::ControlView {.position = positionOf(index_),
                                                    .version = BundleVersion {index_},
                                                    .content = content_,
                                                    .proofAge = 100ms},
@@ -78,7 +78,7 @@
                 item->tick(now_);
                 for (model::OutgoingMessage& outgoing : item->drainOutgoing())
                     post(host, std::move(outgoing));
-                if (const auto installed = item->takeInstalled()) {
+                if (const auto installed = item->popInstalled()) {
                     EXPECT_GT(installed->position, installed_[host]);
                     EXPECT_EQ(*installed->content, contents_[installed->position.index.value]);
                     installed_[host] = installed->position;
@@ -127,7 +127,7 @@
         model::OutgoingMessage outgoing;
     };
     Timestamp now_ {10s};
-    std::map<HostId, std::unique_ptr<IBundleHolder>> holders_;
+    std::map<HostId, std::unique_ptr<IBundleReplica>> holders_;
     std::map<HostId, LogPosition> installed_;
     std::multimap<Timestamp, Flight> inFlight_;
     std::string content_;
@@ -180,7 +180,7 @@
     run(2s);
     const model::BundlePush older {.position = positionOf(4), .version = BundleVersion {9}, .content = "older"};
     holder(First).handle({.from = Relay, .fromIncarnation = {}, .message = older}, now_);
-    EXPECT_FALSE(holder(First).takeInstalled());
+    EXPECT_FALSE(holder(First).popInstalled());
     run(2s);
     EXPECT_TRUE(isInstalledEverywhere(5));
 }
@@ -331,7 +331,7 @@
     second.offset = 4;
     for (const model::BundlePart& part : {first, second})
         holder(First).handle({.from = Relay, .fromIncarnation = {}, .message = part}, now_);
-    EXPECT_FALSE(holder(First).takeInstalled());
+    EXPECT_FALSE(holder(First).popInstalled());
     cutOff_ = {};
     setInForce(8);
     run(2s);
--- a/src/control/tests/fakecluster.cpp
+++ b/src/control/tests/fakecluster.cpp
@@ -127,11 +127,11 @@
 void FakeCluster::pump(size_t number)
 {
     FakeHost& host = *hosts_[number];
-    for (StorageWrite& write : host.replica->takeWrites())
+    for (StorageWrite& write : host.replica->drainWrites())
         startWrite(number, std::move(write));
     for (model::OutgoingMessage& outgoing : host.replica->drainOutgoing())
         post(number, std::move(outgoing));
-    for (SubmissionAnswer& answer : host.replica->takeAnswers())
+    for (SubmissionAnswer& answer : host.replica->drainAnswers())
         host.answers.emplace(answer.submission, std::move(answer.result));
 }
 
--- a/src/control/tests/pullingholdertests.cpp
+++ b/src/control/tests/pullingholdertests.cpp
@@ -3,7 +3,7 @@
  * saltvane: global traffic steering
  * Copyright (c) 2026 the saltvane authors
  */
-#include "control/ibundleholder.h"
+#include "control/ibundlereplica.h"
 
 #include <gtest/gtest.h>
 
@@ -57,8 +57,8 @@
 
     Timestamp now_ {100s};
     uint64_t lastPull_ = 0;
-    std::unique_ptr<IBundleHolder> holder_
-        = makeBundleHolder({.self = Relay, .pullPeriod = 500ms, .staleAfter = 1s, .isSource = false});
+    std::unique_ptr<IBundleReplica> holder_
+        = makeBundleReplica({.self = Relay, .pullInterval = 500ms, .maxProofAge = 1s, .isSource = false});
 };
 
 } // namespace
@@ -126,8 +126,8 @@
 
 TEST_F(PullingHolder, UnansweredPullIsFollowedByOneToAnotherSource)
 {
-    holder_ = makeBundleHolder(
-        {.self = Relay, .pullPeriod = 500ms, .unansweredAfter = 200ms, .staleAfter = 1s, .isSource = false});
+    holder_ = makeBundleReplica(
+        {.self = Relay, .pullInterval = 500ms, .answerTimeout = 200ms, .maxProofAge = 1s, .isSource = false});
     holder_->setPeers(std::vector {First, Second}, {}, now_);
     push(1);
     (void)run(Step);
--- a/src/control/tests/routingtabletests.cpp
+++ b/src/control/tests/routingtabletests.cpp
@@ -72,9 +72,9 @@
 {
     RoutingTable table;
     constexpr size_t ExcessTargets = 10;
-    for (size_t i = 0; i < RoutingState::KeptRetiredTargets + ExcessTargets; ++i)
+    for (size_t i = 0; i < RoutingState::MaxRetiredTargets + ExcessTargets; ++i)
         EXPECT_TRUE(table.apply(RetireTarget {.target = TargetId("t" + std::to_string(i))}, at(i + 1)));
-    EXPECT_EQ(table.state().retiredTargets.inOrder().size(), RoutingState::KeptRetiredTargets);
+    EXPECT_EQ(table.state().retiredTargets.inOrder().size(), RoutingState::MaxRetiredTargets);
     EXPECT_FALSE(table.answerFor(RetireTarget {.target = TargetId("t0")}));
     EXPECT_TRUE(table.answerFor(RetireTarget {.target = TargetId("t" + std::to_string(ExcessTargets))}));
 }
--- a/src/gateway/internal/gatewaycore.cpp
+++ b/src/gateway/internal/gatewaycore.cpp
@@ -50,10 +50,10 @@
     , incarnation_(options.incarnation)
     , roster_(membership::makeHostRoster(
           {.self = recordOf(settings_, incarnation_), .seeds = host::hostIdsOf(settings_.seeds)}))
-    , replica_(control::makeBundleHolder({.self = self_,
-          .pullPeriod = PlanPullInterval,
-          .unansweredAfter = PlanPullInterval / 2,
-          .staleAfter = StaleSourceTimeout,
+    , replica_(control::makeBundleReplica({.self = self_,
+          .pullInterval = PlanPullInterval,
+          .answerTimeout = PlanPullInterval / 2,
+          .maxProofAge = StaleSourceTimeout,
           .isSource = false,
           .counters = &counters_}))
     , registry_({.leave = settings_.leaveLimit, .plan = settings_.planLimit})
--- a/src/gateway/internal/gatewaycore.h
+++ b/src/gateway/internal/gatewaycore.h
@@ -5,7 +5,7 @@
  */
 #pragma once
 
-#include "control/ibundleholder.h"
+#include "control/ibundlereplica.h"
 #include "gateway/igateway.h"
 #include "gateway/internal/backpressuremonitor.h"
 #include "gateway/internal/decisionlog.h"
@@ -72,7 +72,7 @@
     Incarnation incarnation_;
     model::Counters counters_;
     std::unique_ptr<membership::IHostRoster> roster_;
-    std::unique_ptr<control::IBundleHolder> replica_;
+    std::unique_ptr<control::IBundleReplica> replica_;
     RegistryWatch registry_;
     RegistryFreshness registryFreshness_ = RegistryFreshness::Current; ///< As of the last tick.
     TargetSet targets_;
--- a/src/gateway/internal/gatewayplan.cpp
+++ b/src/gateway/internal/gatewayplan.cpp
@@ -25,7 +25,7 @@
 {
     if (!replica_->isReady())
         return;
-    std::optional<control::IBundleHolder::InForce> installed = replica_->takeInstalled();
+    std::optional<control::IBundleReplica::InForce> installed = replica_->popInstalled();
     if (!installed)
         return;
     Result<model::RoutePlan, Findings> plan = planReader_.read(*installed->content, "plan");
--- a/src/gateway/internal/registrywatch.cpp
+++ b/src/gateway/internal/registrywatch.cpp
@@ -42,7 +42,7 @@
     lastActivityAt_ = now;
 }
 
-RegistryFreshness RegistryWatch::freshness(const control::IBundleHolder& replica, Timestamp now) const
+RegistryFreshness RegistryWatch::freshness(const control::IBundleReplica& replica, Timestamp now) const
 {
     const bool isAnswered = replica.answerAge(now) <= maxAnswerAge_;
     // Without a proof at the registry hosts themselves, nothing newer can have been acknowledged as far as they know.
--- a/src/gateway/internal/registrywatch.h
+++ b/src/gateway/internal/registrywatch.h
@@ -5,7 +5,7 @@
  */
 #pragma once
 
-#include "control/ibundleholder.h"
+#include "control/ibundlereplica.h"
 
 #include <string_view>
 
@@ -38,7 +38,7 @@
     void onActivity(Timestamp now);
     /// A message arrived from a registry host.
     void onMessage(Timestamp now) { lastMessageAt_ = now; }
-    [[nodiscard]] RegistryFreshness freshness(const control::IBundleHolder& replica, Timestamp now) const;
+    [[nodiscard]] RegistryFreshness freshness(const control::IBundleReplica& replica, Timestamp now) const;
 
 private:
     Duration maxAnswerAge_;
--- a/src/host/internal/bundleinstaller.cpp
+++ b/src/host/internal/bundleinstaller.cpp
@@ -38,7 +38,7 @@
         modules_.bundleReplica->setControlView(std::nullopt, now);
         return;
     }
-    const control::IBundleHolder::ControlView view {.position = inForce->approved,
+    const control::IBundleReplica::ControlView view {.position = inForce->approved,
         .version = inForce->version,
         .content = inForce->content,
         .proofAge = modules_.replica->proofAge(now)};
@@ -52,7 +52,7 @@
 
 void BundleInstaller::installNew(Timestamp now)
 {
-    const std::optional<control::IBundleHolder::InForce> inForce = modules_.bundleReplica->takeInstalled();
+    const std::optional<control::IBundleReplica::InForce> inForce = modules_.bundleReplica->popInstalled();
     if (!inForce)
         return;
     const std::string version = std::to_string(inForce->version.value);
--- a/src/host/internal/hostcore.cpp
+++ b/src/host/internal/hostcore.cpp
@@ -209,7 +209,7 @@
     if (!modules_.replica)
         return;
     http_.answerSubmissions();
-    for (control::StorageWrite& write : modules_.replica->takeWrites())
+    for (control::StorageWrite& write : modules_.replica->drainWrites())
         outbox_.add(Action(std::move(write)));
     outbox_.send(modules_.replica->drainOutgoing());
 }
--- a/src/host/internal/hostmodules.cpp
+++ b/src/host/internal/hostmodules.cpp
@@ -74,7 +74,7 @@
     , tokenIssuer(requests::makeTokenIssuer(
           {.host = self.host, .incarnation = self.incarnation, .macKey = options.settings.tokenKey}))
     , hostLiveness(std::make_unique<HostLiveness>(self, *hostTable))
-    , bundleReplica(control::makeBundleHolder({.self = self.host, .counters = &counters}))
+    , bundleReplica(control::makeBundleReplica({.self = self.host, .counters = &counters}))
     , replica(makeReplica(options, &counters))
 {
 }
--- a/src/host/internal/hostmodules.h
+++ b/src/host/internal/hostmodules.h
@@ -5,7 +5,7 @@
  */
 #pragma once
 
-#include "control/ibundleholder.h"
+#include "control/ibundlereplica.h"
 #include "control/icontrolreplica.h"
 #include "host/ihostcore.h"
 #include "host/internal/hostliveness.h"
@@ -50,7 +50,7 @@
     std::unique_ptr<steering::IRetryBudget> retryBudget;
     std::unique_ptr<requests::ITokenIssuer> tokenIssuer;
     std::unique_ptr<HostLiveness> hostLiveness;
-    std::unique_ptr<control::IBundleHolder> bundleReplica;
+    std::unique_ptr<control::IBundleReplica> bundleReplica;
     std::unique_ptr<control::IControlReplica> replica; ///< Null without the control role.
     model::DeploymentPtr deployment; ///< Null before the first bundle, as are the next two members.
     std::unique_ptr<steering::ISteering> steering;
--- a/src/host/internal/httprouter.cpp
+++ b/src/host/internal/httprouter.cpp
@@ -237,7 +237,7 @@
 {
     if (!modules_.replica)
         return;
-    for (const control::SubmissionAnswer& answer : modules_.replica->takeAnswers()) {
+    for (const control::SubmissionAnswer& answer : modules_.replica->drainAnswers()) {
         const auto submission = submissions_.find(answer.submission);
         if (submission == submissions_.end())
             continue;
--- a/src/registry/internal/ordertracker.cpp
+++ b/src/registry/internal/ordertracker.cpp
@@ -54,7 +54,7 @@
 
 void OrderTracker::tick(Timestamp now)
 {
-    for (control::SubmissionAnswer& answer : replica_.takeAnswers()) {
+    for (control::SubmissionAnswer& answer : replica_.drainAnswers()) {
         const auto found = submitted_.extract(answer.submission);
         if (!found.empty())
             complete(std::move(found.mapped()), answer.result, now);
@@ -78,6 +78,6 @@
     waiting_.push_back(std::move(order));
 }
 
-std::vector<OrderAnswer> OrderTracker::takeAnswers() { return std::exchange(answers_, {}); }
+std::vector<OrderAnswer> OrderTracker::drainAnswers() { return std::exchange(answers_, {}); }
 
 } // namespace saltvane::registry
--- a/src/registry/internal/ordertracker.h
+++ b/src/registry/internal/ordertracker.h
@@ -50,7 +50,7 @@
     void tick(Timestamp now);
     /// Submits the orders that wait for a leader again.
     void retryWaiting(Timestamp now);
-    [[nodiscard]] std::vector<OrderAnswer> takeAnswers();
+    [[nodiscard]] std::vector<OrderAnswer> drainAnswers();
     [[nodiscard]] bool isEmpty() const { return submitted_.empty() && waiting_.empty(); }
 
 private:
--- a/src/registry/internal/registrycalls.cpp
+++ b/src/registry/internal/registrycalls.cpp
@@ -215,7 +215,7 @@
 
 void RegistryCore::answerOrders()
 {
-    for (const OrderAnswer& order : orders_.takeAnswers()) {
+    for (const OrderAnswer& order : orders_.drainAnswers()) {
         const auto found = calls_.find(order.handle);
         if (found == calls_.end())
             continue;
--- a/src/registry/internal/registrycore.cpp
+++ b/src/registry/internal/registrycore.cpp
@@ -83,7 +83,7 @@
     , planQueue_(*planReader_)
     , roster_(membership::makeHostRoster(
           {.self = recordOf(settings_, incarnation_), .seeds = host::hostIdsOf(settings_.seeds)}))
-    , bundleReplica_(control::makeBundleHolder({.self = self_, .counters = counters_.get()}))
+    , bundleReplica_(control::makeBundleReplica({.self = self_, .counters = counters_.get()}))
     , targets_(settings_.zones)
     , orders_(*replica_)
     , nearestGateways_({.host = self_, .zone = settings_.zone, .region = settings_.region})
@@ -256,7 +256,7 @@
     answerOrders();
     reportSuspects(now);
     reportLimits(now);
-    for (control::StorageWrite& write : replica_->takeWrites())
+    for (control::StorageWrite& write : replica_->drainWrites())
         actions_.emplace_back(std::move(write));
     send(replica_->drainOutgoing());
     send(roster_->drainOutgoing());
@@ -322,11 +322,11 @@
         .bootstrapHosts = host::hostIdsOf(options.settings.seeds),
         .parseBundle = refuseBundle,
         .checkPlan = PlanChecker(planReader),
-        .mayFound = options.settings.isFirstStart,
+        .mayBootstrap = options.settings.isFirstStart,
         .isMembershipOpen = true,
         .wallClockUnixMs = noWallClock,
         .electionTimeout = ElectionTimeout,
-        .leaderHeartbeat = LeaderHeartbeat,
+        .heartbeatInterval = LeaderHeartbeat,
         .lease = LeaderLease,
         .seed = options.seed,
         .counters = counters.get(),
--- a/src/registry/internal/registrycore.h
+++ b/src/registry/internal/registrycore.h
@@ -5,7 +5,7 @@
  */
 #pragma once
 
-#include "control/ibundleholder.h"
+#include "control/ibundlereplica.h"
 #include "host/routedlinks.h"
 #include "membership/ihostroster.h"
 #include "registry/internal/calls.h"
@@ -141,14 +141,14 @@
     std::shared_ptr<settings::RoutePlanReader> planReader_;
     PlanQueue planQueue_;
     std::unique_ptr<membership::IHostRoster> roster_;
-    std::unique_ptr<control::IBundleHolder> bundleReplica_;
+    std::unique_ptr<control::IBundleReplica> bundleReplica_;
     TargetTable targets_;
     OrderTracker orders_;
     std::unordered_map<requests::HttpHandle, OpenCall> calls_;
     std::unordered_map<requests::HttpHandle, uint64_t> planAnswers_; ///< Bytes of plans being sent to callers.
     uint64_t callBytes_ = 0; ///< Reserved by open calls and by planAnswers_.
     /// As of appliedOrdersPosition_. Same capacity as in the log, whose older entries no host needs any more.
-    membership::RetiredTargets retired_ {control::RoutingState::KeptRetiredTargets};
+    membership::RetiredTargets retired_ {control::RoutingState::MaxRetiredTargets};
     std::set<ZoneName> evacuated_; ///< As of appliedOrdersPosition_.
     std::optional<model::TargetIncarnation> lastRetired_; ///< The newest one in the log that was applied.
     std::set<ServiceName> services_; ///< Services of the plan at servicesPosition_.
--- a/src/registry/internal/registryreports.cpp
+++ b/src/registry/internal/registryreports.cpp
@@ -70,7 +70,7 @@
     }
     bundleReplica_->setPeers({}, receivers, now);
     const control::RoutingState& routing = replica_->routing();
-    std::optional<control::IBundleHolder::ControlView> view;
+    std::optional<control::IBundleReplica::ControlView> view;
     if (routing.planVersion.value != 0 && replica_->proofAge(now) != Duration::max()) {
         view = {.position = routing.planPosition,
             .version = routing.planVersion,
@@ -79,7 +79,7 @@
     }
     bundleReplica_->setControlView(view, now);
     bundleReplica_->tick(now);
-    (void)bundleReplica_->takeInstalled(); // A registry host routes no requests by the plan.
+    (void)bundleReplica_->popInstalled(); // A registry host routes no requests by the plan.
 }
 
 model::TargetReport RegistryCore::makeReport() const
