--- a/src/gateway/internal/gatewaycore.cpp
+++ b/src/gateway/internal/gatewaycore.cpp
@@ -36,7 +36,7 @@
 
 model::HostRecord recordOf(const settings::RoutedHostSettings& settings, Incarnation incarnation)
 {
-    model::HostRecord record = host::routedRecord(settings, incarnation);
+    model::HostRecord record = host::makeRoutedHostRecord(settings, incarnation);
     record.entryAddress = settings.frontAddress;
     record.state = model::HostState::Joining;
     return record;
@@ -49,7 +49,7 @@
     , self_(settings_.host())
     , incarnation_(options.incarnation)
     , roster_(membership::makeHostRoster(
-          {.self = recordOf(settings_, incarnation_), .seeds = host::hostIdsOf(settings_.seeds)}))
+          {.self = recordOf(settings_, incarnation_), .seeds = host::hostIdsFromAddresses(settings_.seeds)}))
     , replica_(control::makeBundleReplica({.self = self_,
           .pullInterval = PlanPullInterval,
           .answerTimeout = PlanPullInterval / 2,
@@ -89,7 +89,7 @@
 {
 }
 
-Duration GatewayCore::tickPeriod() const { return TickInterval; }
+Duration GatewayCore::tickInterval() const { return TickInterval; }
 
 void GatewayCore::handle(host::Event event, Timestamp now)
 {
@@ -243,7 +243,7 @@
 void GatewayCore::accept(const host::SeedsChanged& changed, Timestamp /*now*/)
 {
     log(host::LogSeverity::Info, "event=seeds_changed count=" + std::to_string(changed.seeds.size()));
-    roster_->setSeeds(host::hostIdsOf(changed.seeds));
+    roster_->setSeeds(host::hostIdsFromAddresses(changed.seeds));
 }
 
 void GatewayCore::accept(host::StopRequested /*stop*/, Timestamp now)
@@ -265,7 +265,7 @@
 
 void GatewayCore::updateLinks()
 {
-    if (std::optional<host::LinksWanted> wanted = links_.update(roster_->controlHosts()))
+    if (std::optional<host::DesiredLinks> wanted = links_.update(roster_->controlHosts()))
         actions_.emplace_back(*std::move(wanted));
 }
 
@@ -373,7 +373,7 @@
         .isCutOff = replica_->isCutOff(now),
         .inForceVersion = routes_ ? routes_->plan().version : BundleVersion {},
         .stateAge = replica_->age(now),
-        .wordAge = replica_->provenAnswerAge(now),
+        .registryInfoAge = replica_->provenAnswerAge(now),
         .requestsInFlight = static_cast<uint32_t>(runner_.inFlight()),
         .dispatchesInFlight = static_cast<uint32_t>(runner_.inFlight()),
         .targetsKnown = static_cast<uint32_t>(targets_.size()),
--- a/src/gateway/internal/gatewaycore.h
+++ b/src/gateway/internal/gatewaycore.h
@@ -31,7 +31,7 @@
     [[nodiscard]] host::HostStatus status(Timestamp now) const override;
     [[nodiscard]] const model::Counters& counters() const override { return counters_; }
     [[nodiscard]] std::span<const model::StageLatency> latencies() const override { return latencies_.all(); }
-    [[nodiscard]] Duration tickPeriod() const override;
+    [[nodiscard]] Duration tickInterval() const override;
 
 private:
     void accept(requests::HttpEvent event, Timestamp now);
--- a/src/host/hosttypes.h
+++ b/src/host/hosttypes.h
@@ -38,7 +38,7 @@
     control::StorageDone, control::StorageFailed, StopRequested, SeedsChanged>;
 
 /// The complete set of peers to keep links to; emitted again each time the set changes.
-struct LinksWanted {
+struct DesiredLinks {
     struct Peer {
         HostId host; ///< May be empty for a seed.
         model::Address address;
@@ -71,7 +71,7 @@
     SoftState state;
 };
 /// The driver carries out actions in the order in which they were returned.
-using Action = std::variant<requests::Action, control::StorageWrite, SoftStateWrite, LinksWanted, CallerLimitsChanged,
+using Action = std::variant<requests::Action, control::StorageWrite, SoftStateWrite, DesiredLinks, CallerLimitsChanged,
     LogLine, StopFinished>;
 
 /// One zone as this host sees it, for status pages and gauges.
@@ -95,7 +95,8 @@
     LogPosition inForce;
     BundleVersion inForceVersion;
     Duration stateAge {};
-    Duration wordAge {}; ///< Of a gateway: since it sent the last registry request whose response carried a proof.
+    Duration
+        registryInfoAge {}; ///< Of a gateway: since it sent the last registry request whose response carried a proof.
     std::vector<ZoneStatus> zones;
     std::vector<model::HostRecord> hosts;
     std::vector<model::RouteRow> rows;
--- a/src/host/ihostcore.h
+++ b/src/host/ihostcore.h
@@ -32,7 +32,7 @@
     virtual void tick(Timestamp now) = 0;
     [[nodiscard]] virtual std::vector<Action> drainActions() = 0;
     /// Interval at which the driver must call tick.
-    [[nodiscard]] virtual Duration tickPeriod() const { return TickInterval; }
+    [[nodiscard]] virtual Duration tickInterval() const { return TickInterval; }
     [[nodiscard]] virtual HostStatus status(Timestamp now) const = 0;
     [[nodiscard]] virtual const model::Counters& counters() const = 0;
     /// Latency histograms by kind of request and stage; empty for a host that records none.
--- a/src/host/internal/linkplanner.cpp
+++ b/src/host/internal/linkplanner.cpp
@@ -19,15 +19,15 @@
 
 void LinkPlanner::update(const std::set<HostId>& ownerHosts)
 {
-    std::vector<LinksWanted::Peer> peers = wantedPeers(ownerHosts);
+    std::vector<DesiredLinks::Peer> peers = wantedPeers(ownerHosts);
     if (hasEmitted_ && peers == lastPeers_)
         return;
     hasEmitted_ = true;
     lastPeers_ = peers;
-    outbox_.add(Action(LinksWanted {std::move(peers)}));
+    outbox_.add(Action(DesiredLinks {std::move(peers)}));
 }
 
-std::vector<LinksWanted::Peer> LinkPlanner::wantedPeers(const std::set<HostId>& ownerHosts) const
+std::vector<DesiredLinks::Peer> LinkPlanner::wantedPeers(const std::set<HostId>& ownerHosts) const
 {
     std::map<HostId, model::Address> knownHosts;
     std::set<model::Address> addresses;
@@ -45,7 +45,7 @@
             knownHosts.insert_or_assign(owner, view->record.linkAddress);
     }
     knownHosts.erase(modules_.self.host);
-    std::vector<LinksWanted::Peer> peers;
+    std::vector<DesiredLinks::Peer> peers;
     addresses.insert(modules_.self.linkAddress);
     for (const auto& [host, address] : knownHosts) {
         peers.push_back({host, address});
--- a/src/host/internal/linkplanner.h
+++ b/src/host/internal/linkplanner.h
@@ -23,11 +23,11 @@
     void update(const std::set<HostId>& ownerHosts);
 
 private:
-    [[nodiscard]] std::vector<LinksWanted::Peer> wantedPeers(const std::set<HostId>& ownerHosts) const;
+    [[nodiscard]] std::vector<DesiredLinks::Peer> wantedPeers(const std::set<HostId>& ownerHosts) const;
 
     const HostModules& modules_;
     Outbox& outbox_;
-    std::vector<LinksWanted::Peer> lastPeers_;
+    std::vector<DesiredLinks::Peer> lastPeers_;
     bool hasEmitted_ = false;
 };
 
--- a/src/host/internal/routedlinks.cpp
+++ b/src/host/internal/routedlinks.cpp
@@ -9,7 +9,7 @@
 
 namespace saltvane::host {
 
-std::vector<HostId> hostIdsOf(std::span<const model::Address> addresses)
+std::vector<HostId> hostIdsFromAddresses(std::span<const model::Address> addresses)
 {
     std::vector<HostId> hosts;
     for (const model::Address& address : addresses)
@@ -17,7 +17,7 @@
     return hosts;
 }
 
-model::HostRecord routedRecord(const settings::RoutedHostSettings& settings, Incarnation incarnation)
+model::HostRecord makeRoutedHostRecord(const settings::RoutedHostSettings& settings, Incarnation incarnation)
 {
     return {
         .host = settings.host(),
@@ -28,12 +28,12 @@
     };
 }
 
-std::optional<LinksWanted> RoutedLinks::update(std::vector<HostId> hosts)
+std::optional<DesiredLinks> RoutedLinks::update(std::vector<HostId> hosts)
 {
     if (hosts == hosts_)
         return std::nullopt;
     hosts_ = std::move(hosts);
-    LinksWanted wanted;
+    DesiredLinks wanted;
     for (const HostId& host : hosts_) {
         if (const auto address = model::parseAddress(host.value()))
             wanted.peers.push_back({.host = host, .address = *address});
--- a/src/host/routedlinks.h
+++ b/src/host/routedlinks.h
@@ -15,16 +15,17 @@
 /// Links of hosts whose ids are their link addresses (roles gateway and registry).
 namespace saltvane::host {
 
-[[nodiscard]] std::vector<HostId> hostIdsOf(std::span<const model::Address> addresses);
+[[nodiscard]] std::vector<HostId> hostIdsFromAddresses(std::span<const model::Address> addresses);
 
 /// The common part of a gateway's or registry host's own record; the caller adds role, entry address and state.
-[[nodiscard]] model::HostRecord routedRecord(const settings::RoutedHostSettings& settings, Incarnation incarnation);
+[[nodiscard]] model::HostRecord makeRoutedHostRecord(
+    const settings::RoutedHostSettings& settings, Incarnation incarnation);
 
 /// Requests links to a set of hosts each time the set changes.
 class RoutedLinks {
 public:
     /// The action to carry out; no value where the set is unchanged.
-    [[nodiscard]] std::optional<LinksWanted> update(std::vector<HostId> hosts);
+    [[nodiscard]] std::optional<DesiredLinks> update(std::vector<HostId> hosts);
 
 private:
     std::vector<HostId> hosts_;
--- a/src/host/tests/fakes/fakehost.cpp
+++ b/src/host/tests/fakes/fakehost.cpp
@@ -112,7 +112,7 @@
             execute(std::move(typed));
         } else if constexpr (std::is_same_v<Type, SoftStateWrite>) {
             return; // This kind of host writes no soft state.
-        } else if constexpr (std::is_same_v<Type, LinksWanted>) {
+        } else if constexpr (std::is_same_v<Type, DesiredLinks>) {
             environment_.network->setWantedLinks(settings_.host, typed);
         } else if constexpr (std::is_same_v<Type, CallerLimitsChanged>) {
             // Not enforced: the fake callers stay within all limits.
--- a/src/host/tests/fakes/fakenetwork.cpp
+++ b/src/host/tests/fakes/fakenetwork.cpp
@@ -41,7 +41,7 @@
     }
 }
 
-void FakeNetwork::setWantedLinks(const HostId& host, const LinksWanted& wanted)
+void FakeNetwork::setWantedLinks(const HostId& host, const DesiredLinks& wanted)
 {
     hosts_[host].wanted = wanted.peers;
     connectAllWanted();
@@ -92,7 +92,7 @@
         if (found == hosts_.end())
             return false;
         return std::any_of(
-            found->second.wanted.begin(), found->second.wanted.end(), [&](const LinksWanted::Peer& wanted) {
+            found->second.wanted.begin(), found->second.wanted.end(), [&](const DesiredLinks::Peer& wanted) {
                 return (wanted.host.isEmpty() ? hostAt(wanted.address) : wanted.host) == peer;
             });
     };
--- a/src/host/tests/fakes/fakenetwork.h
+++ b/src/host/tests/fakes/fakenetwork.h
@@ -40,7 +40,7 @@
     void onHostUp(const HostId& host, Incarnation incarnation, const model::Address& linkAddress);
     /// The process is down. Peers notice at once or, if its machine is down too, after the link timeout.
     void onHostDown(const HostId& host, bool isMachineDown = false);
-    void setWantedLinks(const HostId& host, const LinksWanted& wanted);
+    void setWantedLinks(const HostId& host, const DesiredLinks& wanted);
     void send(const HostId& from, model::OutgoingMessage outgoing);
 
     /// Cuts the links between hosts for which `cut` is true; an empty function heals all links.
@@ -60,7 +60,7 @@
         Incarnation incarnation;
         model::Address address;
         bool isUp = false;
-        std::vector<LinksWanted::Peer> wanted;
+        std::vector<DesiredLinks::Peer> wanted;
     };
     struct Channel {
         Timestamp lastArrival;
--- a/src/net/inetadapters.h
+++ b/src/net/inetadapters.h
@@ -86,7 +86,7 @@
 class ILinkHub {
 public:
     virtual ~ILinkHub() = default;
-    virtual void execute(const host::LinksWanted& action) = 0;
+    virtual void execute(const host::DesiredLinks& action) = 0;
     virtual void send(const model::OutgoingMessage& outgoing) = 0;
     [[nodiscard]] virtual LinkBacklog backlog() const = 0;
     /// The address that the hub listens on; its port differs from the options' if that is 0.
--- a/src/net/internal/desiredlink.h
+++ b/src/net/internal/desiredlink.h
@@ -19,13 +19,13 @@
 /// A peer that the core requests a link to, and the state of dialling it.
 class DesiredLink {
 public:
-    DesiredLink(struct ev_loop* loop, host::LinksWanted::Peer peer, std::function<void(DesiredLink&)> onDial)
+    DesiredLink(struct ev_loop* loop, host::DesiredLinks::Peer peer, std::function<void(DesiredLink&)> onDial)
         : peer_(std::move(peer))
         , retry_(loop, [this, dial = std::move(onDial)] { dial(*this); })
     {
     }
 
-    [[nodiscard]] const host::LinksWanted::Peer& peer() const { return peer_; }
+    [[nodiscard]] const host::DesiredLinks::Peer& peer() const { return peer_; }
     /// The host at the address; empty if it is not known yet.
     [[nodiscard]] const HostId& host() const { return peer_.host.isEmpty() ? learnedHost : peer_.host; }
 
@@ -69,7 +69,7 @@
     static constexpr int AttemptsPerDoubling = 8;
     static constexpr int MaxDoublings = 3;
 
-    host::LinksWanted::Peer peer_;
+    host::DesiredLinks::Peer peer_;
     Duration wait_ = MinWait;
     int attempts_ = 0;
     TimerWatcher retry_;
--- a/src/net/internal/linkdialling.cpp
+++ b/src/net/internal/linkdialling.cpp
@@ -62,10 +62,10 @@
     return isNeeded;
 }
 
-void LinkHub::execute(const host::LinksWanted& action)
+void LinkHub::execute(const host::DesiredLinks& action)
 {
     std::vector<std::unique_ptr<DesiredLink>> before = std::exchange(desiredLinks_, {});
-    for (const host::LinksWanted::Peer& peer : action.peers) {
+    for (const host::DesiredLinks::Peer& peer : action.peers) {
         const auto known
             = std::find_if(before.begin(), before.end(), [&](const auto& old) { return old && old->peer() == peer; });
         if (known != before.end()) {
--- a/src/net/internal/linkhub.h
+++ b/src/net/internal/linkhub.h
@@ -35,7 +35,7 @@
 
     [[nodiscard]] Result<Success, IoError> start();
 
-    void execute(const host::LinksWanted& action) override;
+    void execute(const host::DesiredLinks& action) override;
     void send(const model::OutgoingMessage& outgoing) override;
     [[nodiscard]] LinkBacklog backlog() const override;
     [[nodiscard]] model::Address boundAddress() const override { return boundAddress_; }
--- a/src/net/tests/linkhubfixture.h
+++ b/src/net/tests/linkhubfixture.h
@@ -40,15 +40,15 @@
             .largestBacklog = largestBacklog});
         hub = std::move(made.value());
     }
-    void requestLinks(std::vector<host::LinksWanted::Peer> peers) const
+    void requestLinks(std::vector<host::DesiredLinks::Peer> peers) const
     {
-        hub->execute(host::LinksWanted {std::move(peers)});
+        hub->execute(host::DesiredLinks {std::move(peers)});
     }
-    [[nodiscard]] host::LinksWanted::Peer known() const
+    [[nodiscard]] host::DesiredLinks::Peer known() const
     {
         return {.host = HostId(name), .address = hub->boundAddress()};
     }
-    [[nodiscard]] host::LinksWanted::Peer seed() const { return {.address = hub->boundAddress()}; }
+    [[nodiscard]] host::DesiredLinks::Peer seed() const { return {.address = hub->boundAddress()}; }
     void sendClaim(const Host& to, uint64_t number, std::string key = "k") const
     {
         hub->send({.to = HostId(to.name), .message = model::ClaimRequest {.claim = number, .key = std::move(key)}});
--- a/src/registry/internal/registrycore.cpp
+++ b/src/registry/internal/registrycore.cpp
@@ -64,7 +64,7 @@
 
 model::HostRecord recordOf(const settings::RoutedHostSettings& settings, Incarnation incarnation)
 {
-    model::HostRecord record = host::routedRecord(settings, incarnation);
+    model::HostRecord record = host::makeRoutedHostRecord(settings, incarnation);
     record.entryAddress = settings.controlAddress;
     record.isControl = true;
     record.state = model::HostState::Serving;
@@ -82,7 +82,7 @@
     , planReader_(std::move(parts.planReader))
     , planQueue_(*planReader_)
     , roster_(membership::makeHostRoster(
-          {.self = recordOf(settings_, incarnation_), .seeds = host::hostIdsOf(settings_.seeds)}))
+          {.self = recordOf(settings_, incarnation_), .seeds = host::hostIdsFromAddresses(settings_.seeds)}))
     , bundleReplica_(control::makeBundleReplica({.self = self_, .counters = counters_.get()}))
     , targets_(settings_.zones)
     , orders_(*replica_)
@@ -92,7 +92,7 @@
 {
 }
 
-Duration RegistryCore::tickPeriod() const { return RegistryTick; }
+Duration RegistryCore::tickInterval() const { return RegistryTick; }
 
 void RegistryCore::handle(host::Event event, Timestamp now)
 {
@@ -236,7 +236,7 @@
 void RegistryCore::accept(const host::SeedsChanged& changed, Timestamp /*now*/)
 {
     log(host::LogSeverity::Info, "event=seeds_changed count=" + std::to_string(changed.seeds.size()));
-    roster_->setSeeds(host::hostIdsOf(changed.seeds));
+    roster_->setSeeds(host::hostIdsFromAddresses(changed.seeds));
 }
 
 void RegistryCore::accept(host::StopRequested /*stop*/, Timestamp now)
@@ -267,7 +267,7 @@
 
 void RegistryCore::updateLinks()
 {
-    if (std::optional<host::LinksWanted> links = links_.update(roster_->controlHosts()))
+    if (std::optional<host::DesiredLinks> links = links_.update(roster_->controlHosts()))
         actions_.emplace_back(*std::move(links));
 }
 
@@ -319,7 +319,7 @@
         .self = options.settings.host(),
         .incarnation = options.incarnation,
         .recovered = options.recovered,
-        .bootstrapHosts = host::hostIdsOf(options.settings.seeds),
+        .bootstrapHosts = host::hostIdsFromAddresses(options.settings.seeds),
         .parseBundle = refuseBundle,
         .checkPlan = PlanChecker(planReader),
         .mayBootstrap = options.settings.isFirstStart,
--- a/src/registry/internal/registrycore.h
+++ b/src/registry/internal/registrycore.h
@@ -42,7 +42,7 @@
     [[nodiscard]] std::vector<host::Action> drainActions() override;
     [[nodiscard]] host::HostStatus status(Timestamp now) const override;
     [[nodiscard]] const model::Counters& counters() const override { return *counters_; }
-    [[nodiscard]] Duration tickPeriod() const override;
+    [[nodiscard]] Duration tickInterval() const override;
 
 private:
     /// A call whose body is being received, or whose order is pending.
--- a/src/registry/internal/registryreports.cpp
+++ b/src/registry/internal/registryreports.cpp
@@ -28,7 +28,7 @@
 void RegistryCore::applyOrders(Timestamp now)
 {
     const control::RoutingState& routing = replica_->routing();
-    if (routing.planVersion.value != 0 && (!bundleReplica_->isReady() || bundleReplica_->age(now) > tickPeriod()))
+    if (routing.planVersion.value != 0 && (!bundleReplica_->isReady() || bundleReplica_->age(now) > tickInterval()))
         distribute(now);
     if (routing.ordersPosition == appliedOrdersPosition_)
         return;
--- a/src/registry/tests/registrycluster.cpp
+++ b/src/registry/tests/registrycluster.cpp
@@ -249,7 +249,7 @@
                 host.processor.work(now_, [&] { host.core->handle(result, clockOf(number)); });
             } else if (auto* softState = std::get_if<host::SoftStateWrite>(&action)) {
                 host.softState = std::move(softState->state);
-            } else if (const auto* links = std::get_if<host::LinksWanted>(&action)) {
+            } else if (const auto* links = std::get_if<host::DesiredLinks>(&action)) {
                 host.wantedLinks.clear();
                 for (const auto& peer : links->peers)
                     host.wantedLinks.insert(peer.host);
--- a/src/saltvaned/internal/daemon.cpp
+++ b/src/saltvaned/internal/daemon.cpp
@@ -92,7 +92,7 @@
 
 void Daemon::startWatchers()
 {
-    ev_timer_init(&tickTimer_, onTick, 0.0, toSeconds(core_->tickPeriod()));
+    ev_timer_init(&tickTimer_, onTick, 0.0, toSeconds(core_->tickInterval()));
     ev_signal_init(&terminateSignal_, onSignal, SIGTERM);
     ev_signal_init(&interruptSignal_, onSignal, SIGINT);
     tickTimer_.data = this;
@@ -146,7 +146,7 @@
 {
     auto* daemon = static_cast<Daemon*>(watcher->data);
     const Timestamp now = monotonicNow();
-    if (const auto stall = daemon->stallMonitor_.recordTick(now, daemon->core_->tickPeriod()))
+    if (const auto stall = daemon->stallMonitor_.recordTick(now, daemon->core_->tickInterval()))
         LOG_TAGGED(WARNING, "saltvaned") << "event=stood_still ms="
                                          << std::chrono::duration_cast<std::chrono::milliseconds>(*stall).count();
     daemon->core_->tick(now);
@@ -243,7 +243,7 @@
                                    << result.error().message << "\"";
 }
 
-void Daemon::execute(const host::LinksWanted& links) { linkHub_->execute(links); }
+void Daemon::execute(const host::DesiredLinks& links) { linkHub_->execute(links); }
 
 void Daemon::execute(const host::CallerLimitsChanged& changed)
 {
--- a/src/saltvaned/internal/daemon.h
+++ b/src/saltvaned/internal/daemon.h
@@ -69,7 +69,7 @@
     void execute(requests::Action action);
     void execute(const control::StorageWrite& write);
     void execute(const host::SoftStateWrite& write);
-    void execute(const host::LinksWanted& links);
+    void execute(const host::DesiredLinks& links);
     void execute(const host::CallerLimitsChanged& changed);
     void execute(const host::LogLine& line);
     void execute(const host::StopFinished& finished);
--- a/src/saltvaned/internal/metricstext.cpp
+++ b/src/saltvaned/internal/metricstext.cpp
@@ -157,7 +157,8 @@
     families.push_back(makeGauge("saltvane_stood_still_seconds",
         "Time in which timers of this process were late by over 250 ms, since its start", toSeconds(input.stallTime)));
     families.push_back(makeGauge("saltvane_word_age_seconds",
-        "Time since a gateway asked the registry something that was answered with a proof", toSeconds(status.wordAge)));
+        "Time since a gateway asked the registry something that was answered with a proof",
+        toSeconds(status.registryInfoAge)));
     if (!input.latencies.empty())
         families.push_back(makeLatencies(input.latencies));
     return prometheus::TextSerializer().Serialize(families);
