--- a/src/net/inetadapters.h
+++ b/src/net/inetadapters.h
@@ -105,7 +105,7 @@
     /// Limit on the memory of all links' buffers together; beyond it the peer with the longest queue is disconnected.
     /// Without it, 80 links that each use up maxSendQueueBytes would exhaust the memory of the process and so cut off
     /// all other peers as well.
-    size_t largestBacklog = 64 * 1024 * 1024;
+    size_t maxBacklogBytes = 64 * 1024 * 1024;
 };
 [[nodiscard]] Result<std::unique_ptr<ILinkHub>, IoError> makeLinkHub(LinkHubOptions options);
 
--- a/src/net/internal/link.h
+++ b/src/net/internal/link.h
@@ -77,7 +77,7 @@
     /// keep-alive records and a retransmission. A connection can stop passing data for good while new ones work, and
     /// hosts must have what is in force within 3 s of a fault. With connections on one machine that pass no more data,
     /// the replacement is up after 1.25 to 1.5 s.
-    static constexpr Duration SuspectAfter = 1s;
+    static constexpr Duration SuspectTimeout = 1s;
     /// If nothing is received for this long and no replacement link is up, the link is closed. One second more than the
     /// kernel's timeout for unacknowledged bytes (TCP_USER_TIMEOUT), so that the kernel closes first if it can. A host
     /// that stalls for this long loses its links in either case.
@@ -118,7 +118,7 @@
     /// True if the link is Up and nothing was received for SuspectTimeout.
     [[nodiscard]] bool isSuspect() const
     {
-        return state_ == State::Up && monotonicNow() - lastReceivedAt_ >= SuspectAfter;
+        return state_ == State::Up && monotonicNow() - lastReceivedAt_ >= SuspectTimeout;
     }
     /// Reads data that arrived while this process was stalled, so that it counts as received.
     void receivePending();
--- a/src/net/internal/linkbacklog.cpp
+++ b/src/net/internal/linkbacklog.cpp
@@ -57,7 +57,7 @@
 
 void LinkHub::enforceBacklogLimit()
 {
-    for (LinkBacklog current = backlog(); current.memory > options_.largestBacklog && current.largestBytes > 0;
+    for (LinkBacklog current = backlog(); current.memory > options_.maxBacklogBytes && current.largestBytes > 0;
          current = backlog()) {
         const auto largest = std::ranges::find_if(
             links_, [&](const Link& link) { return link.queuedBytes() == current.largestBytes; });
--- a/src/net/tests/linkhubfixture.h
+++ b/src/net/tests/linkhubfixture.h
@@ -25,7 +25,7 @@
 struct Host {
     Host(const LoopRunner& runner, std::string id, uint64_t incarnation = 1, std::string key = Key,
         std::string deployment = "d", size_t maxSendQueueBytes = 8 * 1024 * 1024,
-        size_t largestBacklog = 64 * 1024 * 1024)
+        size_t maxBacklogBytes = 64 * 1024 * 1024)
         : name(id)
     {
         auto made = makeLinkHub({.loop = runner.loop(),
@@ -37,7 +37,7 @@
             .sink = [this](host::Event event) { log.events.push_back(std::move(event)); },
             .counters = &counters,
             .maxSendQueueBytes = maxSendQueueBytes,
-            .largestBacklog = largestBacklog});
+            .maxBacklogBytes = maxBacklogBytes});
         hub = std::move(made.value());
     }
     void requestLinks(std::vector<host::DesiredLinks::Peer> peers) const
--- a/src/net/tests/linktimeouttests.cpp
+++ b/src/net/tests/linktimeouttests.cpp
@@ -91,7 +91,7 @@
     ASSERT_EQ(a.ups(), 1U);
     relay.setPaused(true);
     a.sendClaim(b, 1);
-    run(Link::SuspectAfter + 3 * Link::KeepAliveTick);
+    run(Link::SuspectTimeout + 3 * Link::KeepAliveTick);
     relay.setPaused(false);
     run(1s);
     EXPECT_EQ(a.downs() + b.downs(), 0U);
@@ -118,7 +118,7 @@
     }
     run(500ms, true);
     ASSERT_EQ(b.ups(), peers.size());
-    run(Link::SuspectAfter + 3 * Link::KeepAliveTick, false);
+    run(Link::SuspectTimeout + 3 * Link::KeepAliveTick, false);
     run(1s, true);
     EXPECT_EQ(b.downs(), 0U);
 }
--- a/src/saltvaned/internal/daemonadapters.cpp
+++ b/src/saltvaned/internal/daemonadapters.cpp
@@ -165,7 +165,7 @@
         .listenAddress = identity.address,
         .sink = [this](host::Event event) { deliver(std::move(event)); },
         .counters = &adapterCounters_,
-        .largestBacklog = identity.memoryBytes / LinkMemoryDivisor});
+        .maxBacklogBytes = identity.memoryBytes / LinkMemoryDivisor});
     if (!linkHub)
         return linkHub.error();
     linkHub_ = std::move(linkHub.value());
--- a/testing/fleet/fleet.cpp
+++ b/testing/fleet/fleet.cpp
@@ -103,7 +103,7 @@
 void Fleet::stallGatewayLinks()
 {
     for (size_t gateway = 0; gateway < gateways_.size(); ++gateway)
-        cutOffGateway(gateway, net::Link::SuspectAfter + net::Link::KeepAliveTick + LinkReplacementTime);
+        cutOffGateway(gateway, net::Link::SuspectTimeout + net::Link::KeepAliveTick + LinkReplacementTime);
 }
 
 void Fleet::cutOffGateway(size_t number, Duration duration)
