--- a/testing/fleet/oldplantests.cpp
+++ b/testing/fleet/oldplantests.cpp
@@ -11,7 +11,7 @@
 
 /// Guards against gateways without faults that route by a plan whose replacement was acknowledged more than two seconds
 /// before. This happened when all links of a gateway stopped passing data while new ones would have worked: the gateway
-/// closed them six seconds later only. LinkHubTest.ALinkThatFellSilentIsReplacedWhereANewOneWorks covers the cause.
+/// closed them six seconds later only. LinkHubTest.DeadLinkIsReplacedIfANewConnectionWorks covers the cause.
 /// Here every use of a plan is compared with the newest plan acknowledged; links take as long to be replaced as in
 /// production.
 namespace saltvane::fleet::test {
