--- a/src/control/tests/bundlereplicatests.cpp
+++ b/src/control/tests/bundlereplicatests.cpp
@@ -24,8 +24,8 @@
 
 LogPosition positionOf(uint64_t index) { return {.term = LogTerm {1}, .index = LogIndex {index}}; }
 
-/// Bundle holders connected with a delay, in virtual time. The test sets the state in force at control1.
-class BundleHolders : public testing::Test {
+/// Bundle replicas connected with a delay, in virtual time. The test sets the state in force at control1.
+class BundleReplicas : public testing::Test {
 protected:
     void SetUp() override
     {
@@ -35,7 +35,7 @@
 
     void start(const HostId& host)
     {
-        holders_[host] = makeBundleReplica({.self = host});
+        replicas_[host] = makeBundleReplica({.self = host});
         std::vector<HostId> sources {Control};
         std::vector<HostId> receivers;
         if (host == First || host == Second)
@@ -46,10 +46,10 @@
             receivers = {Relay};
         if (host == Relay)
             receivers = {First, Second};
-        holders_[host]->setPeers(sources, receivers, now_);
+        replicas_[host]->setPeers(sources, receivers, now_);
     }
 
-    IBundleReplica& holder(const HostId& host) { return *holders_.at(host); }
+    IBundleReplica& replica(const HostId& host) { return *replicas_.at(host); }
 
     /// `size`: minimum length, reached with random bytes, which differ in each state and do not compress.
     void setInForce(uint64_t index, size_t size = 0)
@@ -67,14 +67,14 @@
         for (const Timestamp end = now_ + duration; now_ < end; now_ += Step) {
             deliver();
             if (index_ != 0 && isControlCurrent_)
-                holder(Control).setControlView(IBundleReplica::ControlView {.position = positionOf(index_),
-                                                   .version = BundleVersion {index_},
-                                                   .content = content_,
-                                                   .proofAge = 100ms},
+                replica(Control).setControlView(IBundleReplica::ControlView {.position = positionOf(index_),
+                                                    .version = BundleVersion {index_},
+                                                    .content = content_,
+                                                    .proofAge = 100ms},
                     now_);
             else
-                holder(Control).setControlView(std::nullopt, now_);
-            for (auto& [host, item] : holders_) {
+                replica(Control).setControlView(std::nullopt, now_);
+            for (auto& [host, item] : replicas_) {
                 item->tick(now_);
                 for (model::OutgoingMessage& outgoing : item->drainOutgoing())
                     post(host, std::move(outgoing));
@@ -108,14 +108,14 @@
         while (!inFlight_.empty() && inFlight_.begin()->first <= now_) {
             const auto next = inFlight_.extract(inFlight_.begin());
             const Flight& flight = next.mapped();
-            holder(flight.outgoing.to)
+            replica(flight.outgoing.to)
                 .handle({.from = flight.from, .fromIncarnation = {}, .message = flight.outgoing.message}, now_);
         }
     }
 
     bool isInstalledEverywhere(uint64_t index)
     {
-        for (const auto& [host, item] : holders_) {
+        for (const auto& [host, item] : replicas_) {
             if (installed_[host] != positionOf(index))
                 return false;
         }
@@ -127,7 +127,7 @@
         model::OutgoingMessage outgoing;
     };
     Timestamp now_ {10s};
-    std::map<HostId, std::unique_ptr<IBundleReplica>> holders_;
+    std::map<HostId, std::unique_ptr<IBundleReplica>> replicas_;
     std::map<HostId, LogPosition> installed_;
     std::multimap<Timestamp, Flight> inFlight_;
     std::string content_;
@@ -143,28 +143,28 @@
 
 } // namespace
 
-TEST_F(BundleHolders, NoHostIsReadyWithoutAState)
+TEST_F(BundleReplicas, NoHostIsReadyWithoutAState)
 {
     run(5s);
     for (const HostId& host : {Control, Relay, First, Second})
-        EXPECT_FALSE(holder(host).isReady());
+        EXPECT_FALSE(replica(host).isReady());
 }
 
-TEST_F(BundleHolders, PushReachesEveryHostAndIsConfirmedByAPull)
+TEST_F(BundleReplicas, PushReachesEveryHostAndIsConfirmedByAPull)
 {
     setInForce(1);
     run(2s);
     ASSERT_TRUE(isInstalledEverywhere(1));
     for (const HostId& host : {Control, Relay, First, Second})
-        EXPECT_TRUE(holder(host).isReady());
+        EXPECT_TRUE(replica(host).isReady());
     setInForce(2);
     run(2 * Delay + 3 * Step);
     EXPECT_TRUE(isInstalledEverywhere(2));
-    EXPECT_FALSE(holder(Second).isCutOff(now_));
-    EXPECT_GE(holder(Second).age(now_), 100ms + 2 * Delay);
+    EXPECT_FALSE(replica(Second).isCutOff(now_));
+    EXPECT_GE(replica(Second).age(now_), 100ms + 2 * Delay);
 }
 
-TEST_F(BundleHolders, PullsRecoverLostPushes)
+TEST_F(BundleReplicas, PullsRecoverLostPushes)
 {
     setInForce(1);
     run(2s);
@@ -174,38 +174,38 @@
     EXPECT_TRUE(isInstalledEverywhere(2));
 }
 
-TEST_F(BundleHolders, OlderPositionIsIgnored)
+TEST_F(BundleReplicas, OlderPositionIsIgnored)
 {
     setInForce(5);
     run(2s);
     const model::BundlePush older {.position = positionOf(4), .version = BundleVersion {9}, .content = "older"};
-    holder(First).handle({.from = Relay, .fromIncarnation = {}, .message = older}, now_);
-    EXPECT_FALSE(holder(First).popInstalled());
+    replica(First).handle({.from = Relay, .fromIncarnation = {}, .message = older}, now_);
+    EXPECT_FALSE(replica(First).popInstalled());
     run(2s);
     EXPECT_TRUE(isInstalledEverywhere(5));
 }
 
-TEST_F(BundleHolders, HostsAreCutOffWithoutAProofFromControl)
+TEST_F(BundleReplicas, HostsAreCutOffWithoutAProofFromControl)
 {
     setInForce(1);
     run(2s);
     isControlCurrent_ = false;
     run(2500ms);
-    EXPECT_FALSE(holder(First).isCutOff(now_));
+    EXPECT_FALSE(replica(First).isCutOff(now_));
     run(1s);
     for (const HostId& host : {Control, Relay, First, Second}) {
-        EXPECT_TRUE(holder(host).isCutOff(now_));
-        EXPECT_TRUE(holder(host).isReady());
+        EXPECT_TRUE(replica(host).isCutOff(now_));
+        EXPECT_TRUE(replica(host).isReady());
     }
-    const Duration age = holder(First).age(now_);
+    const Duration age = replica(First).age(now_);
     run(3600s);
-    EXPECT_EQ(holder(First).age(now_), age + 3600s);
+    EXPECT_EQ(replica(First).age(now_), age + 3600s);
     isControlCurrent_ = true;
     run(12s);
-    EXPECT_FALSE(holder(First).isCutOff(now_));
+    EXPECT_FALSE(replica(First).isCutOff(now_));
 }
 
-TEST_F(BundleHolders, RestartedHostInACutOffZoneAcceptsThePeerState)
+TEST_F(BundleReplicas, RestartedHostInACutOffZoneAcceptsThePeerState)
 {
     setInForce(1);
     run(2s);
@@ -214,13 +214,13 @@
     installed_[First] = {};
     start(First);
     run(500ms);
-    EXPECT_FALSE(holder(First).isReady());
+    EXPECT_FALSE(replica(First).isReady());
     run(1s);
-    EXPECT_TRUE(holder(First).isReady());
-    EXPECT_TRUE(holder(First).isCutOff(now_));
+    EXPECT_TRUE(replica(First).isReady());
+    EXPECT_TRUE(replica(First).isCutOff(now_));
 }
 
-TEST_F(BundleHolders, RestartedHostWithoutControlAndPeersIsNotReady)
+TEST_F(BundleReplicas, RestartedHostWithoutControlAndPeersIsNotReady)
 {
     setInForce(1);
     run(2s);
@@ -228,17 +228,17 @@
     installed_[First] = {};
     start(First);
     run(60s);
-    EXPECT_FALSE(holder(First).isReady());
+    EXPECT_FALSE(replica(First).isReady());
     cutOff_ = {};
     run(1s);
-    EXPECT_TRUE(holder(First).isReady());
+    EXPECT_TRUE(replica(First).isReady());
 }
 
 /// Guards against gateways that treat a starting registry host as one whose information is outdated.
-TEST_F(BundleHolders, StartingSourceAnswersPullsWithoutAStateOrProof)
+TEST_F(BundleReplicas, StartingSourceAnswersPullsWithoutAStateOrProof)
 {
-    holder(Relay).handle({.from = First, .fromIncarnation = {}, .message = model::BundlePull {.pull = 7}}, now_);
-    const std::vector<model::OutgoingMessage> sent = holder(Relay).drainOutgoing();
+    replica(Relay).handle({.from = First, .fromIncarnation = {}, .message = model::BundlePull {.pull = 7}}, now_);
+    const std::vector<model::OutgoingMessage> sent = replica(Relay).drainOutgoing();
     ASSERT_EQ(sent.size(), 1U);
     const auto* answer = std::get_if<model::BundleCurrent>(&sent.front().message);
     ASSERT_NE(answer, nullptr);
@@ -247,20 +247,20 @@
     EXPECT_EQ(answer->age, Duration::max());
 }
 
-TEST_F(BundleHolders, UnrequestedAnswersProveNothing)
+TEST_F(BundleReplicas, UnrequestedAnswersProveNothing)
 {
     setInForce(1);
     run(2s);
     cutOff_ = First;
     run(4s);
     const model::BundleCurrent unrequested {.position = positionOf(1), .age = 0s, .pull = 999};
-    holder(First).handle({.from = Relay, .fromIncarnation = {}, .message = unrequested}, now_);
+    replica(First).handle({.from = Relay, .fromIncarnation = {}, .message = unrequested}, now_);
     const model::BundlePush push {.position = positionOf(2), .version = BundleVersion {2}, .content = "2", .age = 0s};
-    holder(First).handle({.from = Relay, .fromIncarnation = {}, .message = push}, now_);
-    EXPECT_TRUE(holder(First).isCutOff(now_));
+    replica(First).handle({.from = Relay, .fromIncarnation = {}, .message = push}, now_);
+    EXPECT_TRUE(replica(First).isCutOff(now_));
 }
 
-TEST_F(BundleHolders, LargeStateIsSentOnceInParts)
+TEST_F(BundleReplicas, LargeStateIsSentOnceInParts)
 {
     constexpr size_t Size = 1'000'000;
     setInForce(1, Size);
@@ -272,7 +272,7 @@
         EXPECT_LE(bytes_[host], contents_[1].size() + FirstParts) << host.value();
 }
 
-TEST_F(BundleHolders, PartsAreRequestedFromAnotherSourceWhenOneIsUnresponsive)
+TEST_F(BundleReplicas, PartsAreRequestedFromAnotherSourceWhenOneIsUnresponsive)
 {
     constexpr size_t Size = 200'000;
     setInForce(1, Size);
@@ -283,7 +283,7 @@
     EXPECT_TRUE(isInstalledEverywhere(2));
 }
 
-TEST_F(BundleHolders, TransferIsCompletedWhileNewerStatesArrive)
+TEST_F(BundleReplicas, TransferIsCompletedWhileNewerStatesArrive)
 {
     constexpr size_t Size = 400'000;
     setInForce(1, Size);
@@ -298,7 +298,7 @@
     EXPECT_TRUE(isInstalledEverywhere(39));
 }
 
-TEST_F(BundleHolders, TransferContinuesWithASourceThatLacksTheBase)
+TEST_F(BundleReplicas, TransferContinuesWithASourceThatLacksTheBase)
 {
     constexpr size_t Size = 200'000;
     setInForce(1, Size);
@@ -308,9 +308,9 @@
     unresponsiveSource_ = Relay;
     setInForce(2, Size);
     constexpr int MaxSteps = 200;
-    for (int i = 0; i < MaxSteps && !holder(First).isFetching(); ++i)
+    for (int i = 0; i < MaxSteps && !replica(First).isFetching(); ++i)
         run(Step);
-    ASSERT_TRUE(holder(First).isFetching());
+    ASSERT_TRUE(replica(First).isFetching());
     cutOff_ = Relay;
     for (const HostId& host : {Control, Second}) {
         installed_[host] = {};
@@ -320,7 +320,7 @@
     EXPECT_EQ(installed_[First], positionOf(2));
 }
 
-TEST_F(BundleHolders, PartsWithAWrongChecksumAreRejected)
+TEST_F(BundleReplicas, PartsWithAWrongChecksumAreRejected)
 {
     setInForce(1);
     run(2s);
@@ -330,8 +330,8 @@
     model::BundlePart second = first;
     second.offset = 4;
     for (const model::BundlePart& part : {first, second})
-        holder(First).handle({.from = Relay, .fromIncarnation = {}, .message = part}, now_);
-    EXPECT_FALSE(holder(First).popInstalled());
+        replica(First).handle({.from = Relay, .fromIncarnation = {}, .message = part}, now_);
+    EXPECT_FALSE(replica(First).popInstalled());
     cutOff_ = {};
     setInForce(8);
     run(2s);
--- a/src/control/tests/pullingholdertests.cpp
+++ b/src/control/tests/pullingholdertests.cpp
@@ -21,18 +21,18 @@
 
 LogPosition positionOf(uint64_t index) { return {.term = LogTerm {1}, .index = LogIndex {index}}; }
 
-/// A bundle holder that pulls from two sources simulated by the test.
-class PullingHolder : public testing::Test {
+/// A bundle replica that pulls from two sources simulated by the test.
+class PullingReplica : public testing::Test {
 protected:
-    PullingHolder() { holder_->setPeers(std::vector {First, Second}, {}, now_); }
+    PullingReplica() { replica_->setPeers(std::vector {First, Second}, {}, now_); }
 
     /// Returns the sources to which pulls are sent within this time.
     std::vector<HostId> run(Duration duration)
     {
         std::vector<HostId> pulledFrom;
         for (const Timestamp end = now_ + duration; now_ < end; now_ += Step) {
-            holder_->tick(now_);
-            for (const model::OutgoingMessage& outgoing : holder_->drainOutgoing()) {
+            replica_->tick(now_);
+            for (const model::OutgoingMessage& outgoing : replica_->drainOutgoing()) {
                 if (const auto* pull = std::get_if<model::BundlePull>(&outgoing.message)) {
                     pulledFrom.push_back(outgoing.to);
                     lastPull_ = pull->pull;
@@ -52,18 +52,18 @@
     }
     void handle(model::Message message, const HostId& from = First)
     {
-        holder_->handle({.from = from, .fromIncarnation = {1}, .message = std::move(message)}, now_);
+        replica_->handle({.from = from, .fromIncarnation = {1}, .message = std::move(message)}, now_);
     }
 
     Timestamp now_ {100s};
     uint64_t lastPull_ = 0;
-    std::unique_ptr<IBundleReplica> holder_
+    std::unique_ptr<IBundleReplica> replica_
         = makeBundleReplica({.self = Relay, .pullInterval = 500ms, .maxProofAge = 1s, .isSource = false});
 };
 
 } // namespace
 
-TEST_F(PullingHolder, SourceWithAnOldProofIsAvoided)
+TEST_F(PullingReplica, SourceWithAnOldProofIsAvoided)
 {
     push(1);
     (void)run(Step);
@@ -73,30 +73,30 @@
     EXPECT_EQ(run(500ms), std::vector {Second});
 }
 
-TEST_F(PullingHolder, StartingHostWaitsForARecentProof)
+TEST_F(PullingReplica, StartingHostWaitsForARecentProof)
 {
     push(1);
     (void)run(Step);
     answer(First, 1, 1200ms);
-    EXPECT_FALSE(holder_->isReady());
+    EXPECT_FALSE(replica_->isReady());
     (void)run(100ms);
     answer(Second, 1, 100ms);
-    EXPECT_TRUE(holder_->isReady());
+    EXPECT_TRUE(replica_->isReady());
 }
 
-TEST_F(PullingHolder, NewLinkAfterAnOutageIsUsedAtOnce)
+TEST_F(PullingReplica, NewLinkAfterAnOutageIsUsedAtOnce)
 {
     push(1);
     (void)run(Step);
     answer(First, 1, 100ms);
     (void)run(2s); // Neither source answers.
     (void)run(400ms);
-    holder_->onLinkUp(Second, now_);
+    replica_->onLinkUp(Second, now_);
     EXPECT_EQ(run(2 * Step), std::vector {Second});
 }
 
 /// Guards against a state that is never confirmed on a link with a round trip longer than the pull interval.
-TEST_F(PullingHolder, AnswerAfterTheNextPullStillCounts)
+TEST_F(PullingReplica, AnswerAfterTheNextPullStillCounts)
 {
     push(1);
     (void)run(Step);
@@ -104,31 +104,31 @@
     ASSERT_EQ(run(500ms), std::vector {First});
     const uint64_t firstPull = lastPull_;
     ASSERT_EQ(run(500ms), std::vector {Second});
-    const Duration answered = holder_->answerAge(now_);
-    const Duration proven = holder_->age(now_);
+    const Duration answered = replica_->answerAge(now_);
+    const Duration proven = replica_->age(now_);
     handle(model::BundleCurrent {.position = positionOf(1), .age = 100ms, .pull = firstPull});
-    EXPECT_LT(holder_->answerAge(now_), answered);
-    EXPECT_LT(holder_->age(now_), proven);
+    EXPECT_LT(replica_->answerAge(now_), answered);
+    EXPECT_LT(replica_->age(now_), proven);
 }
 
-TEST_F(PullingHolder, AnswersWithoutAProofUpdateOnlyTheAnswerAge)
+TEST_F(PullingReplica, AnswersWithoutAProofUpdateOnlyTheAnswerAge)
 {
     push(1);
     (void)run(Step);
     answer(First, 1, 100ms);
     (void)run(2s);
-    const Duration proven = holder_->provenAnswerAge(now_);
+    const Duration proven = replica_->provenAnswerAge(now_);
     answer(First, 1, Duration::max());
     answer(Second, 1, Duration::max());
-    EXPECT_LE(holder_->answerAge(now_), 600ms);
-    EXPECT_EQ(holder_->provenAnswerAge(now_), proven);
+    EXPECT_LE(replica_->answerAge(now_), 600ms);
+    EXPECT_EQ(replica_->provenAnswerAge(now_), proven);
 }
 
-TEST_F(PullingHolder, UnansweredPullIsFollowedByOneToAnotherSource)
+TEST_F(PullingReplica, UnansweredPullIsFollowedByOneToAnotherSource)
 {
-    holder_ = makeBundleReplica(
+    replica_ = makeBundleReplica(
         {.self = Relay, .pullInterval = 500ms, .answerTimeout = 200ms, .maxProofAge = 1s, .isSource = false});
-    holder_->setPeers(std::vector {First, Second}, {}, now_);
+    replica_->setPeers(std::vector {First, Second}, {}, now_);
     push(1);
     (void)run(Step);
     answer(First, 1, 100ms);
