--- a/src/control/internal/routingtable.cpp
+++ b/src/control/internal/routingtable.cpp
@@ -113,7 +113,7 @@
 {
     if (std::optional<BundleOutcome> known = answerFor(command))
         return *std::move(known);
-    state_.retiredTargets.note({.target = command.target, .incarnation = command.incarnation});
+    state_.retiredTargets.record({.target = command.target, .incarnation = command.incarnation});
     state_.ordersPosition = position;
     return record(state_.planVersion);
 }
@@ -152,7 +152,7 @@
         std::optional<model::TargetIncarnation> retired = retiredFromJson(item);
         if (!retired)
             return std::nullopt;
-        state.retiredTargets.note(*retired);
+        state.retiredTargets.record(*retired);
     }
     for (const Json& item : reader.array("taken")) {
         AcceptedPlan plan;
--- a/src/gateway/internal/gatewaycore.cpp
+++ b/src/gateway/internal/gatewaycore.cpp
@@ -206,7 +206,7 @@
 void GatewayCore::onTargetReport(const model::TargetReport& report, Timestamp now)
 {
     const size_t before = targets_.size();
-    targets_.note(report, now);
+    targets_.applyReport(report, now);
     runner_.onTargetsReplaced(targets_.drainReplaced(), now);
     // Updates the split immediately: a request before the next tick would be sent to a target that does not keep the
     // object.
--- a/src/gateway/internal/targetset.cpp
+++ b/src/gateway/internal/targetset.cpp
@@ -38,7 +38,7 @@
 
 TargetSet::~TargetSet() = default;
 
-void TargetSet::note(const model::TargetReport& report, Timestamp now)
+void TargetSet::applyReport(const model::TargetReport& report, Timestamp now)
 {
     reportedAt_ = now;
     ++reports_;
@@ -72,7 +72,7 @@
         // An order without an incarnation applies to the one known now.
         if (targetIncarnation.incarnation.value == 0 && known != nullptr)
             targetIncarnation.incarnation = known->record.incarnation;
-        retired_.note(targetIncarnation);
+        retired_.record(targetIncarnation);
         if (known != nullptr && known->record.incarnation <= targetIncarnation.incarnation)
             markLeaving(*known);
     }
@@ -202,7 +202,7 @@
     GatewayTarget* other = atAddress(record.address);
     if (other == nullptr || other->id() == record.target)
         return;
-    displaced_.note(other->targetIncarnation(), now);
+    displaced_.record(other->targetIncarnation(), now);
     replaced_.push_back(other->targetIncarnation());
     remove(*other);
 }
--- a/src/gateway/internal/targetset.h
+++ b/src/gateway/internal/targetset.h
@@ -41,7 +41,7 @@
     TargetSet(const TargetSet&) = delete;
     TargetSet& operator=(const TargetSet&) = delete;
 
-    void note(const model::TargetReport& report, Timestamp now);
+    void applyReport(const model::TargetReport& report, Timestamp now);
     void applyLoads(const model::TargetLoads& loads, Timestamp now);
     /// Loads of this gateway's own requests, to be reported to the registry.
     [[nodiscard]] model::TargetLoads collectOwnLoads();
--- a/src/membership/displacedtargets.h
+++ b/src/membership/displacedtargets.h
@@ -17,7 +17,7 @@
 /// the old target back.
 class DisplacedTargets {
 public:
-    void note(const model::TargetIncarnation& instance, Timestamp now);
+    void record(const model::TargetIncarnation& instance, Timestamp now);
     /// True if this incarnation, or a later one of the same target, was displaced recently.
     [[nodiscard]] bool contains(const model::TargetIncarnation& instance, Timestamp now) const;
 
--- a/src/membership/icredits.h
+++ b/src/membership/icredits.h
@@ -47,7 +47,7 @@
     virtual void onOwnerLost(const HostId& owner, Timestamp now) = 0;
     [[nodiscard]] virtual bool hasCredit(const ServiceName& service, const ZoneName& zone, Timestamp now) const = 0;
     /// Uses one credit at the owner in the zone that has the most free credit and is not in `excluded`.
-    [[nodiscard]] virtual std::optional<HostId> take(
+    [[nodiscard]] virtual std::optional<HostId> useCredit(
         const ServiceName& service, const ZoneName& zone, std::span<const HostId> excluded, Timestamp now)
         = 0;
     /// Returns the credit when the request at the owner has completed; exactly once per use.
--- a/src/membership/internal/creditstore.cpp
+++ b/src/membership/internal/creditstore.cpp
@@ -104,7 +104,7 @@
     return false;
 }
 
-std::optional<HostId> CreditStore::take(
+std::optional<HostId> CreditStore::useCredit(
     const ServiceName& service, const ZoneName& zone, std::span<const HostId> excluded, Timestamp now)
 {
     std::vector<OwnerAccounts::iterator> best;
--- a/src/membership/internal/creditstore.h
+++ b/src/membership/internal/creditstore.h
@@ -22,7 +22,7 @@
     void handle(const HostId& from, const model::CreditGrant& grant, Timestamp now) override;
     void onOwnerLost(const HostId& owner, Timestamp now) override;
     [[nodiscard]] bool hasCredit(const ServiceName& service, const ZoneName& zone, Timestamp now) const override;
-    [[nodiscard]] std::optional<HostId> take(
+    [[nodiscard]] std::optional<HostId> useCredit(
         const ServiceName& service, const ZoneName& zone, std::span<const HostId> excluded, Timestamp now) override;
     void returnCredit(const HostId& owner, const ServiceName& service, Timestamp now) override;
     void recordUnmetDemand(const ServiceName& service, const ZoneName& zone, Timestamp now) override;
--- a/src/membership/internal/displacedtargets.cpp
+++ b/src/membership/internal/displacedtargets.cpp
@@ -7,7 +7,7 @@
 
 namespace saltvane::membership {
 
-void DisplacedTargets::note(const model::TargetIncarnation& instance, Timestamp now)
+void DisplacedTargets::record(const model::TargetIncarnation& instance, Timestamp now)
 {
     if (now - lastExpiryAt_ > RetentionTime)
         eraseExpired(now);
--- a/src/membership/internal/retiredtargets.cpp
+++ b/src/membership/internal/retiredtargets.cpp
@@ -12,7 +12,7 @@
 {
 }
 
-bool RetiredTargets::note(const model::TargetIncarnation& instance)
+bool RetiredTargets::record(const model::TargetIncarnation& instance)
 {
     if (contains(instance))
         return false;
--- a/src/membership/retiredtargets.h
+++ b/src/membership/retiredtargets.h
@@ -20,7 +20,7 @@
     explicit RetiredTargets(size_t capacity);
 
     /// Returns false if the incarnation is covered already.
-    bool note(const model::TargetIncarnation& instance);
+    bool record(const model::TargetIncarnation& instance);
     [[nodiscard]] bool contains(const model::TargetIncarnation& instance) const;
     /// Oldest entry first; of several for one target the latest applies.
     [[nodiscard]] const std::deque<model::TargetIncarnation>& inOrder() const { return order_; }
--- a/src/registry/internal/registryreports.cpp
+++ b/src/registry/internal/registryreports.cpp
@@ -56,7 +56,7 @@
         // An order without an incarnation refers to the one that is known now.
         if (targetIncarnation.incarnation.value == 0)
             targetIncarnation.incarnation = targets_.incarnationOf(targetIncarnation.target);
-        retired_.note(targetIncarnation);
+        retired_.record(targetIncarnation);
     }
     return retired;
 }
--- a/src/registry/internal/targettable.cpp
+++ b/src/registry/internal/targettable.cpp
@@ -140,7 +140,7 @@
     Entry* other = atAddress(record.address);
     if (other == nullptr || other->record.target == record.target)
         return;
-    displaced_.note(targetIncarnationOf(other->record), now);
+    displaced_.record(targetIncarnationOf(other->record), now);
     erase(*other);
 }
 
--- a/src/requests/internal/forwarder.cpp
+++ b/src/requests/internal/forwarder.cpp
@@ -90,7 +90,7 @@
         }
         const ZoneIndex zone = choice.value().zone;
         const ZoneName& name = deployment.zone(zone).name;
-        const std::optional<HostId> owner = credits.take(exchange.service, name, exchange.excludedOwners, now);
+        const std::optional<HostId> owner = credits.useCredit(exchange.service, name, exchange.excludedOwners, now);
         if (owner)
             return Placement {.zone = zone, .owner = *owner};
         if (std::find(excludedZones.begin(), excludedZones.end(), zone) != excludedZones.end()) {
--- a/src/requests/internal/forwarder.h
+++ b/src/requests/internal/forwarder.h
@@ -16,7 +16,7 @@
 
 namespace saltvane::requests {
 
-/// Forwards requests to owners and issuers: chooses the zone, takes a credit, sends the body, retries.
+/// Forwards requests to owners and issuers: chooses the zone, uses a credit, sends the body, retries.
 class Forwarder {
 public:
     explicit Forwarder(EntryContext& context);
@@ -56,7 +56,7 @@
         HostId owner;
     };
 
-    /// Chooses a zone and takes a credit of it. Returns no value and sets `refusal` if there is no credit.
+    /// Chooses a zone and uses a credit of it. Returns no value and sets `refusal` if there is no credit.
     [[nodiscard]] std::optional<Placement> choose(Exchange& exchange, steering::Refusal& refusal, Timestamp now);
     void requestCredits(const Exchange& exchange, Timestamp now);
     void waitOrRefuse(Exchange& exchange, const steering::Refusal& refusal, Timestamp now);
--- a/src/requests/tests/claimtests.cpp
+++ b/src/requests/tests/claimtests.cpp
@@ -115,7 +115,7 @@
     sendResponse(forward(1), "booked", OtherEntry);
     EXPECT_EQ(bodies_[first], "booked");
     EXPECT_EQ(bodies_[second], "booked");
-    EXPECT_EQ(creditStore_.taken(), 0);
+    EXPECT_EQ(creditStore_.inUse(), 0);
 }
 
 TEST_F(ClaimTest, UnreachableOrRestartedHolderIsUnknown)
--- a/src/requests/tests/entrystresstests.cpp
+++ b/src/requests/tests/entrystresstests.cpp
@@ -61,7 +61,7 @@
         checker_.finish();
         for (const std::string& fault : checker_.faults)
             ADD_FAILURE() << fault;
-        EXPECT_EQ(creditStore_.taken(), 0);
+        EXPECT_EQ(creditStore_.inUse(), 0);
         EXPECT_FALSE(creditStore_.hasExcessReturn);
         EXPECT_EQ(entry_->inFlight(), 0U);
         EXPECT_EQ(accessRecords_, startedRequests_);
--- a/src/requests/tests/fakecreditstore.h
+++ b/src/requests/tests/fakecreditstore.h
@@ -13,13 +13,13 @@
 
 namespace saltvane::requests {
 
-/// Stores a fixed number of credits for each owner and counts the credits taken and returned.
+/// Stores a fixed number of credits for each owner and counts the credits used and returned.
 class FakeCreditStore final : public membership::ICreditStore {
 public:
     struct OwnerCredit {
         ZoneName zone;
         int free = 0;
-        int taken = 0; ///< Taken and not returned.
+        int inUse = 0; ///< Used and not returned.
     };
 
     void setOwners(std::span<const Owner>, Timestamp) override { }
@@ -30,7 +30,7 @@
         return std::any_of(owners.begin(), owners.end(),
             [&zone](const auto& entry) { return entry.second.zone == zone && entry.second.free > 0; });
     }
-    [[nodiscard]] std::optional<HostId> take(
+    [[nodiscard]] std::optional<HostId> useCredit(
         const ServiceName&, const ZoneName& zone, std::span<const HostId> excluded, Timestamp) override
     {
         for (auto& [host, credit] : owners) {
@@ -38,7 +38,7 @@
             if (credit.zone != zone || credit.free == 0 || isExcluded)
                 continue;
             --credit.free;
-            ++credit.taken;
+            ++credit.inUse;
             return host;
         }
         return std::nullopt;
@@ -47,18 +47,18 @@
     {
         OwnerCredit& credit = owners[owner];
         ++credit.free;
-        --credit.taken;
-        hasExcessReturn = hasExcessReturn || credit.taken < 0;
+        --credit.inUse;
+        hasExcessReturn = hasExcessReturn || credit.inUse < 0;
     }
     void recordUnmetDemand(const ServiceName&, const ZoneName&, Timestamp) override { ++requested; }
     void tick(Timestamp) override { }
     [[nodiscard]] std::vector<model::OutgoingMessage> drainOutgoing() override { return {}; }
 
-    [[nodiscard]] int taken() const
+    [[nodiscard]] int inUse() const
     {
         int sum = 0;
         for (const auto& [host, credit] : owners)
-            sum += credit.taken;
+            sum += credit.inUse;
         return sum;
     }
 
--- a/src/requests/tests/forwardtests.cpp
+++ b/src/requests/tests/forwardtests.cpp
@@ -34,7 +34,7 @@
     {
         EXPECT_EQ(aborted_, std::vector<HttpHandle> {handle});
         EXPECT_TRUE(finished_.empty());
-        EXPECT_EQ(creditStore_.taken(), 0);
+        EXPECT_EQ(creditStore_.inUse(), 0);
         EXPECT_EQ(entry_->inFlight(), 0U);
         EXPECT_EQ(counters_.value(model::Counter::BrokenBodies), 1U);
     }
@@ -54,7 +54,7 @@
     EXPECT_EQ(bodies[1].bytes, "amount=1");
     sendResponse(forward(1), "done", RemoteOwner);
     EXPECT_EQ(bodies_[handle], "done");
-    EXPECT_EQ(creditStore_.taken(), 0);
+    EXPECT_EQ(creditStore_.inUse(), 0);
 }
 
 TEST_F(ForwardTest, AttemptedTargetsAreExcluded)
@@ -118,7 +118,7 @@
     EXPECT_FALSE(hasResponse(read));
     sendResponse(forward(2), "again", RemoteOwner);
     EXPECT_EQ(bodies_[read], "again");
-    EXPECT_EQ(creditStore_.taken(), 0);
+    EXPECT_EQ(creditStore_.inUse(), 0);
 }
 
 TEST_F(ForwardTest, FramesFromOtherPeersAreDroppedAndCounted)
--- a/src/requests/tests/issuertests.cpp
+++ b/src/requests/tests/issuertests.cpp
@@ -69,7 +69,7 @@
     completeForward(forward(), Outcome::Answered, Reason::None, OtherEntry);
     EXPECT_EQ(bodies_[handle], "ok");
     EXPECT_EQ(headerOf(response(handle).headers, ReplayedHeader), "true");
-    EXPECT_EQ(creditStore_.taken(), 0);
+    EXPECT_EQ(creditStore_.inUse(), 0);
 }
 
 TEST_F(IssuerTest, IssuersRefusalIsPassedOnWithoutRetry)
--- a/src/requests/tests/keytests.cpp
+++ b/src/requests/tests/keytests.cpp
@@ -183,7 +183,7 @@
                 .bytes = std::string(40 * 1024, 'x')});
     EXPECT_EQ(sent<model::ForwardWindow>().size(), 1U);
     EXPECT_EQ(sent<model::ForwardCancel>().size(), 1U);
-    EXPECT_EQ(creditStore_.taken(), 0);
+    EXPECT_EQ(creditStore_.inUse(), 0);
     expectRefusal(post(key), Outcome::Unknown, Reason::KeyInUse, 409);
 }
 
@@ -231,7 +231,7 @@
     completeForward(forward(), Outcome::NotRun, Reason::QueueTimeout);
     post(key);
     EXPECT_EQ(runs(), 2U);
-    EXPECT_EQ(creditStore_.taken(), 1);
+    EXPECT_EQ(creditStore_.inUse(), 1);
 }
 
 TEST_F(KeyTest, WaiterIsPromotedWhenTheOriginalDisconnectsBeforeItsRun)
--- a/src/requests/tests/requestreceivertests.cpp
+++ b/src/requests/tests/requestreceivertests.cpp
@@ -45,7 +45,7 @@
     EXPECT_EQ(headerOf(respond.headers, RequestIdHeader), forward.request.value());
     EXPECT_EQ(headerOf(respond.headers, "ETag"), "x");
     EXPECT_EQ(headerOf(respond.headers, "Keep-Alive"), "");
-    EXPECT_EQ(creditStore_.taken(), 0);
+    EXPECT_EQ(creditStore_.inUse(), 0);
     ASSERT_EQ(records_.size(), 1U);
     EXPECT_EQ(records_[0].outcome, Outcome::Answered);
     EXPECT_EQ(records_[0].status, 404);
@@ -102,7 +102,7 @@
     advanceTime(1ms);
     expectRefusal(handle, Outcome::Unknown, Reason::DeadlineExceeded, 504);
     EXPECT_EQ(sent<model::ForwardCancel>().size(), 1U);
-    EXPECT_EQ(creditStore_.taken(), 0);
+    EXPECT_EQ(creditStore_.inUse(), 0);
     sendResponse(forward);
     EXPECT_EQ(counters_.value(model::Counter::LateFrames),
         2U); // The end frame belongs to a cancelled attempt and isn't counted.
@@ -133,7 +133,7 @@
     ASSERT_EQ(sent<model::ForwardRequest>().size(), 2U);
     sendResponse(sent<model::ForwardRequest>()[1], "second");
     EXPECT_EQ(bodies_[second], "second");
-    EXPECT_EQ(creditStore_.taken(), 0);
+    EXPECT_EQ(creditStore_.inUse(), 0);
 }
 
 TEST_F(RequestReceiverTest, DeadlineBeforeForwardingIsNotRun)
@@ -186,7 +186,7 @@
     collect();
     expectRefusal(forwarded, Outcome::Unknown, Reason::StopTimeLimit, 502);
     expectRefusal(waiting, Outcome::NotRun, Reason::StopTimeLimit, 503);
-    EXPECT_EQ(creditStore_.taken(), 0);
+    EXPECT_EQ(creditStore_.inUse(), 0);
 }
 
 TEST_F(RequestReceiverTest, DisconnectCancelsAndCausesNoAction)
@@ -195,7 +195,7 @@
     handleHttp(HttpRequestAborted {.handle = handle});
     EXPECT_EQ(sent<model::ForwardCancel>().size(), 1U);
     EXPECT_FALSE(hasResponse(handle));
-    EXPECT_EQ(creditStore_.taken(), 0);
+    EXPECT_EQ(creditStore_.inUse(), 0);
     EXPECT_EQ(entry_->inFlight(), 0U);
     ASSERT_EQ(records_.size(), 1U);
     EXPECT_EQ(records_[0].reason, Reason::ClientGone);
--- a/testing/benchmarks/targetbenchmark.cpp
+++ b/testing/benchmarks/targetbenchmark.cpp
@@ -36,7 +36,7 @@
         model::TargetReport report;
         for (uint32_t i = 0; i < targets; ++i)
             report.targets.push_back(recordOf(i, 1));
-        set.note(report, Now);
+        set.applyReport(report, Now);
     }
     gateway::TargetSet set {{.self = HostId("g"), .zone = ZoneName("n-a"), .region = RegionName("n")}, Zones};
     gateway::RegionSplit split {0.15};
@@ -65,7 +65,7 @@
     Gateway gateway(static_cast<uint32_t>(state.range(0)));
     uint64_t sequence = 1;
     for (auto _ : state)
-        gateway.set.note({.targets = {recordOf(7, ++sequence)}}, Now);
+        gateway.set.applyReport({.targets = {recordOf(7, ++sequence)}}, Now);
 }
 
 void tickGateway(benchmark::State& state)
