--- a/src/gateway/internal/quarantine.h
+++ b/src/gateway/internal/quarantine.h
@@ -38,7 +38,7 @@
     explicit Quarantine(Options options);
 
     /// A request that lost two targets is not retried by this host: the third target would be lost to the same attempt,
-    /// before any other gateway has heard of the first two. The caller may send it again.
+    /// before any other gateway learns of the first two. The caller may send it again.
     static constexpr size_t MaxLostTargetsForRetry = 2;
 
     /// Called before a request is sent to a target. Returns the retry delay if the request must not be sent.
--- a/src/gateway/internal/targetset.h
+++ b/src/gateway/internal/targetset.h
@@ -50,8 +50,8 @@
     void markLeaving(const model::TargetIncarnation& targetIncarnation);
     /// Another target answered at its address: the target with this id has stopped.
     void markStopped(const model::TargetIncarnation& targetIncarnation);
-    /// Removes targets of which the registry has not heard for a long time, as long as the registry itself is
-    /// reachable; recounts the capacity of some targets.
+    /// Removes targets that are unresponsive or have not been listed by the registry for a long time, as long as the
+    /// registry itself is reachable; recounts the capacity of some targets.
     void tick(Timestamp now);
     /// Incarnations that were replaced since the last call, by a later one under their id or another target at their
     /// address: requests sent to them get no more responses, apart from those sent before.
