--- a/src/gateway/internal/requestresponses.cpp
+++ b/src/gateway/internal/requestresponses.cpp
@@ -35,7 +35,7 @@
     if (!isOwnResponse) {
         actions_.emplace_back(requests::TargetCancel {.dispatch = exchange.dispatch});
         exchange.mayHaveRun = true;
-        exchange.lastFailure = "response of another request";
+        exchange.lastFailure = "answer of another request";
         return retryElsewhere(exchange, model::Reason::TargetFailed, now);
     }
     // A response of another target says nothing about the selected one.
