--- a/src/net/internal/targetexchange.cpp
+++ b/src/net/internal/targetexchange.cpp
@@ -219,7 +219,7 @@
     if (state == ResponseHead::State::Complete && isOfAnotherRequest()) {
         // The failed transfer makes libcurl close the connection. If it stayed open, every later request on it would
         // receive the response of the previous one.
-        failure_ = "response of another request";
+        failure_ = "answer of another request";
         return false;
     }
     if (state == ResponseHead::State::Complete) {
